--- a/benches/peer.rs
+++ b/benches/peer.rs
@@ -71,7 +71,7 @@
     let link = fault.map(|fault| {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let link = Link::new(any, to.address()).expect("a link");
-        link.fault(fault);
+        link.set_fault(fault);
         link
     });
     let address = link.as_ref().map_or(to.address(), Link::address);
--- a/benches/publish.rs
+++ b/benches/publish.rs
@@ -265,7 +265,7 @@
 }
 
 fn race(world: &World, watch: &Watch) {
-    world.platform.fault(platform::Fault {
+    world.platform.set_fault(platform::Fault {
         lose_answers: LOSE,
         ..platform::Fault::default()
     });
@@ -282,7 +282,7 @@
         }
     });
     let took = began.elapsed();
-    world.platform.fault(platform::Fault::default());
+    world.platform.set_fault(platform::Fault::default());
     let last = revision(&world.platform).unwrap();
     let late = watch.wait(last);
     let name = format!("{WRITERS} writers, answers lost");
@@ -321,7 +321,7 @@
         .collect();
     assert_eq!(cut.len() * 2, links.len());
     for link in &cut {
-        link.fault(fault);
+        link.set_fault(fault);
     }
     let mut writer = Writer::new(&world.platform_url, "writer-0.json".into());
     let begin = revision(&world.platform).unwrap();
@@ -339,7 +339,7 @@
         &late,
     );
     for link in &cut {
-        link.fault(link::Fault::default());
+        link.set_fault(link::Fault::default());
     }
     thread::sleep(Duration::from_secs(3));
 }
--- a/soak/fault.rs
+++ b/soak/fault.rs
@@ -63,7 +63,7 @@
             world.store.target(&format!("i-{target}"), address, state);
         }
         8 => world.hosts[host].signal("-HUP"),
-        _ => world.links[target].fault(link_fault(rng)),
+        _ => world.links[target].set_fault(link_fault(rng)),
     }
 }
 
--- a/soak/world.rs
+++ b/soak/world.rs
@@ -107,7 +107,7 @@
     pub fn heal(&mut self) {
         self.store.set_mode(Mode::Up);
         for (index, link) in self.links.iter().enumerate() {
-            link.fault(Fault::default());
+            link.set_fault(Fault::default());
             lock(&self.ledger).set_way(index, Way::Well);
             self.store
                 .target(&format!("i-{index}"), link.address(), "ready");
--- a/src/bin/ragwortfold/demo/fault.rs
+++ b/src/bin/ragwortfold/demo/fault.rs
@@ -289,7 +289,7 @@
 
     fn set_targets(&self, names: &[Arc<str>], mode: Mode) {
         for target in names.iter().filter_map(|name| self.world.targets.get(name)) {
-            target.fault(target::Fault {
+            target.set_fault(target::Fault {
                 mode,
                 ..target::Fault::default()
             });
@@ -329,7 +329,7 @@
     }
 
     fn set_platform(&self, availability: Availability, lose_answers: u64) {
-        self.world.platform.fault(platform::Fault {
+        self.world.platform.set_fault(platform::Fault {
             availability,
             lose_answers,
             ..platform::Fault::default()
@@ -350,7 +350,7 @@
         for (target, is_query) in self.world.targets.values().zip(slow) {
             count += usize::from(is_query);
             let is_slow = is_query && count.is_multiple_of(SLOW_EVERY);
-            target.fault(target::Fault {
+            target.set_fault(target::Fault {
                 hide_load: on,
                 hide_state: on,
                 slow: if on && is_slow { SLOW } else { 1.0 },
--- a/src/bin/ragwortfold/demo/load.rs
+++ b/src/bin/ragwortfold/demo/load.rs
@@ -139,8 +139,8 @@
     let settings = Settings::new(&format!("{service}-{region}"), service, entries)
         .with_names(&configured.class, region)
         .with_clients(clients(world, region))
-        .with_near(near)
-        .with_via(via)
+        .with_near_entries(near)
+        .with_address_map(via)
         .with_threads(THREADS)
         .with_deadline(Duration::from_millis(configured.deadline_ms.get().into()));
     match world.shape(service) {
--- a/src/bin/ragwortfold/demo/world.rs
+++ b/src/bin/ragwortfold/demo/world.rs
@@ -22,7 +22,7 @@
 use standin::link::{Accept, Fault, Link};
 use standin::observer::{self, Cap, Place};
 use standin::platform::{self, HostState, Platform};
-use standin::target::{self, Target, Work};
+use standin::target::{self, ServiceTime, Target};
 
 use super::operator::Operator;
 use super::{Customer, Error};
@@ -94,13 +94,13 @@
 
 impl Shape {
     /// The service times of its targets.
-    pub(crate) fn work(self) -> Work {
+    pub(crate) fn work(self) -> ServiceTime {
         let (shortest, longest) = match self {
             Shape::Query => (5, 20),
             Shape::Booking => (10, 40),
             Shape::Upload => (50, 150),
         };
-        Work {
+        ServiceTime {
             shortest: Duration::from_millis(shortest),
             longest: Duration::from_millis(longest),
         }
@@ -331,7 +331,7 @@
                     } else {
                         self.delays.region
                     };
-                    link.fault(lost(
+                    link.set_fault(lost(
                         Fault::delay(self.delays.client + far),
                         is_lost,
                         reset,
@@ -341,7 +341,7 @@
                 for other in self.machines.values() {
                     let is_lost = is_lost || self.lost.contains(&other.zone);
                     let fault = lost(self.path(other, machine), is_lost, reset, Accept::Reset);
-                    seat.peers.fault_from(other.source, fault);
+                    seat.peers.set_fault_from(other.source, fault);
                 }
             }
         }
@@ -352,7 +352,7 @@
             } else {
                 fault
             };
-            link.fault(lost(fault, self.lost.contains(zone), reset, Accept::Refuse));
+            link.set_fault(lost(fault, self.lost.contains(zone), reset, Accept::Refuse));
         }
     }
 
@@ -459,7 +459,7 @@
         let settings = target::Settings::new(name, target.slots.get() as usize)
             .with_zone(&target.availability_zone)
             .with_connections(target.connections.get() as usize)
-            .with_work(work, seed.wrapping_add(number as u64))
+            .with_service_time(work, seed.wrapping_add(number as u64))
             .with_load_lag(Duration::from_millis(500));
         targets.insert(name.as_str().into(), Target::new(local(0), settings)?);
     }
--- a/standin/src/caller/client.rs
+++ b/standin/src/caller/client.rs
@@ -1,4 +1,4 @@
-//! One client address: its cached look-up, its connections, and its attempts of a call.
+//! One client address with its cached look-up and its connections; it makes the attempts of a call.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -10,20 +10,20 @@
 use ureq::http::Response;
 use ureq::{Agent, Body};
 
-use super::connect::{is_refused, Literal, Source};
+use super::connect::{is_connect_error, LiteralResolver, SourceConnector};
 use super::record::{Attempt, Outcome, Record};
 use super::{Entry, Settings};
 use crate::{lock, pattern};
 
 const MAX_ATTEMPTS: usize = 8;
-/// Largest answer read, in bytes.
-const MAX_ANSWER: u64 = 64 << 20;
-/// Longest try to connect, and to look entries up.
+/// Limit of a response's body, in bytes.
+const MAX_RESPONSE_BYTES: u64 = 64 << 20;
+/// Time limit for a connection, and for a look-up.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause before an attempt that follows a round of failures or an unknown outcome.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Shortest pause before an attempt if the last one had an unknown outcome or all entries have failed.
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// The answer of a look-up.
+/// The response to a look-up.
 #[derive(Debug, Deserialize)]
 struct Lookup {
     ttl_ms: u64,
@@ -37,12 +37,12 @@
     address: SocketAddr,
 }
 
-/// What a client knows from its latest look-up.
+/// The cached result of a client's latest look-up.
 #[derive(Clone)]
-struct Known {
+struct CachedLookup {
     ticket: Option<Arc<str>>,
     entries: Vec<Entry>,
-    until: Instant,
+    expires: Instant,
 }
 
 /// A call to be made.
@@ -51,95 +51,96 @@
     pub(super) due: Instant,
     pub(super) start_us: u64,
     pub(super) body: Vec<u8>,
-    pub(super) work: Option<Duration>,
+    pub(super) service_time: Option<Duration>,
 }
 
 /// One client of a caller.
 pub(super) struct Client {
     address: IpAddr,
     agent: Agent,
-    known: Mutex<Option<Arc<Known>>>,
-    /// Which entry it asks first; moves on from one that fails.
-    first: AtomicUsize,
+    cached: Mutex<Option<Arc<CachedLookup>>>,
+    /// Index of the entry that is asked first; raised when that entry fails.
+    first_entry: AtomicUsize,
 }
 
-/// What an attempt came to, and the wait that its answer asks for.
-struct Step {
+/// The result of an attempt.
+struct AttemptResult {
     attempt: Attempt,
+    /// The delay that the response asks for.
     retry_after: Option<Duration>,
-    /// Sending it again cannot help.
-    last: bool,
+    /// Another attempt would have the same result.
+    is_final: bool,
     target: Option<Arc<str>>,
     zone: Option<Arc<str>>,
 }
 
 impl Client {
     pub(super) fn new(address: IpAddr, number: usize, settings: &Settings) -> Self {
-        // A call that must not run twice never goes on a connection that may be stale.
-        let idle = if settings.keyed { 0 } else { 16 };
+        // Non-idempotent calls never use a kept connection, which the host may have closed.
+        let max_idle = if settings.keyed { 0 } else { 16 };
         let config = Agent::config_builder()
             .http_status_as_error(false)
             .allow_non_standard_methods(true)
             .proxy(None)
             .max_redirects(0)
             .max_redirects_will_error(false)
-            .max_idle_connections(idle)
-            .max_idle_connections_per_host(idle)
+            .max_idle_connections(max_idle)
+            .max_idle_connections_per_host(max_idle)
             .build();
-        let agent = Agent::with_parts(config, Source { address }, Literal);
+        let agent = Agent::with_parts(config, SourceConnector { address }, LiteralResolver);
         Self {
             address,
             agent,
-            known: Mutex::new(None),
-            first: AtomicUsize::new(number % settings.near.max(1)),
+            cached: Mutex::new(None),
+            first_entry: AtomicUsize::new(number % settings.near_entries.max(1)),
         }
     }
 
     /// Makes a call, with as many attempts as its deadline allows.
     pub(super) fn call(&self, settings: &Settings, call: &Call) -> Record {
         let end = call.due + settings.deadline;
-        let mut known = self.entries(settings, end, false);
-        let ticket = known.ticket.clone().filter(|_| settings.keyed);
-        let mut record = self.record(settings, call, ticket);
+        let mut lookup = self.entries(settings, end, false);
+        let ticket = lookup.ticket.clone().filter(|_| settings.keyed);
+        let mut record = self.new_record(settings, call, ticket);
         let mut next = 0;
-        while record.attempts.len() < MAX_ATTEMPTS && !known.entries.is_empty() {
-            let left = end.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+        while record.attempts.len() < MAX_ATTEMPTS && !lookup.entries.is_empty() {
+            let time_left = end.saturating_duration_since(Instant::now());
+            if time_left.is_zero() {
                 break;
             }
-            let entry = &known.entries[next % known.entries.len()];
-            let step = self.attempt(settings, call, &record, entry, left);
-            let outcome = step.attempt.outcome;
-            if step.attempt.status == 0 {
-                self.distrust();
+            let entry = &lookup.entries[next % lookup.entries.len()];
+            let result = self.attempt(settings, call, &record, entry, time_left);
+            let outcome = result.attempt.outcome;
+            if result.attempt.status == 0 {
+                self.expire_lookup();
             }
-            record.attempts.push(step.attempt);
+            record.attempts.push(result.attempt);
             if outcome == Outcome::Answered || outcome == Outcome::Wrong {
                 record.outcome = outcome;
-                record.target = step.target;
-                record.zone = step.zone;
+                record.target = result.target;
+                record.zone = result.zone;
                 break;
             }
             if outcome == Outcome::Unknown {
                 record.outcome = Outcome::Unknown;
             }
             next += 1;
-            let round = next % known.entries.len() == 0;
-            let pause = pause(&record, step.retry_after, round);
-            if step.last || Instant::now() + pause >= end {
+            let is_round_done = next % lookup.entries.len() == 0;
+            let pause = retry_pause(&record, result.retry_after, is_round_done);
+            if result.is_final || Instant::now() + pause >= end {
                 break;
             }
             thread::sleep(pause);
-            if round {
-                known = self.entries(settings, end, true);
+            if is_round_done {
+                lookup = self.entries(settings, end, true);
             }
         }
         record.latency_us = call.due.elapsed().as_micros() as u64;
         record
     }
 
-    /// A record of a call that has not run yet.
-    fn record(&self, settings: &Settings, call: &Call, ticket: Option<Arc<str>>) -> Record {
+    /// The record of a call before its first attempt.
+    fn new_record(&self, settings: &Settings, call: &Call, ticket: Option<Arc<str>>) -> Record {
         Record {
             call: Arc::clone(&call.id),
             class: Arc::clone(&settings.class),
@@ -156,76 +157,87 @@
         }
     }
 
-    /// The entries in use: the cached ones for their time, else those of a new look-up, else the
-    /// old ones.
-    fn entries(&self, settings: &Settings, end: Instant, renew: bool) -> Arc<Known> {
-        let old = lock(&self.known).clone();
+    /// The entries to use: the cached ones unless they have expired or are to be renewed, else those
+    /// of a new look-up, or the old ones if that fails.
+    fn entries(&self, settings: &Settings, end: Instant, renew: bool) -> Arc<CachedLookup> {
+        let old = lock(&self.cached).clone();
         let now = Instant::now();
-        if let Some(known) = old.as_ref().filter(|known| !renew && known.until > now) {
-            return Arc::clone(known);
+        if let Some(cached) = old.as_ref().filter(|cached| !renew && cached.expires > now) {
+            return Arc::clone(cached);
         }
-        if settings.direct {
+        if settings.without_lookups {
             let entries = settings.entries.clone();
-            return Arc::new(Known {
+            return Arc::new(CachedLookup {
                 ticket: None,
                 entries,
-                until: now,
+                expires: now,
             });
         }
         let found = self.look_up_anywhere(settings, end);
         if let Some(found) = &found {
-            *lock(&self.known) = Some(Arc::clone(found));
+            *lock(&self.cached) = Some(Arc::clone(found));
         }
         let none = || {
-            Arc::new(Known {
+            Arc::new(CachedLookup {
                 ticket: None,
                 entries: Vec::new(),
-                until: now,
+                expires: now,
             })
         };
         found.or(old).unwrap_or_else(none)
     }
 
-    fn look_up_anywhere(&self, settings: &Settings, end: Instant) -> Option<Arc<Known>> {
+    /// Asks the entries in turn until one responds.
+    fn look_up_anywhere(&self, settings: &Settings, end: Instant) -> Option<Arc<CachedLookup>> {
         let count = settings.entries.len();
         for _ in 0..count {
-            let first = self.first.load(Ordering::Relaxed);
+            let first = self.first_entry.load(Ordering::Relaxed);
             let found = self.look_up(settings, &settings.entries[first % count], end);
             if found.is_some() {
                 return found;
             }
-            self.first.store(first.wrapping_add(1), Ordering::Relaxed);
+            self.first_entry
+                .store(first.wrapping_add(1), Ordering::Relaxed);
         }
         None
     }
 
-    /// Has the next call look its entries up again.
-    fn distrust(&self) {
-        if let Some(known) = lock(&self.known).as_mut() {
-            Arc::make_mut(known).until = Instant::now();
+    /// Makes the next call look its entries up again.
+    fn expire_lookup(&self) {
+        if let Some(cached) = lock(&self.cached).as_mut() {
+            Arc::make_mut(cached).expires = Instant::now();
         }
     }
 
-    fn look_up(&self, settings: &Settings, entry: &Entry, end: Instant) -> Option<Arc<Known>> {
-        let left = end.checked_duration_since(Instant::now())?;
+    fn look_up(
+        &self,
+        settings: &Settings,
+        entry: &Entry,
+        end: Instant,
+    ) -> Option<Arc<CachedLookup>> {
+        let time_left = end.checked_duration_since(Instant::now())?;
         let (to, service, client) = (entry.address, &settings.service, self.address);
         let uri = format!("http://{to}/v1/entries?service={service}&client={client}");
         let request = self
             .agent
             .get(uri)
             .config()
-            .timeout_global(Some(left.min(CONNECT_TIMEOUT)));
+            .timeout_global(Some(time_left.min(CONNECT_TIMEOUT)));
         let mut response = request.build().call().ok().filter(|r| r.status() == 200)?;
         let text = response.body_mut().read_to_string().ok()?;
         let found: Lookup = serde_json::from_str(&text).ok()?;
         let entries = found.entries.into_iter().map(|e| Entry {
-            address: settings.via.get(&e.address).copied().unwrap_or(e.address),
+            address: settings
+                .address_map
+                .get(&e.address)
+                .copied()
+                .unwrap_or(e.address),
             host: e.host,
         });
-        Some(Arc::new(Known {
+        Some(Arc::new(CachedLookup {
             ticket: Some(found.ticket),
             entries: entries.collect(),
-            until: Instant::now() + Duration::from_millis(found.ttl_ms),
+            expires: Instant::now() + Duration::from_millis(found.ttl_ms),
         }))
     }
 
@@ -235,8 +247,8 @@
         call: &Call,
         record: &Record,
         entry: &Entry,
-        left: Duration,
-    ) -> Step {
+        time_left: Duration,
+    ) -> AttemptResult {
         let Settings {
             service,
             path,
@@ -250,13 +262,13 @@
                 entry.address
             ))
             .header("Standin-Call", &*call.id)
-            .header("Ragwortfold-Deadline-Ms", left.as_millis().to_string());
+            .header("Ragwortfold-Deadline-Ms", time_left.as_millis().to_string());
         let numbers = [
             (
                 "Standin-Work-Ms",
-                call.work.map(|work| work.as_millis() as usize),
+                call.service_time.map(|time| time.as_millis() as usize),
             ),
-            ("Standin-Answer-Bytes", settings.answer_bytes),
+            ("Standin-Answer-Bytes", settings.response_bytes),
         ];
         for (name, number) in numbers {
             if let Some(number) = number {
@@ -276,77 +288,77 @@
             }
         }
         let result = match request.body(call.body.as_slice()) {
-            Ok(request) => self.send(request, left),
+            Ok(request) => self.send(request, time_left),
             Err(error) => Err(error.into()),
         };
-        judge(settings, call, entry, result)
+        evaluate(settings, call, entry, result)
     }
 
     fn send(
         &self,
         request: ureq::http::Request<&[u8]>,
-        left: Duration,
+        time_left: Duration,
     ) -> Result<Response<Body>, ureq::Error> {
         let config = self
             .agent
             .configure_request(request)
-            .timeout_global(Some(left));
+            .timeout_global(Some(time_left));
         self.agent.run(
             config
-                .timeout_connect(Some(left.min(CONNECT_TIMEOUT)))
+                .timeout_connect(Some(time_left.min(CONNECT_TIMEOUT)))
                 .build(),
         )
     }
 }
 
-/// How long to wait before the next attempt.
-fn pause(record: &Record, retry_after: Option<Duration>, round: bool) -> Duration {
-    let unknown = record
+/// The pause before the next attempt.
+fn retry_pause(record: &Record, retry_after: Option<Duration>, is_round_done: bool) -> Duration {
+    let is_unknown = record
         .attempts
         .last()
         .is_some_and(|a| a.outcome == Outcome::Unknown);
-    let least = if round || unknown {
-        PAUSE
+    let min_pause = if is_round_done || is_unknown {
+        MIN_RETRY_PAUSE
     } else {
         Duration::ZERO
     };
-    retry_after.unwrap_or_default().max(least)
+    retry_after.unwrap_or_default().max(min_pause)
 }
 
-/// What an attempt came to, by what the answer says and whether it is whole.
-fn judge(
+/// Determines an attempt's result from its response.
+fn evaluate(
     settings: &Settings,
     call: &Call,
     entry: &Entry,
-    result: Result<Response<Body>, ureq::Error>,
-) -> Step {
-    let mut step = Step {
+    response: Result<Response<Body>, ureq::Error>,
+) -> AttemptResult {
+    let mut result = AttemptResult {
         attempt: Attempt {
             host: Arc::clone(&entry.host),
             outcome: Outcome::Unknown,
             status: 0,
-            told: false,
+            is_reported: false,
             error: None,
         },
         retry_after: None,
-        last: false,
+        is_final: false,
         target: None,
         zone: None,
     };
-    let mut response = match result {
+    let mut response = match response {
         Ok(response) => response,
         Err(error) => {
-            if is_refused(&error) {
-                step.attempt.outcome = Outcome::NotRun;
+            if is_connect_error(&error) {
+                result.attempt.outcome = Outcome::NotRun;
             }
-            step.attempt.error = Some(error.to_string().into());
-            return step;
+            result.attempt.error = Some(error.to_string().into());
+            return result;
         }
     };
     let body = response
         .body_mut()
         .with_config()
-        .limit(MAX_ANSWER)
+        .limit(MAX_RESPONSE_BYTES)
         .read_to_vec();
     let header = |name| {
         response
@@ -355,33 +367,33 @@
             .and_then(|value| value.to_str().ok())
     };
     let status = response.status().as_u16();
-    step.attempt.status = status;
-    step.target = header("Standin-Target").map(Arc::from);
-    step.zone = header("Standin-Zone").map(Arc::from);
+    result.attempt.status = status;
+    result.target = header("Standin-Target").map(Arc::from);
+    result.zone = header("Standin-Zone").map(Arc::from);
     let seconds = header("Retry-After").and_then(|text| text.parse().ok());
-    step.retry_after = seconds.and_then(|s| Duration::try_from_secs_f64(s).ok());
-    step.last = (400..500).contains(&status);
+    result.retry_after = seconds.and_then(|s| Duration::try_from_secs_f64(s).ok());
+    result.is_final = (400..500).contains(&status);
     let outcome = header("Ragwortfold-Outcome");
-    step.attempt.told = outcome.is_some();
-    step.attempt.outcome = match (outcome, status, &body) {
+    result.attempt.is_reported = outcome.is_some();
+    result.attempt.outcome = match (outcome, status, &body) {
         (Some("not-run"), 400.., _) => Outcome::NotRun,
         (Some("answered"), _, Err(error)) | (None, ..500, Err(error)) => {
-            // A success whose body is cut; the connection shows it, so it may be sent again.
-            step.attempt.error = Some(error.to_string().into());
+            // The response's body is incomplete. The client saw the connection fail, so it may send the call again.
+            result.attempt.error = Some(error.to_string().into());
             Outcome::Unknown
         }
         (Some("answered"), _, Ok(body)) | (None, ..500, Ok(body)) => {
-            let fault = check(settings, call, status, &header, body);
-            step.attempt.error = fault.map(Arc::from);
-            fault.map_or(Outcome::Answered, |_| Outcome::Wrong)
+            let mismatch = find_mismatch(settings, call, status, &header, body);
+            result.attempt.error = mismatch.map(Arc::from);
+            mismatch.map_or(Outcome::Answered, |_| Outcome::Wrong)
         }
         _ => Outcome::Unknown,
     };
-    step
+    result
 }
 
-/// What shows that an answer is not the whole answer to this call.
-fn check<'a>(
+/// Checks that a response is complete and belongs to this call; returns what does not match.
+fn find_mismatch<'a>(
     settings: &Settings,
     call: &Call,
     status: u16,
@@ -389,7 +401,7 @@
     body: &[u8],
 ) -> Option<&'static str> {
     #[derive(Deserialize)]
-    struct Proof {
+    struct ResponseBody {
         call: Option<String>,
         body_length: usize,
         body_hash: String,
@@ -399,21 +411,22 @@
     }
     let hash = pattern::hash(&call.body);
     if header("Standin-Call") != Some(&call.id) {
-        return Some("the answer is another call's");
+        return Some("the response belongs to another call");
     }
     if header("Standin-Body-Hash") != Some(&hash) {
-        return Some("the target got another body");
+        return Some("the target received another body");
     }
     if settings.method == "HEAD" {
         return None;
     }
-    if let Some(length) = settings.answer_bytes {
-        return (body != pattern::bytes(&call.id, length)).then_some("the answer's bytes differ");
+    if let Some(length) = settings.response_bytes {
+        return (body != pattern::bytes(&call.id, length))
+            .then_some("the response body differs from the expected bytes");
     }
-    let proof: Option<Proof> = serde_json::from_slice(body).ok();
-    let whole = proof.is_some_and(|proof| {
-        let own = proof.call.as_deref() == Some(&call.id);
-        own && proof.body_length == call.body.len() && proof.body_hash == hash
+    let parsed: Option<ResponseBody> = serde_json::from_slice(body).ok();
+    let is_match = parsed.is_some_and(|parsed| {
+        let is_same_call = parsed.call.as_deref() == Some(&call.id);
+        is_same_call && parsed.body_length == call.body.len() && parsed.body_hash == hash
     });
-    (!whole).then_some("the answer's body is another's")
+    (!is_match).then_some("the response body belongs to another call")
 }
--- a/standin/src/caller/connect.rs
+++ b/standin/src/caller/connect.rs
@@ -1,4 +1,4 @@
-//! Connections from a chosen source address, whose failures can be told from later ones.
+//! Connections from a given source address, with failures to connect distinct from later ones.
 
 use std::io::{self, Read, Write};
 use std::net::{IpAddr, SocketAddr, TcpStream};
@@ -12,22 +12,22 @@
     Buffers, ConnectionDetails, Connector, LazyBuffers, NextTimeout, Transport,
 };
 
-/// Nothing was sent, since no connection came about.
+/// No connection was established, so that nothing was sent.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot connect: {0}")]
-pub(super) struct Refused(io::Error);
+pub(super) struct ConnectError(io::Error);
 
-/// Connects from one address.
+/// A connector that binds each connection to one source address.
 #[derive(Debug)]
-pub(super) struct Source {
+pub(super) struct SourceConnector {
     pub(super) address: IpAddr,
 }
 
-/// Reads addresses without the thread that the library starts for each call with a time-out.
+/// A resolver for literal IP addresses. The library's own starts a thread for each call that has a time-out.
 #[derive(Debug)]
-pub(super) struct Literal;
+pub(super) struct LiteralResolver;
 
-impl Resolver for Literal {
+impl Resolver for LiteralResolver {
     fn resolve(
         &self,
         uri: &Uri,
@@ -41,7 +41,7 @@
     }
 }
 
-impl<In: Transport> Connector<In> for Source {
+impl<In: Transport> Connector<In> for SourceConnector {
     type Out = Stream;
 
     fn connect(
@@ -50,9 +50,9 @@
         _chained: Option<In>,
     ) -> Result<Option<Stream>, ureq::Error> {
         let to = *details.addrs.first().ok_or(ureq::Error::HostNotFound)?;
-        let timeout = details.timeout.not_zero().map(|left| *left);
+        let timeout = details.timeout.not_zero().map(|timeout| *timeout);
         let stream = connect(self.address, to, timeout);
-        let stream = stream.map_err(|error| ureq::Error::Other(Box::new(Refused(error))))?;
+        let stream = stream.map_err(|error| ureq::Error::Other(Box::new(ConnectError(error))))?;
         let config = details.config;
         let buffers = LazyBuffers::new(config.input_buffer_size(), config.output_buffer_size());
         Ok(Some(Stream { stream, buffers }))
@@ -70,12 +70,12 @@
     Ok(socket.into())
 }
 
-/// Whether the error proves that nothing was sent.
-pub(super) fn is_refused(error: &ureq::Error) -> bool {
-    matches!(error, ureq::Error::Other(inner) if inner.is::<Refused>())
+/// Whether no connection was established, which proves that nothing was sent.
+pub(super) fn is_connect_error(error: &ureq::Error) -> bool {
+    matches!(error, ureq::Error::Other(inner) if inner.is::<ConnectError>())
 }
 
-/// A plain TCP transport.
+/// A TCP transport without TLS.
 #[derive(Debug)]
 pub(super) struct Stream {
     stream: TcpStream,
@@ -89,32 +89,32 @@
 
     fn transmit_output(&mut self, amount: usize, timeout: NextTimeout) -> Result<(), ureq::Error> {
         self.stream
-            .set_write_timeout(timeout.not_zero().map(|left| *left))?;
+            .set_write_timeout(timeout.not_zero().map(|timeout| *timeout))?;
         let sent = self.stream.write_all(&self.buffers.output()[..amount]);
-        sent.map_err(|error| timed_out(error, timeout))
+        sent.map_err(|error| convert_error(error, timeout))
     }
 
     fn await_input(&mut self, timeout: NextTimeout) -> Result<bool, ureq::Error> {
         self.stream
-            .set_read_timeout(timeout.not_zero().map(|left| *left))?;
+            .set_read_timeout(timeout.not_zero().map(|timeout| *timeout))?;
         let read = self.stream.read(self.buffers.input_append_buf());
-        let n = read.map_err(|error| timed_out(error, timeout))?;
+        let n = read.map_err(|error| convert_error(error, timeout))?;
         self.buffers.input_appended(n);
         Ok(n > 0)
     }
 
     fn is_open(&mut self) -> bool {
-        let idle = |stream: &TcpStream| {
+        let peek = |stream: &TcpStream| {
             stream.set_nonblocking(true)?;
             let peeked = stream.peek(&mut [0]);
             stream.set_nonblocking(false)?;
             peeked
         };
-        idle(&self.stream).is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
+        peek(&self.stream).is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 }
 
-fn timed_out(error: io::Error, timeout: NextTimeout) -> ureq::Error {
+fn convert_error(error: io::Error, timeout: NextTimeout) -> ureq::Error {
     match error.kind() {
         io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut => ureq::Error::Timeout(timeout.reason),
         _ => error.into(),
--- a/standin/src/caller/mod.rs
+++ b/standin/src/caller/mod.rs
@@ -1,9 +1,10 @@
 //! An open-loop load generator for the calls of one class from one region.
 //!
-//! Calls are due at seeded random times that do not depend on answers; latency counts from then.
-//! Each client address keeps its look-up for its ttl, sends to the first entry, and goes to the
-//! next one on a failure to connect, on `not-run` (after its `Retry-After`) and on `unknown`,
-//! within the deadline. A keyed call bears the same `Idempotency-Key` and ticket each time.
+//! Calls are due at seeded random times that do not depend on responses; latency is measured from
+//! these times. Each client address caches its look-up for its TTL and sends a call to the first
+//! entry. It tries the next one after a failure to connect, after `not-run` (with its
+//! `Retry-After`) and after `unknown`, until the deadline. All attempts of a non-idempotent call
+//! have the same `Idempotency-Key` and ticket.
 
 mod client;
 mod connect;
@@ -25,24 +26,24 @@
 use client::{Call, Client};
 pub use record::{Attempt, Outcome, Record, Report};
 
-/// Most records kept; later calls are counted only.
+/// Limit of stored records; later calls are only counted.
 const MAX_RECORDS: usize = 1_000_000;
-/// Calls that may be due while all threads are busy, per thread.
-const BACKLOG: usize = 4;
-const STACK: usize = 512 << 10;
-/// Longest sleep of the thread that offers calls, so that it sees a stop.
-const TICK: Duration = Duration::from_millis(50);
+/// Calls per thread that may wait while all threads are busy.
+const BACKLOG_PER_THREAD: usize = 4;
+const STACK_BYTES: usize = 512 << 10;
+/// Longest sleep of the thread that schedules calls, so that it notices a stop.
+const MAX_SLEEP: Duration = Duration::from_millis(50);
 
 /// An entry host that a caller knows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Its name, or any other.
+    /// Its name, as records show it.
     pub host: Arc<str>,
-    /// Where to connect.
+    /// The address to connect to.
     pub address: SocketAddr,
 }
 
-/// What a caller does.
+/// The configuration of a caller.
 #[derive(Clone, Debug)]
 pub struct Settings {
     name: Arc<str>,
@@ -50,8 +51,8 @@
     service: Arc<str>,
     region: Arc<str>,
     entries: Vec<Entry>,
-    near: usize,
-    via: BTreeMap<SocketAddr, SocketAddr>,
+    near_entries: usize,
+    address_map: BTreeMap<SocketAddr, SocketAddr>,
     clients: Vec<IpAddr>,
     rate: f64,
     seed: u64,
@@ -59,19 +60,19 @@
     deadline: Duration,
     method: String,
     path: String,
-    body: (usize, usize),
-    answer_bytes: Option<usize>,
-    work: Option<(Duration, Duration)>,
+    body_length: (usize, usize),
+    response_bytes: Option<usize>,
+    service_time: Option<(Duration, Duration)>,
     chunked: bool,
     keyed: bool,
-    direct: bool,
-    limit: u64,
+    without_lookups: bool,
+    max_calls: u64,
     duration: Duration,
 }
 
 impl Settings {
-    /// Idempotent `GET`s of one service at ten a second for a minute. `name` makes the call ids
-    /// distinct from those of other callers; `entries` answer look-ups.
+    /// Idempotent `GET` calls of one service, ten a second for a minute. `name` makes the call ids
+    /// distinct from those of other callers; `entries` are the hosts that are asked for look-ups.
     pub fn new(name: &str, service: &str, entries: Vec<SocketAddr>) -> Self {
         let entry = |address: SocketAddr| Entry {
             host: address.to_string().into(),
@@ -82,9 +83,9 @@
             class: service.into(),
             service: service.into(),
             region: "".into(),
-            near: entries.len(),
+            near_entries: entries.len(),
             entries: entries.into_iter().map(entry).collect(),
-            via: BTreeMap::new(),
+            address_map: BTreeMap::new(),
             clients: vec![Ipv4Addr::LOCALHOST.into()],
             rate: 10.0,
             seed: 0,
@@ -92,13 +93,13 @@
             deadline: Duration::from_secs(1),
             method: "GET".into(),
             path: "call".into(),
-            body: (0, 0),
-            answer_bytes: None,
-            work: None,
+            body_length: (0, 0),
+            response_bytes: None,
+            service_time: None,
             chunked: false,
             keyed: false,
-            direct: false,
-            limit: u64::MAX,
+            without_lookups: false,
+            max_calls: u64::MAX,
             duration: Duration::from_secs(60),
         }
     }
@@ -110,84 +111,85 @@
         self
     }
 
-    /// Sets the source addresses, one client each.
+    /// Sets the source addresses, with one client for each.
     pub fn with_clients(mut self, clients: Vec<IpAddr>) -> Self {
         self.clients = clients;
         self
     }
 
-    /// Has each client begin with one of the first `near` entries.
-    pub fn with_near(mut self, near: usize) -> Self {
-        self.near = near;
+    /// Makes each client send its first look-up to one of the first `count` entries.
+    pub fn with_near_entries(mut self, count: usize) -> Self {
+        self.near_entries = count;
         self
     }
 
-    /// Connects to the second address where a look-up names the first, for links between.
-    pub fn with_via(mut self, via: BTreeMap<SocketAddr, SocketAddr>) -> Self {
-        self.via = via;
+    /// Replaces addresses that a look-up returns (keys of the map) by others, such as those of links
+    /// to the hosts.
+    pub fn with_address_map(mut self, addresses: BTreeMap<SocketAddr, SocketAddr>) -> Self {
+        self.address_map = addresses;
         self
     }
 
-    /// Sets the calls per second and the seed of their times, clients and sizes.
+    /// Sets the calls per second and the seed of their times, clients, sizes and service times.
     pub fn with_rate(mut self, rate: f64, seed: u64) -> Self {
         self.rate = rate;
         self.seed = seed;
         self
     }
 
-    /// Sets the most calls under way at once.
+    /// Sets the number of threads, which bounds the concurrent calls.
     pub fn with_threads(mut self, threads: usize) -> Self {
         self.threads = threads;
         self
     }
 
-    /// Sets the time in which a call must end, its attempts together.
+    /// Sets the time limit of a call with all its attempts.
     pub fn with_deadline(mut self, deadline: Duration) -> Self {
         self.deadline = deadline;
         self
     }
 
-    /// Sets the method, the path within the service and the bounds of the body's length.
-    pub fn with_request(mut self, method: &str, path: &str, body: (usize, usize)) -> Self {
+    /// Sets the method, the path within the service, and the shortest and the longest body in bytes.
+    pub fn with_request(mut self, method: &str, path: &str, body_length: (usize, usize)) -> Self {
         self.method = method.into();
         self.path = path.into();
-        self.body = body;
+        self.body_length = body_length;
         self
     }
 
-    /// Asks for answers of that many bytes.
-    pub fn with_answer_bytes(mut self, length: usize) -> Self {
-        self.answer_bytes = Some(length);
+    /// Requests responses of that many bytes.
+    pub fn with_response_bytes(mut self, length: usize) -> Self {
+        self.response_bytes = Some(length);
         self
     }
 
-    /// Asks for service times between these, in whole milliseconds, rather than the target's own.
-    pub fn with_work(mut self, shortest: Duration, longest: Duration) -> Self {
-        self.work = Some((shortest, longest));
+    /// Requests random service times between these bounds, in whole milliseconds, instead of the target's own.
+    pub fn with_service_time(mut self, shortest: Duration, longest: Duration) -> Self {
+        self.service_time = Some((shortest, longest));
         self
     }
 
-    /// Asks for chunked answers.
+    /// Requests chunked responses.
     pub fn with_chunked(mut self) -> Self {
         self.chunked = true;
         self
     }
 
-    /// Makes the calls non-idempotent: with a key and a ticket, on fresh connections.
+    /// Makes the calls non-idempotent: with a key and a ticket, and each on a new connection.
     pub fn with_keys(mut self) -> Self {
         self.keyed = true;
         self
     }
 
-    /// Takes the entries for targets and calls them without a look-up.
-    pub fn with_direct(mut self) -> Self {
-        self.direct = true;
+    /// Uses the entries as targets and calls them without look-ups.
+    pub fn without_lookups(mut self) -> Self {
+        self.without_lookups = true;
         self
     }
 
-    /// Ends after that many calls or that time, whichever is first.
-    pub fn with_end(mut self, limit: u64, duration: Duration) -> Self {
-        self.limit = limit;
+    /// Ends after `max_calls` calls or the given time, whichever comes first.
+    pub fn with_end(mut self, max_calls: u64, duration: Duration) -> Self {
+        self.max_calls = max_calls;
         self.duration = duration;
         self
     }
@@ -200,8 +202,8 @@
 
 struct State {
     rate: f64,
-    stopped: bool,
-    finished: bool,
+    is_stopped: bool,
+    is_finished: bool,
     report: Report,
     histogram: Histogram<u64>,
     records: Vec<Record>,
@@ -221,14 +223,15 @@
 }
 
 impl Caller {
-    /// Starts calling.
+    /// Starts the caller's threads.
     pub fn new(settings: Settings) -> Result<Self, Error> {
         if settings.clients.is_empty() || settings.entries.is_empty() || settings.threads == 0 {
             return Err(Error::Settings(
-                "a caller needs a client, an entry and a thread",
+                "a caller needs at least one client, one entry and one thread",
             ));
         }
-        let histogram = Histogram::new(3).map_err(|_| Error::Settings("no histogram"))?;
+        let histogram = Histogram::new(3)
+            .map_err(|_| Error::Settings("cannot create the latency histogram"))?;
         let report = Report {
             class: Arc::clone(&settings.class),
             region: Arc::clone(&settings.region),
@@ -236,8 +239,8 @@
         };
         let state = State {
             rate: settings.rate,
-            stopped: false,
-            finished: false,
+            is_stopped: false,
+            is_finished: false,
             report,
             histogram,
             records: Vec::new(),
@@ -257,13 +260,13 @@
             shared: Arc::new(shared),
             threads: Vec::new(),
         };
-        let (sender, receiver) = mpsc::sync_channel(threads * BACKLOG);
+        let (sender, receiver) = mpsc::sync_channel(threads * BACKLOG_PER_THREAD);
         let receiver = Arc::new(Mutex::new(receiver));
         for _ in 0..threads {
             let receiver = Arc::clone(&receiver);
-            caller.spawn(move |shared| work(shared, &receiver))?;
+            caller.spawn(move |shared| run_jobs(shared, &receiver))?;
         }
-        caller.spawn(move |shared| offer(shared, &sender))?;
+        caller.spawn(move |shared| schedule_calls(shared, &sender))?;
         Ok(caller)
     }
 
@@ -271,7 +274,7 @@
         let shared = Arc::clone(&self.shared);
         let builder = thread::Builder::new()
             .name("caller".into())
-            .stack_size(STACK);
+            .stack_size(STACK_BYTES);
         let thread = builder.spawn(move || run(&shared)).map_err(Error::Thread)?;
         self.threads.push(thread);
         Ok(())
@@ -283,25 +286,25 @@
         self.shared.changed.notify_all();
     }
 
-    /// Offers no more calls; those under way go on to their ends.
+    /// Schedules no more calls; those in flight continue until they end.
     pub fn stop(&self) {
-        lock(&self.shared.state).stopped = true;
+        lock(&self.shared.state).is_stopped = true;
         self.shared.changed.notify_all();
     }
 
-    /// Waits until every call has ended, and answers the records.
+    /// Waits until every call has ended; returns the report and the records.
     pub fn wait(mut self) -> (Report, Vec<Record>) {
         self.join();
         let records = std::mem::take(&mut lock(&self.shared.state).records);
         (self.report(), records)
     }
 
-    /// Whether no more calls are offered.
+    /// Whether the last call has been scheduled.
     pub fn is_finished(&self) -> bool {
-        lock(&self.shared.state).finished
+        lock(&self.shared.state).is_finished
     }
 
-    /// The figures so far.
+    /// The statistics so far.
     pub fn report(&self) -> Report {
         let state = lock(&self.shared.state);
         state.report.clone().with_latency(&state.histogram)
@@ -312,7 +315,7 @@
         lock(&self.shared.state).histogram.clone()
     }
 
-    /// The calls that have ended so far, in the order of their ends.
+    /// The records of the calls that have ended so far, in the order of their ends.
     pub fn records(&self) -> Vec<Record> {
         lock(&self.shared.state).records.clone()
     }
@@ -331,33 +334,34 @@
     }
 }
 
-/// Offers calls when they are due, whatever becomes of earlier ones.
-fn offer(shared: &Shared, to: &SyncSender<Job>) {
+/// Hands calls to the threads when they are due, independently of earlier calls.
+fn schedule_calls(shared: &Shared, jobs: &SyncSender<Job>) {
     let settings = &shared.settings;
     let mut rng = Pcg64Mcg::seed_from_u64(settings.seed);
     let end = Instant::now() + settings.duration;
     let mut due = Instant::now();
-    for number in 0..settings.limit {
+    for number in 0..settings.max_calls {
         let gap = -(1.0 - rng.random::<f64>()).ln();
         match wait_until_due(shared, due, gap) {
             Some(next) if next < end => due = next,
             _ => break,
         }
-        let job = job(settings, &mut rng, number, due);
+        let job = new_job(settings, &mut rng, number, due);
         let mut state = lock(&shared.state);
         state.report.offered += 1;
-        if to.try_send(job).is_err() {
+        if jobs.try_send(job).is_err() {
             state.report.missed += 1;
         }
     }
-    lock(&shared.state).finished = true;
+    lock(&shared.state).is_finished = true;
 }
 
-/// Waits for the call after `last`, at the rate in force; none when stopped.
+/// Waits until the next call is due, `gap` mean intervals after `last`; a change of the rate applies at once. Returns when it is due,
+/// or none if the caller is stopped.
 fn wait_until_due(shared: &Shared, last: Instant, gap: f64) -> Option<Instant> {
     let mut state = lock(&shared.state);
     loop {
-        if state.stopped {
+        if state.is_stopped {
             return None;
         }
         let now = Instant::now();
@@ -365,22 +369,24 @@
         if due <= now {
             return Some(due);
         }
-        let waited = shared.changed.wait_timeout(state, (due - now).min(TICK));
+        let waited = shared
+            .changed
+            .wait_timeout(state, (due - now).min(MAX_SLEEP));
         state = waited.unwrap_or_else(PoisonError::into_inner).0;
     }
 }
 
-fn job(settings: &Settings, rng: &mut Pcg64Mcg, number: u64, due: Instant) -> Job {
+fn new_job(settings: &Settings, rng: &mut Pcg64Mcg, number: u64, due: Instant) -> Job {
     let id: Arc<str> = format!("{}-{}-{number}", settings.name, settings.seed).into();
-    let (least, most) = settings.body;
-    let length = rng.random_range(least..=most.max(least));
-    let work = settings.work.map(|(shortest, longest)| {
+    let (shortest, longest) = settings.body_length;
+    let length = rng.random_range(shortest..=longest.max(shortest));
+    let service_time = settings.service_time.map(|(shortest, longest)| {
         shortest
             + longest
                 .saturating_sub(shortest)
                 .mul_f64(rng.random::<f64>())
     });
-    let late = due.elapsed().as_micros() as u64;
+    let delay_us = due.elapsed().as_micros() as u64;
     let body = pattern::bytes(&format!("body-{id}"), length);
     let client = rng.random_range(0..settings.clients.len());
     Job {
@@ -388,22 +394,22 @@
         call: Call {
             id,
             due,
-            start_us: unix_us() - late,
+            start_us: unix_us() - delay_us,
             body,
-            work,
+            service_time,
         },
     }
 }
 
-/// Makes calls until no more are offered.
-fn work(shared: &Shared, jobs: &Mutex<Receiver<Job>>) {
+/// Makes calls until all have been made and no more are scheduled.
+fn run_jobs(shared: &Shared, jobs: &Mutex<Receiver<Job>>) {
     loop {
         let Ok(job) = lock(jobs).recv() else {
             return;
         };
         let record = shared.clients[job.client].call(&shared.settings, &job.call);
         let mut state = lock(&shared.state);
-        state.report.count(&record);
+        state.report.add_record(&record);
         if record.outcome == Outcome::Answered {
             let _ = state.histogram.record(record.latency_us);
         }
--- a/standin/src/caller/record.rs
+++ b/standin/src/caller/record.rs
@@ -1,40 +1,41 @@
-//! What became of calls, as their caller saw it.
+//! The results of calls from the caller's point of view.
 
 use std::sync::Arc;
 
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-/// What a caller was told of a call or of one attempt.
+/// The outcome of a call or of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The whole answer to this very call.
+    /// The caller received the complete response to this call.
     Answered,
-    /// It did not run: said so, or no connection came about.
+    /// The call did not run: the response says so, or no connection was established.
     NotRun,
-    /// It may have run.
+    /// The call may have run.
     Unknown,
-    /// An answer that is not whole or not this call's.
+    /// The response is incomplete or belongs to another call.
     Wrong,
 }
 
 /// One attempt of a call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Attempt {
-    /// The entry host it went to.
+    /// The entry host that it was sent to.
     pub host: Arc<str>,
-    /// What came of it.
+    /// Its outcome.
     pub outcome: Outcome,
-    /// The status of the answer, 0 if there was none.
+    /// The status of the response, 0 if there was none.
     pub status: u16,
-    /// Whether the answer itself said so, rather than a broken connection.
-    pub told: bool,
-    /// What went wrong, in words.
+    /// Whether a response named the outcome, rather than the caller concluding it from a failed connection.
+    #[serde(rename = "told")]
+    pub is_reported: bool,
+    /// A description of what went wrong.
     pub error: Option<Arc<str>>,
 }
 
-/// One call.
+/// One call and its result.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Record {
     /// Its identity, sent as `Standin-Call`.
@@ -43,17 +44,17 @@
     pub class: Arc<str>,
     /// Its service.
     pub service: Arc<str>,
-    /// The region it comes from.
+    /// The region of its client.
     pub region: Arc<str>,
     /// When it was due, in microseconds since the Unix epoch.
     pub start_us: u64,
-    /// From when it was due to its end, in microseconds.
+    /// Time from when it was due to its end, in microseconds.
     pub latency_us: u64,
-    /// What came of it. Unknown if any attempt may have run and none was answered.
+    /// Its outcome: unknown if any attempt may have run and none was answered.
     pub outcome: Outcome,
-    /// Its `Idempotency-Key`, if it bore one.
+    /// Its `Idempotency-Key`, if it had one.
     pub key: Option<Arc<str>>,
-    /// Its `Ragwortfold-Ticket`, if it bore one.
+    /// Its `Ragwortfold-Ticket`, if it had one.
     pub ticket: Option<Arc<str>>,
     /// The target that answered.
     pub target: Option<Arc<str>>,
@@ -63,7 +64,7 @@
     pub attempts: Vec<Attempt>,
 }
 
-/// The calls of a caller in figures.
+/// The statistics of a caller.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Report {
     /// The class.
@@ -72,9 +73,9 @@
     pub region: Arc<str>,
     /// Calls that were due.
     pub offered: u64,
-    /// Calls that the caller itself could not make, since all its threads were busy.
+    /// Calls that were not made since all threads of the caller were busy.
     pub missed: u64,
-    /// Calls by outcome.
+    /// See [`Outcome::Answered`].
     pub answered: u64,
     /// See [`Outcome::NotRun`].
     pub not_run: u64,
@@ -82,21 +83,21 @@
     pub unknown: u64,
     /// See [`Outcome::Wrong`].
     pub wrong: u64,
-    /// Attempts of all calls.
+    /// Attempts of all calls together.
     pub attempts: u64,
-    /// Latency of the answered calls, in milliseconds.
+    /// Median latency of the answered calls, in milliseconds.
     pub p50_ms: f64,
-    /// The same.
+    /// The 99th percentile of that latency.
     pub p99_ms: f64,
-    /// The same.
+    /// The 99.9th percentile of that latency.
     pub p999_ms: f64,
-    /// The same.
+    /// The maximum of that latency.
     pub max_ms: f64,
 }
 
 impl Report {
-    /// Notes a call's end.
-    pub(super) fn count(&mut self, record: &Record) {
+    /// Counts a finished call.
+    pub(super) fn add_record(&mut self, record: &Record) {
         self.attempts += record.attempts.len() as u64;
         match record.outcome {
             Outcome::Answered => self.answered += 1,
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Fills in the latencies, recorded in microseconds.
+    /// Sets the latencies from a histogram in microseconds.
     pub(super) fn with_latency(mut self, histogram: &Histogram<u64>) -> Self {
         let ms = |quantile| histogram.value_at_quantile(quantile) as f64 / 1000.0;
         self.p50_ms = ms(0.5);
--- a/standin/src/link.rs
+++ b/standin/src/link.rs
@@ -237,13 +237,13 @@
     }
 
     /// Replaces the faults shown, for open connections too.
-    pub fn fault(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: Fault) {
         self.shared.set_fault(fault);
     }
 
     /// Replaces the faults shown to connections from `source`, which from now on meet these and
     /// not the link's own. Refusal is the link's alone; [`Accept::Reset`] works here as well.
-    pub fn fault_from(&self, source: IpAddr, fault: Fault) {
+    pub fn set_fault_from(&self, source: IpAddr, fault: Fault) {
         let mut paths = lock(&self.paths);
         let path = paths
             .entry(source)
--- a/standin/src/main.rs
+++ b/standin/src/main.rs
@@ -158,7 +158,10 @@
         .with_zone(text(args, "zone"))
         .with_queue(number(args, "queue") as usize)
         .with_connections(number(args, "connections") as usize)
-        .with_work(target::Work { shortest, longest }, number(args, "seed"))
+        .with_service_time(
+            target::ServiceTime { shortest, longest },
+            number(args, "seed"),
+        )
         .with_load_lag(ms(args, "load-lag-ms"));
     let mut target = Target::new(listen(args), settings)?;
     if let Some(control) = control(args) {
@@ -173,7 +176,7 @@
         .copied()
         .ok_or(Error::Settings("no far end"))?;
     let mut link = Link::new(listen(args), to)?;
-    link.fault(link::Fault::delay(Duration::from_micros(number(
+    link.set_fault(link::Fault::delay(Duration::from_micros(number(
         args, "delay-us",
     ))));
     if let Some(control) = control(args) {
@@ -212,13 +215,13 @@
             Duration::from_secs(number(args, "seconds")),
         );
     if let Some(length) = args.get_one::<u64>("answer-bytes") {
-        settings = settings.with_answer_bytes(*length as usize);
+        settings = settings.with_response_bytes(*length as usize);
     }
     if args.get_flag("keyed") {
         settings = settings.with_keys();
     }
     if args.get_flag("direct") {
-        settings = settings.with_direct();
+        settings = settings.without_lookups();
     }
     let (report, records) = Caller::new(settings)?.wait();
     if args.get_flag("records") {
--- a/standin/src/observer/figure.rs
+++ b/standin/src/observer/figure.rs
@@ -158,7 +158,7 @@
     let in_span = records.filter(|record| span.contains(&record.start_us));
     let (mut answered, mut resent) = (0_u64, 0_u64);
     for record in in_span.filter(|record| record.outcome == Outcome::Answered) {
-        let is_refused = |a: &crate::caller::Attempt| a.told && a.outcome == Outcome::NotRun;
+        let is_refused = |a: &crate::caller::Attempt| a.is_reported && a.outcome == Outcome::NotRun;
         answered += 1;
         resent += u64::from(record.attempts.iter().any(is_refused));
     }
--- a/standin/src/observer/promise.rs
+++ b/standin/src/observer/promise.rs
@@ -69,7 +69,7 @@
 
 /// A call that was told not to have run, and ran.
 fn false_not_run(record: &Record, runs: &Runs<'_>) -> Option<Violation> {
-    let is_told = record.attempts.iter().any(|attempt| attempt.told);
+    let is_told = record.attempts.iter().any(|attempt| attempt.is_reported);
     let ran = runs.get(&*record.call)?;
     if record.outcome != Outcome::NotRun || !is_told {
         return None;
@@ -137,7 +137,7 @@
 
 /// Whether an attempt ended without a word on what became of it.
 fn is_cut(attempt: &Attempt) -> bool {
-    attempt.outcome == Outcome::Unknown && !attempt.told
+    attempt.outcome == Outcome::Unknown && !attempt.is_reported
 }
 
 /// Work that a draining target did not run to its end, though it was not lost meanwhile.
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -208,7 +208,7 @@
     }
 
     /// Replaces the faults shown.
-    pub fn fault(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: Fault) {
         self.shared.set_fault(fault);
     }
 
--- a/standin/src/target/journal.rs
+++ b/standin/src/target/journal.rs
@@ -1,4 +1,4 @@
-//! What a target ran, written down by the target itself and believed from nobody else.
+//! The journal of a target: each request that it ran, as the target itself recorded it.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 
 use crate::unix_us;
 
-/// Most entries kept; later ones are counted only.
+/// Limit of stored entries; later ones are only counted.
 const MAX_ENTRIES: usize = 1_000_000;
 
 /// One request that began to run.
@@ -24,27 +24,27 @@
     pub body_hash: Arc<str>,
     /// Length of the request's body, in bytes.
     pub body_length: usize,
-    /// The connection's other end.
+    /// The peer address of the connection.
     pub client: Arc<str>,
     /// When it began, in microseconds since the Unix epoch.
     pub began_us: u64,
-    /// When it ended, none while it runs.
+    /// When it ended, in microseconds since the Unix epoch; none while it runs.
     pub ended_us: Option<u64>,
-    /// Whether it ran to its end, rather than being cancelled or cut by a crash.
+    /// Whether it completed, rather than being cancelled or ended by a crash.
     pub completed: bool,
 }
 
-/// The entries of a target in the order in which they began.
+/// The entries of a target in the order in which the requests began to run.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Journal {
     /// The entries.
     pub entries: Vec<Entry>,
-    /// Requests that began when the journal was full.
+    /// Requests without an entry, since the journal was full when they began.
     pub lost: u64,
 }
 
 impl Journal {
-    /// Notes that a request began, and answers where.
+    /// Adds the entry of a request that begins to run; returns its index, or none if the journal is full.
     pub(super) fn begin(&mut self, entry: Entry) -> Option<usize> {
         if self.entries.len() == MAX_ENTRIES {
             self.lost += 1;
@@ -54,9 +54,9 @@
         Some(self.entries.len() - 1)
     }
 
-    /// Notes that a request ended.
-    pub(super) fn end(&mut self, at: Option<usize>, completed: bool) {
-        if let Some(entry) = at.and_then(|at| self.entries.get_mut(at)) {
+    /// Records the end of a request in the entry at `index`.
+    pub(super) fn end(&mut self, index: Option<usize>, completed: bool) {
+        if let Some(entry) = index.and_then(|index| self.entries.get_mut(index)) {
             entry.ended_us = Some(unix_us());
             entry.completed = completed;
         }
--- a/standin/src/target/mod.rs
+++ b/standin/src/target/mod.rs
@@ -1,19 +1,22 @@
 //! A target with slots, a bounded queue and a journal.
 //!
-//! A request runs for `Standin-Work-Ms` (or a time drawn from the seeded [`Work`]) in one of the
-//! slots. Above them it waits, up to the queue's bound and its own `Ragwortfold-Deadline-Ms`;
-//! beyond, the target sheds it: 503, `Ragwortfold-Outcome: not-run`, `Retry-After`.
+//! A request runs for `Standin-Work-Ms` (or a time drawn from the seeded [`ServiceTime`]) in one of
+//! the slots. If all slots are in use it waits in the queue, until its `Ragwortfold-Deadline-Ms` at
+//! most. If the queue is full or the deadline passes, the target sheds the request: 503,
+//! `Ragwortfold-Outcome: not-run`, `Retry-After`.
 //!
-//! The answer shows whose it is: headers `Standin-Target`, `Standin-Zone`, `Standin-Call` and
-//! `Standin-Body-Hash` (of the request's body), and a JSON body with the same, the request id,
-//! the line and the body's length. `Standin-Answer-Bytes: N` asks for
-//! `pattern::bytes(CALL, N)` instead, `Standin-Chunked: 1` for a chunked answer.
+//! A response identifies its target and its request: headers `Standin-Target`, `Standin-Zone`,
+//! `Standin-Call` and `Standin-Body-Hash` (of the request's body), and a JSON body with the target,
+//! the call, the body's hash and length, the request id, and the method and path.
+//! `Standin-Answer-Bytes: N` asks for `pattern::bytes(CALL, N)` as the body instead,
+//! `Standin-Chunked: 1` for a chunked response.
 //!
-//! `DELETE /requests/ID` drops waiting work and ends running work; `GET /health`; `GET /load`
-//! answers `{"in_flight","slots","state"}`, as late as configured. The test's side:
-//! `POST /standin/fault` takes a [`Fault`], `GET /standin/journal` answers the [`Journal`],
-//! `GET /standin/counts` the [`Counts`]; while connections are refused they are reachable at the
-//! control address only, and the call that sets such a fault may be answered there only.
+//! `DELETE /requests/ID` drops a waiting request and ends a running one; `GET /health` returns the
+//! state; `GET /load` returns `{"in_flight","slots","state"}`, as old as configured. For tests,
+//! `POST /standin/fault` sets a [`Fault`], `GET /standin/journal` returns the [`Journal`] and
+//! `GET /standin/counts` the [`Counts`]. While connections are refused these are reachable at the
+//! control address only, and the response to the call that sets such a fault may get lost at any
+//! other address.
 
 mod journal;
 
@@ -33,44 +36,45 @@
 
 pub use journal::{Entry, Journal};
 
-const CONTROL_CONNECTIONS: usize = 64;
-/// Longest time a request waits whose caller states no deadline.
-const MAX_WAIT: Duration = Duration::from_secs(30);
-/// Samples kept for the late answers of `/load`.
-const MAX_SAMPLES: usize = 4096;
+/// Limit of open connections at the control address.
+const MAX_CONTROL_CONNECTIONS: usize = 64;
+/// Longest time in the queue, also the default for requests without a deadline.
+const MAX_QUEUE_WAIT: Duration = Duration::from_secs(30);
+/// Limit of stored load samples, from which `/load` returns an old one.
+const MAX_LOAD_SAMPLES: usize = 4096;
 
-/// The service time of requests that ask for none, drawn between two bounds.
+/// Bounds of the random service time of requests without `Standin-Work-Ms`.
 #[derive(Clone, Copy, Debug)]
-pub struct Work {
+pub struct ServiceTime {
     /// The shortest.
     pub shortest: Duration,
     /// The longest.
     pub longest: Duration,
 }
 
-/// How a target is set up.
+/// The configuration of a target.
 #[derive(Clone, Debug)]
 pub struct Settings {
     name: Arc<str>,
     zone: Arc<str>,
     slots: usize,
-    queue: usize,
-    connections: usize,
-    work: Work,
+    queue_length: usize,
+    max_connections: usize,
+    service_time: ServiceTime,
     seed: u64,
     load_lag: Duration,
 }
 
 impl Settings {
-    /// A target of that many slots, a queue of as many, and 400 connections.
+    /// A target with the given number of slots, an equally long queue, and up to 400 connections.
     pub fn new(name: &str, slots: usize) -> Self {
         Self {
             name: name.into(),
             zone: "".into(),
             slots,
-            queue: slots,
-            connections: 400,
-            work: Work {
+            queue_length: slots,
+            max_connections: 400,
+            service_time: ServiceTime {
                 shortest: Duration::ZERO,
                 longest: Duration::ZERO,
             },
@@ -79,82 +83,82 @@
         }
     }
 
-    /// Sets the availability zone it names in its answers.
+    /// Sets the availability zone that its responses name.
     pub fn with_zone(mut self, zone: &str) -> Self {
         self.zone = zone.into();
         self
     }
 
     /// Sets how many requests may wait for a slot.
-    pub fn with_queue(mut self, queue: usize) -> Self {
-        self.queue = queue;
+    pub fn with_queue(mut self, length: usize) -> Self {
+        self.queue_length = length;
         self
     }
 
-    /// Sets how many connections it accepts; one beyond is reset.
-    pub fn with_connections(mut self, connections: usize) -> Self {
-        self.connections = connections;
+    /// Sets the limit of open connections; further ones are reset.
+    pub fn with_connections(mut self, limit: usize) -> Self {
+        self.max_connections = limit;
         self
     }
 
-    /// Sets the service time and the seed of its draws.
-    pub fn with_work(mut self, work: Work, seed: u64) -> Self {
-        self.work = work;
+    /// Sets the bounds of the service time and the seed of its random values.
+    pub fn with_service_time(mut self, service_time: ServiceTime, seed: u64) -> Self {
+        self.service_time = service_time;
         self.seed = seed;
         self
     }
 
-    /// Sets how old the answers of `/load` are.
+    /// Sets how old the values of `/load` are.
     pub fn with_load_lag(mut self, lag: Duration) -> Self {
         self.load_lag = lag;
         self
     }
 }
 
-/// How a target treats requests.
+/// How a target handles requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// It serves.
+    /// Serves.
     #[default]
     Serving,
-    /// It serves, slowed by the fault's factor at first and by less with each request served.
+    /// Serves, first slowed by [`Fault::slow`] and by less with each request served.
     Cold,
-    /// It serves and says that it is draining.
+    /// Serves and reports that it is draining.
     Draining,
-    /// It refuses with a proof that nothing ran.
+    /// Sheds requests: the response says that they did not run.
     Shedding,
-    /// It neither runs nor answers.
+    /// Neither runs requests nor responds.
     Hang,
-    /// It resets the connection and does not run.
+    /// Resets the connection without running the request.
     Reset,
-    /// It runs and ends the connection without an answer.
+    /// Runs the request and closes the connection without a response.
     LoseAnswer,
-    /// It runs and breaks its answer off half-way.
+    /// Runs the request and sends half of the response's body.
     Truncate,
-    /// It runs and answers what is not HTTP.
+    /// Runs the request and sends bytes that are not HTTP.
     Garbage,
-    /// It refuses new connections and serves the open ones.
+    /// Refuses new connections and serves the open ones.
     Refuse,
-    /// It cuts its running work and every connection, and refuses new ones.
+    /// Ends all requests and connections, and refuses new connections.
     Crash,
 }
 
-/// What a target does wrong. The default is nothing.
+/// The faults of a target; none by default.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fault {
-    /// How it treats requests.
+    /// How it handles requests.
     pub mode: Mode,
-    /// Only every nth request meets a mode that spoils single requests; 0 and 1 are all.
+    /// Applies the mode to every nth request only, except for `cold`, `draining` and `crash`; 0 and 1 mean all requests.
     pub every: u64,
-    /// Factor on service times; when cold, the factor of the first request.
+    /// Factor on service times; in a cold target, the factor of the first request.
     pub slow: f64,
-    /// Requests served until a cold target is warm.
+    /// Requests that a cold target must serve to be warm.
     pub warm_after: u64,
-    /// It reports no load, whatever it has.
+    /// Reports no load, whatever the real one is.
     pub hide_load: bool,
-    /// It reports good health and the state of a serving target, whatever its mode.
+    /// Reports good health and the state `serving` in every mode.
     pub hide_state: bool,
 }
 
@@ -171,52 +175,52 @@
     }
 }
 
-/// What a target counted.
+/// The counters of a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// Requests in a slot now.
     pub running: usize,
     /// Requests waiting now.
     pub waiting: usize,
-    /// The most that ever ran at once.
+    /// The most requests that ran at once.
     pub max_running: usize,
-    /// The most that ever waited at once.
+    /// The most requests that waited at once.
     pub max_waiting: usize,
-    /// Requests that began.
+    /// Requests that began to run.
     pub began: u64,
-    /// Requests that ran to their end.
+    /// Requests that completed.
     pub completed: u64,
-    /// Requests that a cancellation or a crash ended while they ran.
+    /// Requests that were ended by a cancellation or a crash while they ran.
     pub ended_early: u64,
-    /// Requests that a cancellation dropped before they ran.
+    /// Requests that were dropped by a cancellation or a crash while they waited.
     pub dropped: u64,
-    /// Requests shed because the queue was full, their deadline passed, or the mode said so.
+    /// Requests shed because the queue was full, their deadline passed or the mode is `shedding`.
     pub shed: u64,
     /// Connections open now.
     pub connections: usize,
-    /// The most that were open at once.
+    /// The most connections that were open at once.
     pub max_connections: usize,
-    /// Connections beyond the limit.
+    /// Connections that were reset because of the limit.
     pub connections_over: u64,
 }
 
 /// A request that waits or runs.
 struct Pending {
     request: Option<Arc<str>>,
-    /// Ends the work; present while it runs.
+    /// Ends the request when dropped; present while it runs.
     cancel: Option<mpsc::Sender<()>>,
 }
 
 struct State {
     rng: Pcg64Mcg,
     fault: Fault,
-    seen: u64,
-    turns: u64,
-    /// Requests served since it was set cold.
-    warmed: u64,
+    requests_seen: u64,
+    last_pending_id: u64,
+    /// Requests served since the fault was set last.
+    served_since_fault: u64,
     queue: VecDeque<u64>,
     pending: BTreeMap<u64, Pending>,
-    samples: VecDeque<(Instant, usize)>,
+    load_samples: VecDeque<(Instant, usize)>,
     counts: Counts,
     journal: Journal,
 }
@@ -236,21 +240,21 @@
 }
 
 impl Target {
-    /// Starts a target; port 0 takes a free one.
+    /// Starts a target; with port 0 it listens on a free port.
     pub fn new(listen: SocketAddr, settings: Settings) -> Result<Self, Error> {
         if settings.slots == 0 {
-            return Err(Error::Settings("a target needs a slot"));
+            return Err(Error::Settings("a target needs at least one slot"));
         }
-        let connections = settings.connections;
+        let max_connections = settings.max_connections;
         let state = State {
             rng: Pcg64Mcg::seed_from_u64(settings.seed),
             fault: Fault::default(),
-            seen: 0,
-            turns: 0,
-            warmed: 0,
+            requests_seen: 0,
+            last_pending_id: 0,
+            served_since_fault: 0,
             queue: VecDeque::new(),
             pending: BTreeMap::new(),
-            samples: VecDeque::new(),
+            load_samples: VecDeque::new(),
             counts: Counts::default(),
             journal: Journal::default(),
         };
@@ -261,7 +265,9 @@
             server: OnceLock::new(),
         });
         let inner = Arc::clone(&shared);
-        let server = Server::new(listen, connections, move |request| inner.serve(&request))?;
+        let server = Server::new(listen, max_connections, move |request| {
+            inner.serve(&request)
+        })?;
         let server = Arc::new(server);
         let _ = shared.server.set(Arc::downgrade(&server));
         Ok(Self {
@@ -271,35 +277,35 @@
         })
     }
 
-    /// Serves `/standin/` at a second address as well, which no fault reaches.
+    /// Also serves `/standin/` at a second address, which faults do not affect.
     pub fn with_control(mut self, listen: SocketAddr) -> Result<Self, Error> {
         let shared = Arc::clone(&self.shared);
-        let handler = move |request: Request| Reply::from(shared.control(&request));
-        self.control = Some(Server::new(listen, CONTROL_CONNECTIONS, handler)?);
+        let handler = move |request: Request| Reply::from(shared.serve_control(&request));
+        self.control = Some(Server::new(listen, MAX_CONTROL_CONNECTIONS, handler)?);
         Ok(self)
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Where it takes control calls, if there is a second address.
+    /// The second address, for control calls, if there is one.
     pub fn control_address(&self) -> Option<SocketAddr> {
         self.control.as_ref().map(Server::address)
     }
 
-    /// Replaces the faults shown.
-    pub fn fault(&self, fault: Fault) {
+    /// Replaces the faults in force.
+    pub fn set_fault(&self, fault: Fault) {
         self.shared.set_fault(fault);
     }
 
-    /// What began to run so far.
+    /// The journal of the requests that have begun so far.
     pub fn journal(&self) -> Journal {
         lock(&self.shared.state).journal.clone()
     }
 
-    /// What was counted so far.
+    /// The counters so far.
     pub fn counts(&self) -> Counts {
         self.shared.counts()
     }
@@ -314,18 +320,18 @@
     }
 }
 
-/// Why a request did not run to its end.
-enum Ended {
-    Full,
-    Late,
+/// Why a request did not complete.
+enum Incomplete {
+    Shed,
+    Expired,
     Dropped,
-    Early,
+    Cancelled,
 }
 
 impl Shared {
     fn set_fault(&self, fault: Fault) {
         let mut state = lock(&self.state);
-        state.warmed = 0;
+        state.served_since_fault = 0;
         if fault.mode == Mode::Crash {
             state.queue.clear();
             state.pending.clear();
@@ -337,8 +343,8 @@
         let Some(server) = self.server() else {
             return;
         };
-        let closed = matches!(mode, Mode::Refuse | Mode::Crash);
-        server.set(if closed { Gate::Closed } else { Gate::Open });
+        let is_closed = matches!(mode, Mode::Refuse | Mode::Crash);
+        server.set(if is_closed { Gate::Closed } else { Gate::Open });
         if mode == Mode::Crash {
             server.close_connections();
         }
@@ -351,19 +357,19 @@
     fn counts(&self) -> Counts {
         let mut counts = lock(&self.state).counts;
         if let Some(server) = self.server() {
-            let (open, peak, over) = server.connections();
+            let (open, peak, over_limit) = server.connections();
             counts.connections = open;
             counts.max_connections = peak;
-            counts.connections_over = over;
+            counts.connections_over = over_limit;
         }
         counts
     }
 
     fn serve(&self, request: &Request) -> Reply {
         if request.path.starts_with("/standin/") {
-            return self.control(request).into();
+            return self.serve_control(request).into();
         }
-        let (fault, mode) = self.arrival();
+        let (fault, mode) = self.count_arrival();
         match mode {
             Mode::Hang => return Reply::Hang,
             Mode::Reset => return Reply::Reset,
@@ -376,22 +382,22 @@
             ("DELETE", path) if path.starts_with("/requests/") => {
                 self.cancel(&path["/requests/".len()..]).into()
             }
-            _ => self.request(request, mode),
+            _ => self.run_request(request, mode),
         }
     }
 
-    /// The faults in force, and the mode that this request meets.
-    fn arrival(&self) -> (Fault, Mode) {
+    /// Counts a request; returns the faults in force and the mode that applies to this request.
+    fn count_arrival(&self) -> (Fault, Mode) {
         let mut state = lock(&self.state);
-        state.seen += 1;
+        state.requests_seen += 1;
         let fault = state.fault.clone();
-        let single = !matches!(fault.mode, Mode::Cold | Mode::Draining | Mode::Crash);
-        let spared = single && !state.seen.is_multiple_of(fault.every.max(1));
-        let mode = if spared { Mode::Serving } else { fault.mode };
+        let applies_to_some = !matches!(fault.mode, Mode::Cold | Mode::Draining | Mode::Crash);
+        let is_spared = applies_to_some && !state.requests_seen.is_multiple_of(fault.every.max(1));
+        let mode = if is_spared { Mode::Serving } else { fault.mode };
         (fault, mode)
     }
 
-    fn control(&self, request: &Request) -> Response {
+    fn serve_control(&self, request: &Request) -> Response {
         match (request.method.as_str(), request.path.as_str()) {
             ("POST", "/standin/fault") => match serde_json::from_slice(&request.body) {
                 Ok(fault) => {
@@ -407,10 +413,10 @@
     }
 
     fn health(&self, fault: &Fault) -> Response {
-        let state = shown_state(fault);
-        let ill = !fault.hide_state && fault.mode == Mode::Shedding;
+        let state = reported_state(fault);
+        let is_unhealthy = !fault.hide_state && fault.mode == Mode::Shedding;
         Response::json(
-            if ill { 503 } else { 200 },
+            if is_unhealthy { 503 } else { 200 },
             &BTreeMap::from([("state", state)]),
         )
     }
@@ -422,68 +428,72 @@
             slots: usize,
             state: &'static str,
         }
-        let in_flight = if fault.hide_load { 0 } else { self.late_load() };
+        let in_flight = if fault.hide_load {
+            0
+        } else {
+            self.delayed_load()
+        };
         let slots = self.settings.slots;
         Response::json(
             200,
             &Load {
                 in_flight,
                 slots,
-                state: shown_state(fault),
+                state: reported_state(fault),
             },
         )
     }
 
-    fn late_load(&self) -> usize {
+    fn delayed_load(&self) -> usize {
         let state = lock(&self.state);
         let Some(time) = Instant::now().checked_sub(self.settings.load_lag) else {
             return 0;
         };
-        let sample = state.samples.iter().rev().find(|(at, _)| *at <= time);
+        let sample = state.load_samples.iter().rev().find(|(at, _)| *at <= time);
         sample.map_or(0, |(_, in_flight)| *in_flight)
     }
 
     fn cancel(&self, id: &str) -> Response {
         let mut state = lock(&self.state);
         let matches = |p: &Pending| p.request.as_deref() == Some(id);
-        let found: Vec<u64> = state
+        let ids: Vec<u64> = state
             .pending
             .iter()
             .filter(|(_, p)| matches(p))
-            .map(|(turn, _)| *turn)
+            .map(|(id, _)| *id)
             .collect();
-        for turn in &found {
-            // Dropping the sender ends running work; waiting work finds itself gone.
-            state.pending.remove(turn);
+        for id in &ids {
+            // Dropping the sender ends a running request; a waiting one finds its entry missing.
+            state.pending.remove(id);
         }
-        state.queue.retain(|turn| !found.contains(turn));
+        state.queue.retain(|id| !ids.contains(id));
         drop(state);
         self.changed.notify_all();
-        let status = if found.is_empty() { 404 } else { 200 };
-        Response::json(status, &BTreeMap::from([("cancelled", found.len())]))
+        let status = if ids.is_empty() { 404 } else { 200 };
+        Response::json(status, &BTreeMap::from([("cancelled", ids.len())]))
     }
 
-    fn request(&self, request: &Request, mode: Mode) -> Reply {
-        let ran = if mode == Mode::Shedding {
-            Err(Ended::Full)
+    fn run_request(&self, request: &Request, mode: Mode) -> Reply {
+        let result = if mode == Mode::Shedding {
+            Err(Incomplete::Shed)
         } else {
             self.run(request)
         };
-        if ran.is_err() && lock(&self.state).fault.mode == Mode::Crash {
+        if result.is_err() && lock(&self.state).fault.mode == Mode::Crash {
             return Reply::Close;
         }
-        let mut response = match ran {
-            Ok(()) => self.answer(request),
-            Err(Ended::Early) => {
+        let mut response = match result {
+            Ok(()) => self.build_response(request),
+            Err(Incomplete::Cancelled) => {
                 Response::error(503, "cancelled").with_header("Ragwortfold-Outcome", "unknown")
             }
-            Err(Ended::Dropped) => not_run("cancelled"),
-            Err(Ended::Full | Ended::Late) => {
+            Err(Incomplete::Dropped) => not_run_response("cancelled"),
+            Err(Incomplete::Shed | Incomplete::Expired) => {
                 lock(&self.state).counts.shed += 1;
-                not_run("overloaded").with_header("Retry-After", 1)
+                not_run_response("overloaded").with_header("Retry-After", 1)
             }
         };
-        self.report(&mut response);
+        self.add_status_headers(&mut response);
         match mode {
             Mode::LoseAnswer => return Reply::Close,
             Mode::Garbage => return Reply::Raw(pattern::bytes("garbage", 256)),
@@ -493,94 +503,95 @@
         response.into()
     }
 
-    /// Waits for a slot and works; the time in the slot is in the journal.
-    fn run(&self, request: &Request) -> Result<(), Ended> {
-        let (turn, end) = self.enter(request)?;
-        let (at, work, cancel) = self.begin(turn, end, request)?;
-        let completed =
-            work.is_zero() || cancel.recv_timeout(work) == Err(RecvTimeoutError::Timeout);
+    /// Waits for a slot and runs a request in it; the journal has the time in the slot only.
+    fn run(&self, request: &Request) -> Result<(), Incomplete> {
+        let (id, end) = self.enqueue(request)?;
+        let (index, service_time, cancel) = self.begin(id, end, request)?;
+        let completed = service_time.is_zero()
+            || cancel.recv_timeout(service_time) == Err(RecvTimeoutError::Timeout);
         let mut state = lock(&self.state);
-        let completed = state.pending.remove(&turn).is_some() && completed;
-        state.journal.end(at, completed);
+        let completed = state.pending.remove(&id).is_some() && completed;
+        state.journal.end(index, completed);
         state.counts.running -= 1;
         if completed {
             state.counts.completed += 1;
-            state.warmed += 1;
+            state.served_since_fault += 1;
         } else {
             state.counts.ended_early += 1;
         }
-        sample(&mut state);
+        record_load_sample(&mut state);
         drop(state);
         self.changed.notify_all();
         if completed {
             Ok(())
         } else {
-            Err(Ended::Early)
+            Err(Incomplete::Cancelled)
         }
     }
 
-    /// Takes a place in the queue.
-    fn enter(&self, request: &Request) -> Result<(u64, Instant), Ended> {
+    /// Adds a request to the queue; returns its id and the time until which it may wait.
+    fn enqueue(&self, request: &Request) -> Result<(u64, Instant), Incomplete> {
         let deadline = request
             .number("Ragwortfold-Deadline-Ms")
             .map(Duration::from_millis);
-        let end = Instant::now() + deadline.unwrap_or(MAX_WAIT).min(MAX_WAIT);
+        let end = Instant::now() + deadline.unwrap_or(MAX_QUEUE_WAIT).min(MAX_QUEUE_WAIT);
         let mut state = lock(&self.state);
-        let slot_free = state.counts.running < self.settings.slots && state.queue.is_empty();
-        if !slot_free && state.queue.len() >= self.settings.queue {
-            return Err(Ended::Full);
+        let is_slot_free = state.counts.running < self.settings.slots && state.queue.is_empty();
+        if !is_slot_free && state.queue.len() >= self.settings.queue_length {
+            return Err(Incomplete::Shed);
         }
-        state.turns += 1;
-        let turn = state.turns;
-        state.queue.push_back(turn);
+        state.last_pending_id += 1;
+        let id = state.last_pending_id;
+        state.queue.push_back(id);
         let request = request.header("Ragwortfold-Request-Id").map(Arc::from);
         state.pending.insert(
-            turn,
+            id,
             Pending {
                 request,
                 cancel: None,
             },
         );
-        if !slot_free {
+        if !is_slot_free {
             state.counts.waiting = state.queue.len();
             state.counts.max_waiting = state.counts.max_waiting.max(state.queue.len());
         }
-        Ok((turn, end))
+        Ok((id, end))
     }
 
-    /// Waits for its turn and takes a slot.
+    /// Waits until the request is first in the queue and a slot is free, then takes the slot. Returns the request's index in the
+    /// journal, its service time and the receiver of its cancellation.
     #[allow(clippy::type_complexity)]
     fn begin(
         &self,
-        turn: u64,
+        id: u64,
         end: Instant,
         request: &Request,
-    ) -> Result<(Option<usize>, Duration, mpsc::Receiver<()>), Ended> {
+    ) -> Result<(Option<usize>, Duration, mpsc::Receiver<()>), Incomplete> {
         let mut state = lock(&self.state);
         loop {
-            if !state.pending.contains_key(&turn) {
+            if !state.pending.contains_key(&id) {
                 state.counts.dropped += 1;
                 state.counts.waiting = state.queue.len();
-                return Err(Ended::Dropped);
+                return Err(Incomplete::Dropped);
             }
-            if state.queue.front() == Some(&turn) && state.counts.running < self.settings.slots {
+            if state.queue.front() == Some(&id) && state.counts.running < self.settings.slots {
                 break;
             }
-            let left = end.saturating_duration_since(Instant::now());
-            if left.is_zero() {
-                state.pending.remove(&turn);
-                state.queue.retain(|other| *other != turn);
+            let time_left = end.saturating_duration_since(Instant::now());
+            if time_left.is_zero() {
+                state.pending.remove(&id);
+                state.queue.retain(|other| *other != id);
                 state.counts.waiting = state.queue.len();
                 drop(state);
                 self.changed.notify_all();
-                return Err(Ended::Late);
+                return Err(Incomplete::Expired);
             }
-            let waited = self.changed.wait_timeout(state, left);
+            let waited = self.changed.wait_timeout(state, time_left);
             state = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
         state.queue.pop_front();
         let (sender, receiver) = mpsc::channel();
-        if let Some(pending) = state.pending.get_mut(&turn) {
+        if let Some(pending) = state.pending.get_mut(&id) {
             pending.cancel = Some(sender);
         }
         let counts = &mut state.counts;
@@ -588,18 +599,19 @@
         counts.max_running = counts.max_running.max(counts.running);
         counts.began += 1;
         state.counts.waiting = state.queue.len();
-        let work = self.work(&mut state, request);
-        let at = state.journal.begin(entry(request));
-        sample(&mut state);
-        // The next in the queue may find another free slot.
+        let service_time = self.service_time(&mut state, request);
+        let index = state.journal.begin(journal_entry(request));
+        record_load_sample(&mut state);
+        // The next request in the queue may find another free slot.
         self.changed.notify_all();
-        Ok((at, work, receiver))
+        Ok((index, service_time, receiver))
     }
 
-    fn work(&self, state: &mut State, request: &Request) -> Duration {
-        let Work { shortest, longest } = self.settings.work;
-        let asked = request.number("Standin-Work-Ms").map(Duration::from_millis);
-        let work = asked.unwrap_or_else(|| {
+    /// The service time of a request, with the fault's factor.
+    fn service_time(&self, state: &mut State, request: &Request) -> Duration {
+        let ServiceTime { shortest, longest } = self.settings.service_time;
+        let requested = request.number("Standin-Work-Ms").map(Duration::from_millis);
+        let service_time = requested.unwrap_or_else(|| {
             shortest
                 + longest
                     .saturating_sub(shortest)
@@ -607,18 +619,18 @@
         });
         let fault = &state.fault;
         let factor = if fault.mode == Mode::Cold {
-            let cold = 1.0 - state.warmed as f64 / fault.warm_after.max(1) as f64;
-            1.0 + (fault.slow - 1.0) * cold.max(0.0)
+            let coldness = 1.0 - state.served_since_fault as f64 / fault.warm_after.max(1) as f64;
+            1.0 + (fault.slow - 1.0) * coldness.max(0.0)
         } else {
             fault.slow
         };
-        work.mul_f64(factor.max(0.0))
+        service_time.mul_f64(factor.max(0.0))
     }
 
-    /// The whole answer to this request.
-    fn answer(&self, request: &Request) -> Response {
+    /// Builds the response to a request that has run.
+    fn build_response(&self, request: &Request) -> Response {
         #[derive(Serialize)]
-        struct Proof<'a> {
+        struct Body<'a> {
             target: &'a str,
             request: Option<&'a str>,
             call: Option<&'a str>,
@@ -629,10 +641,10 @@
         let call = request.header("Standin-Call");
         let body_hash = pattern::hash(&request.body);
         let mut response = match request.number("Standin-Answer-Bytes") {
-            Some(n) => Response::new(200, pattern::bytes(call.unwrap_or(""), n as usize)),
+            Some(length) => Response::new(200, pattern::bytes(call.unwrap_or(""), length as usize)),
             None => Response::json(
                 200,
-                &Proof {
+                &Body {
                     target: &self.settings.name,
                     request: request.header("Ragwortfold-Request-Id"),
                     call,
@@ -651,8 +663,8 @@
         response.with_header("Standin-Body-Hash", body_hash)
     }
 
-    /// Adds what the target says of itself.
-    fn report(&self, response: &mut Response) {
+    /// Adds headers with the target's load, state, name and zone.
+    fn add_status_headers(&self, response: &mut Response) {
         let state = lock(&self.state);
         let in_flight = if state.fault.hide_load {
             0
@@ -662,18 +674,18 @@
         let load = format!("{in_flight}/{}", self.settings.slots);
         response.headers.extend([
             ("Ragwortfold-Load", load),
-            ("Ragwortfold-State", shown_state(&state.fault).to_owned()),
+            ("Ragwortfold-State", reported_state(&state.fault).to_owned()),
             ("Standin-Target", self.settings.name.to_string()),
             ("Standin-Zone", self.settings.zone.to_string()),
         ]);
     }
 }
 
-fn not_run(why: &str) -> Response {
-    Response::error(503, why).with_header("Ragwortfold-Outcome", "not-run")
+fn not_run_response(reason: &str) -> Response {
+    Response::error(503, reason).with_header("Ragwortfold-Outcome", "not-run")
 }
 
-fn shown_state(fault: &Fault) -> &'static str {
+fn reported_state(fault: &Fault) -> &'static str {
     match fault.mode {
         _ if fault.hide_state => "serving",
         Mode::Cold => "cold",
@@ -686,15 +698,15 @@
     state.counts.running + state.queue.len()
 }
 
-fn sample(state: &mut State) {
-    if state.samples.len() == MAX_SAMPLES {
-        state.samples.pop_front();
+fn record_load_sample(state: &mut State) {
+    if state.load_samples.len() == MAX_LOAD_SAMPLES {
+        state.load_samples.pop_front();
     }
     let in_flight = in_flight(state);
-    state.samples.push_back((Instant::now(), in_flight));
+    state.load_samples.push_back((Instant::now(), in_flight));
 }
 
-fn entry(request: &Request) -> Entry {
+fn journal_entry(request: &Request) -> Entry {
     let header = |name| request.header(name).map(Arc::from);
     Entry {
         call: header("Standin-Call"),
--- a/standin/tests/caller.rs
+++ b/standin/tests/caller.rs
@@ -118,7 +118,7 @@
         .with_rate(1000.0, 7)
         .with_clients(vec!["127.9.8.7".parse().unwrap()])
         .with_deadline(Duration::from_secs(20))
-        .with_answer_bytes(100)
+        .with_response_bytes(100)
         .with_end(1, Duration::from_secs(10));
     if keyed {
         settings = settings.with_keys();
@@ -184,7 +184,7 @@
     let settings = target::Settings::new("t", 8).with_queue(64);
     let target = Target::new("127.0.0.1:0".parse().unwrap(), settings).unwrap();
     let settings = Settings::new("me", "s", vec![target.address()])
-        .with_direct()
+        .without_lookups()
         .with_rate(2000.0, 1)
         .with_request("POST", "x", (0, 5000))
         .with_deadline(Duration::from_secs(20))
--- a/standin/tests/link.rs
+++ b/standin/tests/link.rs
@@ -66,7 +66,7 @@
     };
     a_delay_keeps_the_throughput: |link: &Link| {
         let delay = Duration::from_millis(40);
-        link.fault(Fault::delay(delay));
+        link.set_fault(Fault::delay(delay));
         let start = Instant::now();
         assert_eq!(exchange(connect(link), &[7; 4_000_000]), (4_000_000, None));
         let took = start.elapsed();
@@ -76,7 +76,7 @@
     };
     bandwidth_is_limited: |link: &Link| {
         let forth = Flow { bytes_per_s: 1_000_000, ..Flow::default() };
-        link.fault(Fault { forth, ..Fault::default() });
+        link.set_fault(Fault { forth, ..Fault::default() });
         let start = Instant::now();
         assert_eq!(exchange(connect(link), &[7; 200_000]), (200_000, None));
         assert!(start.elapsed() >= Duration::from_millis(199));
@@ -88,7 +88,7 @@
             (Fault { forth: cut, ..Fault::default() }, 0),
         ] {
             let before = link.bytes()[direction];
-            link.fault(fault);
+            link.set_fault(fault);
             // The sender keeps its side open: the cut alone ends the connection.
             let mut stream = connect(link);
             stream.write_all(&[7; 5000]).unwrap();
@@ -104,11 +104,11 @@
         let mut byte = [0];
         stream.write_all(b"a").unwrap();
         stream.read_exact(&mut byte).unwrap();
-        link.fault(Fault::default().with_black_hole());
+        link.set_fault(Fault::default().with_black_hole());
         stream.write_all(b"b").unwrap();
         stream.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
         assert_eq!(stream.read(&mut byte).unwrap_err().kind(), ErrorKind::WouldBlock);
-        link.fault(Fault::default());
+        link.set_fault(Fault::default());
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         stream.read_exact(&mut byte).unwrap();
         assert_eq!(&byte, b"b");
@@ -117,16 +117,16 @@
         let mut stream = connect(link);
         stream.write_all(b"a").unwrap();
         stream.read_exact(&mut [0]).unwrap();
-        link.fault(Fault { reset_open: true, ..Fault::default() });
+        link.set_fault(Fault { reset_open: true, ..Fault::default() });
         assert_eq!(stream.read(&mut [0]).unwrap_err().kind(), ErrorKind::ConnectionReset);
     };
     new_connections_are_refused_or_reset: |link: &Link| {
-        link.fault(Fault { accept: Accept::Refuse, ..Fault::default() });
+        link.set_fault(Fault { accept: Accept::Refuse, ..Fault::default() });
         let refused = TcpStream::connect(link.address()).unwrap_err();
         assert_eq!(refused.kind(), ErrorKind::ConnectionRefused);
-        link.fault(Fault { accept: Accept::Reset, ..Fault::default() });
+        link.set_fault(Fault { accept: Accept::Reset, ..Fault::default() });
         assert_eq!(connect(link).read(&mut [0]).unwrap_err().kind(), ErrorKind::ConnectionReset);
-        link.fault(Fault::default());
+        link.set_fault(Fault::default());
         assert_eq!(exchange(connect(link), b"a"), (1, None));
     };
 }
@@ -157,8 +157,8 @@
         accept: Accept::Reset,
         ..Fault::default()
     };
-    link.fault_from("127.0.0.9".parse().unwrap(), fault);
-    link.fault_from("127.0.0.1".parse().unwrap(), Fault::default());
+    link.set_fault_from("127.0.0.9".parse().unwrap(), fault);
+    link.set_fault_from("127.0.0.1".parse().unwrap(), Fault::default());
     assert_eq!(exchange(connect(&link), &[7; 1_000]), (1_000, None));
     assert_eq!(link.bytes_from("127.0.0.1".parse().unwrap()), [1_000; 2]);
     assert_eq!(link.bytes(), [0; 2]);
--- a/standin/tests/platform.rs
+++ b/standin/tests/platform.rs
@@ -123,13 +123,13 @@
         assert_eq!(second, json!({"version":2,"events":[]}));
         assert_eq!(status(platform, "DELETE", &[], ""), 200);
         assert_eq!(watch(2, 0)["events"], json!([{"key":"a/b","version":3,"value":null}]));
-        platform.fault(Fault { repeat_events: true, ..Fault::default() });
+        platform.set_fault(Fault { repeat_events: true, ..Fault::default() });
         assert_eq!(watch(2, 0)["events"].as_array().unwrap().len(), 1);
-        platform.fault(Fault { skip_events: 1, ..Fault::default() });
+        platform.set_fault(Fault { skip_events: 1, ..Fault::default() });
         assert_eq!(watch(2, 0), json!({"version":3,"events":[]}));
     };
     a_lost_answer_took_effect: |platform: &Platform| {
-        platform.fault(Fault { lose_answers: 2, ..Fault::default() });
+        platform.set_fault(Fault { lose_answers: 2, ..Fault::default() });
         assert_eq!(status(platform, "PUT", &[], "1"), 201);
         assert!(call(platform, "PUT", "/v1/objects/a/b", &[], "2").is_err());
         assert_eq!(platform.object("a/b"), Some((2, "2".into())));
@@ -137,10 +137,10 @@
     };
     an_outage_ends: |platform: &Platform| {
         for availability in [Availability::Unavailable, Availability::Closed, Availability::Refused] {
-            platform.fault(Fault { availability, ..Fault::default() });
+            platform.set_fault(Fault { availability, ..Fault::default() });
             let down = call(platform, "GET", "/v1/hosts", &[], "");
             assert!(down.is_err() || down.unwrap().0 == 503, "{availability:?}");
-            platform.fault(Fault::default());
+            platform.set_fault(Fault::default());
             assert_eq!(call(platform, "GET", "/v1/hosts", &[], "").unwrap().0, 200);
         }
     };
@@ -151,7 +151,7 @@
         assert_eq!(call(platform, "POST", "/standin/fault", &[], &fault).unwrap().0, 200);
         call(platform, "PUT", "/standin/hosts", &[], &list.to_string()).unwrap();
         assert_eq!(hosts(), json!({"hosts":[]}));
-        platform.fault(Fault::default());
+        platform.set_fault(Fault::default());
         assert_eq!(hosts(), list);
     };
 }
--- a/standin/tests/process.rs
+++ b/standin/tests/process.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    fn fault(&self, json: &str) {
+    fn set_fault(&self, json: &str) {
         let uri = format!("http://{}/standin/fault", self.control);
         assert_eq!(ureq::post(uri).send(json).unwrap().status(), 200);
     }
@@ -71,9 +71,9 @@
     ];
     for (process, path, fault) in rows {
         assert!(process.serves(path), "{path}");
-        process.fault(fault);
+        process.set_fault(fault);
         assert!(!process.serves(path), "{fault}");
-        process.fault("{}");
+        process.set_fault("{}");
         assert!(process.serves(path), "{path}");
     }
 }
--- a/standin/tests/target.rs
+++ b/standin/tests/target.rs
@@ -115,14 +115,14 @@
         assert_eq!(header(&shed, "Ragwortfold-Outcome"), "not-run");
         assert!(!header(&shed, "Retry-After").is_empty());
         assert_eq!(target.journal().entries.len(), 1);
-        target.fault(Fault { mode: Mode::Crash, ..Fault::default() });
+        target.set_fault(Fault { mode: Mode::Crash, ..Fault::default() });
         for cut in running {
             assert!(cut.join().unwrap().is_err());
         }
         wait_for(target, |counts| counts.running == 0);
         assert!(!target.journal().entries[0].completed);
         assert!(send(target, "GET", "/health", &[]).is_err());
-        target.fault(Fault::default());
+        target.set_fault(Fault::default());
         assert_eq!(send(target, "GET", "/health", &[]).unwrap().status(), 200);
     });
     cancelled_work_is_dropped_or_ended: |target: &Target| thread::scope(|scope| {
@@ -160,7 +160,7 @@
             (Mode::Crash, None, false),
         ];
         for (mode, state, runs) in rows {
-            target.fault(Fault { mode, ..Fault::default() });
+            target.set_fault(Fault { mode, ..Fault::default() });
             let before = target.journal().entries.len();
             let answer = send(target, "GET", "/x", &[]).ok();
             let shown = answer.as_ref().map(|answer| header(answer, "Ragwortfold-State"));
--- a/tests/demo.rs
+++ b/tests/demo.rs
@@ -46,7 +46,7 @@
         host: host.into(),
         outcome,
         status: if told { 503 } else { 0 },
-        told,
+        is_reported: told,
         error: None,
     }
 }
--- a/tests/operate.rs
+++ b/tests/operate.rs
@@ -220,7 +220,7 @@
     let (world, operator) = run(4);
     // By now the hosts that watch wait for a change.
     thread::sleep(Duration::from_secs(1));
-    world.platform.fault(Fault {
+    world.platform.set_fault(Fault {
         hang_watches: true,
         ..Fault::default()
     });
@@ -361,7 +361,7 @@
     let (world, operator) = run(4);
     let mut settled = 0;
     for round in 0..6 {
-        world.platform.fault(Fault {
+        world.platform.set_fault(Fault {
             lose_answers: 2,
             ..Fault::default()
         });
@@ -373,7 +373,7 @@
     }
     assert!(settled > 0);
     // Every answer is lost: it is said so in words.
-    world.platform.fault(Fault {
+    world.platform.set_fault(Fault {
         lose_answers: 1,
         ..Fault::default()
     });
--- a/tests/peer/links.rs
+++ b/tests/peer/links.rs
@@ -115,10 +115,10 @@
     a.link_to("ent-b", link.address());
     a.wait_up("ent-b");
     b.wait_up("ent-a");
-    link.fault(Fault::default().with_black_hole());
+    link.set_fault(Fault::default().with_black_hole());
     assert_eq!(a.wait_down("ent-b"), Reason::Silent);
     assert_eq!(b.wait_down("ent-a"), Reason::Silent);
-    link.fault(Fault::default());
+    link.set_fault(Fault::default());
     a.wait_up("ent-b");
     b.wait_up("ent-a");
     exchange(&a, &b, "ent-b");
@@ -138,7 +138,7 @@
         let mut fault = Fault::default();
         fault.forth.black_hole = is_forth;
         fault.back.black_hole = !is_forth;
-        link.fault(fault);
+        link.set_fault(fault);
         a.wait_down("ent-b");
         b.wait_down("ent-a");
     }
--- a/tests/peer/relay.rs
+++ b/tests/peer/relay.rs
@@ -370,14 +370,14 @@
             } else {
                 (sound, flow)
             };
-            link.fault(Fault {
+            link.set_fault(Fault {
                 forth,
                 back,
                 ..Fault::default()
             });
             let name: Arc<str> = format!("{bytes}-{is_forth}").into();
             let end = exchange(&a, name.clone());
-            link.fault(Fault::default());
+            link.set_fault(Fault::default());
             match end {
                 None => whole.push(name.to_string()),
                 Some(end) => cut.push((name.to_string(), end)),
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -405,7 +405,7 @@
         host: "a".into(),
         state: platform::HostState::Live,
     }]);
-    platform.fault(fault);
+    platform.set_fault(fault);
     let client = Client::new(&format!("http://{}", platform.address()));
     (platform, client.with_timeout(Duration::from_secs(20)))
 }
@@ -464,7 +464,7 @@
             Err(e) => kind::<()>(Err(e)).to_owned(),
         };
         assert_eq!([read, write, &watch], expected, "{fault:?}");
-        platform.fault(Fault::default());
+        platform.set_fault(Fault::default());
         let effect = fault.availability == Availability::Up;
         let found = client.get("a/b").unwrap().map(|object| object.value);
         assert_eq!(found, effect.then(|| json!({"x": 1})), "{fault:?}");
@@ -492,10 +492,10 @@
         stale_hosts: true,
         ..platform::Fault::default()
     };
-    platform.fault(stale);
+    platform.set_fault(stale);
     platform.set_hosts(Vec::new());
     assert_eq!(client.hosts().unwrap().len(), 1);
-    platform.fault(platform::Fault::default());
+    platform.set_fault(platform::Fault::default());
     assert!(client.hosts().unwrap().is_empty());
 }
 
