--- a/standin/src/crash.rs
+++ b/standin/src/crash.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use crate::http::{Reply, Request, Response, Server};
-use crate::listen::Gate;
+use crate::listen::ListenerState;
 use crate::{lock, Error};
 
 const CONNECTIONS: usize = 400;
@@ -141,14 +141,14 @@
             (self.started)(process);
             return;
         }
-        server.set(Gate::Closed);
+        server.set_listener_state(ListenerState::Closed);
         server.close_connections();
         let shared = self.clone();
         thread::spawn(move || {
             thread::sleep(shared.settings.down);
             // The last of several crashes decides when it is back.
             if shared.crashes.load(Ordering::SeqCst) == process {
-                server.set(Gate::Open);
+                server.set_listener_state(ListenerState::Open);
                 (shared.started)(process);
             }
         });
--- a/standin/src/error.rs
+++ b/standin/src/error.rs
@@ -1,23 +1,23 @@
-//! What keeps a stand-in from running.
+//! Errors that prevent a stand-in from running.
 
 use std::io;
 use std::net::SocketAddr;
 
-/// A fault of the stand-in itself, as opposed to one it was told to show.
+/// An error of the stand-in itself, as opposed to a fault that it simulates.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The address cannot be listened on.
+    /// The stand-in can't listen on the address.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address asked for.
+        /// The requested address.
         address: SocketAddr,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
-    /// A thread cannot be started.
+    /// A thread, or the runtime with its threads, can't be started.
     #[error("cannot start a thread: {0}")]
     Thread(io::Error),
-    /// Settings that cannot work.
+    /// The settings are invalid.
     #[error("{0}")]
     Settings(&'static str),
 }
--- a/standin/src/http.rs
+++ b/standin/src/http.rs
@@ -1,7 +1,7 @@
-//! A small HTTP/1.1 server over `httparse` that leaves the connection in the hands of its user.
+//! A small HTTP/1.1 server over `httparse` whose handlers control the connection.
 //!
-//! `tiny_http` gives no hold of the socket: it cannot end a connection without an answer, send a
-//! reset, bound the connections or break an answer off, which is what stand-ins are for.
+//! `tiny_http` does not expose the socket: it can't close a connection without a response, send a
+//! reset, limit the connections or truncate a response, all of which the stand-ins need.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -11,21 +11,21 @@
 use std::thread;
 use std::time::Duration;
 
-use crate::listen::{self, Gate, Listener};
+use crate::listen::{self, Listener, ListenerState};
 use crate::{lock, Error};
 
 /// Largest request head, in bytes.
-const MAX_HEAD: usize = 64 << 10;
+const MAX_HEAD_BYTES: usize = 64 << 10;
 /// Largest request body, in bytes.
-const MAX_BODY: usize = 64 << 20;
+const MAX_BODY_BYTES: usize = 64 << 20;
 const MAX_HEADERS: usize = 100;
-/// Size of one read, and of one chunk of a chunked answer, in bytes.
-const CHUNK: usize = 64 << 10;
-/// Idle connections are closed after this long.
+/// Limit of a chunk of a chunked response, in bytes.
+const MAX_CHUNK_BYTES: usize = 64 << 10;
+/// Time limit of each read and write, after which the connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-const STACK: usize = 256 << 10;
+const STACK_BYTES: usize = 256 << 10;
 
-/// One request with its whole body.
+/// A request with its complete body.
 #[derive(Debug)]
 pub(crate) struct Request {
     pub(crate) method: String,
@@ -47,24 +47,24 @@
         found.map(|(_, value)| value.as_str())
     }
 
-    /// A header or query value as a number.
+    /// The value of a header as a number.
     pub(crate) fn number(&self, header: &str) -> Option<u64> {
         self.header(header)?.trim().parse().ok()
     }
 }
 
-/// How the body of an answer is sent.
+/// How the body of a response is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Framing {
     /// With a `Content-Length`.
     Length,
     /// In chunks.
     Chunked,
-    /// With a `Content-Length`, of which half is sent before the connection ends.
+    /// With a `Content-Length`, of which half is sent before the connection is closed.
     Truncated,
 }
 
-/// An answer.
+/// A response.
 #[derive(Debug)]
 pub(crate) struct Response {
     pub(crate) status: u16,
@@ -83,13 +83,13 @@
         }
     }
 
-    /// A JSON answer.
+    /// A response with a JSON body.
     pub(crate) fn json(status: u16, value: &impl serde::Serialize) -> Self {
         let body = serde_json::to_vec(value).unwrap_or_default();
         Self::new(status, body).with_header("Content-Type", "application/json")
     }
 
-    /// A JSON answer that says what went wrong.
+    /// A response with an error message in a JSON body.
     pub(crate) fn error(status: u16, text: &str) -> Self {
         Self::json(status, &BTreeMap::from([("error", text)]))
     }
@@ -100,24 +100,24 @@
     }
 }
 
-/// What becomes of a request.
+/// What a handler does with a request.
 #[derive(Debug)]
 pub(crate) enum Reply {
-    /// It is answered.
-    Answer(Response),
-    /// These bytes are sent as they are, then the connection ends.
+    /// Sends a response.
+    Response(Response),
+    /// Sends raw bytes, then closes the connection.
     Raw(Vec<u8>),
-    /// The connection ends without an answer.
+    /// Closes the connection without a response.
     Close,
-    /// The connection is reset without an answer.
+    /// Resets the connection without a response.
     Reset,
-    /// Nothing is ever sent, until the peer or the server ends the connection.
+    /// Sends nothing until the peer or the server closes the connection.
     Hang,
 }
 
 impl From<Response> for Reply {
     fn from(response: Response) -> Self {
-        Self::Answer(response)
+        Self::Response(response)
     }
 }
 
@@ -126,9 +126,9 @@
 struct Shared {
     handler: Box<Handler>,
     connections: Mutex<BTreeMap<u64, Arc<TcpStream>>>,
-    limit: usize,
+    max_connections: usize,
     peak: AtomicUsize,
-    over: AtomicU64,
+    over_limit: AtomicU64,
 }
 
 /// A server with one thread for each open connection, up to a limit.
@@ -138,26 +138,26 @@
 }
 
 impl Server {
-    /// Serves `address`; a connection beyond `limit` is reset.
+    /// Serves `address`; connections beyond `max_connections` are reset.
     pub(crate) fn new(
         address: SocketAddr,
-        limit: usize,
+        max_connections: usize,
         handler: impl Fn(Request) -> Reply + Send + Sync + 'static,
     ) -> Result<Self, Error> {
         let shared = Arc::new(Shared {
             handler: Box::new(handler),
             connections: Mutex::default(),
-            limit,
+            max_connections,
             peak: AtomicUsize::new(0),
-            over: AtomicU64::new(0),
+            over_limit: AtomicU64::new(0),
         });
         let inner = Arc::clone(&shared);
-        let mut next = 0;
+        let mut last_id = 0;
         let listener = Listener::new(address, move |stream| {
-            next += 1;
-            // A connection that can't be taken over has ended, which its other side sees.
-            if let Ok(stream) = blocking(stream) {
-                open(&inner, next, stream);
+            last_id += 1;
+            // If the stream can't be converted it is dropped, which closes the connection.
+            if let Ok(stream) = into_blocking(stream) {
+                start_connection(&inner, last_id, stream);
             }
         })?;
         Ok(Self { listener, shared })
@@ -168,44 +168,45 @@
     }
 
     /// Refuses new connections, or accepts them again.
-    pub(crate) fn set(&self, gate: Gate) {
-        self.listener.set(gate);
+    pub(crate) fn set_listener_state(&self, state: ListenerState) {
+        self.listener.set_state(state);
     }
 
-    /// Ends every open connection as a dying process would.
+    /// Closes every open connection, as the kernel does when a process ends.
     pub(crate) fn close_connections(&self) {
         for stream in lock(&self.shared.connections).values() {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Open connections, the most that were open at once, and those refused beyond the limit.
-    pub(crate) fn connections(&self) -> (usize, usize, u64) {
+    /// The open connections, the most that were open at once, and those that were reset because of the limit.
+    pub(crate) fn connection_counts(&self) -> (usize, usize, u64) {
         let open = lock(&self.shared.connections).len();
         let peak = self.shared.peak.load(Ordering::Relaxed);
-        (open, peak, self.shared.over.load(Ordering::Relaxed))
+        (open, peak, self.shared.over_limit.load(Ordering::Relaxed))
     }
 }
 
 impl Drop for Server {
     fn drop(&mut self) {
-        self.listener.set(Gate::Stopped);
+        self.listener.set_state(ListenerState::Stopped);
         self.close_connections();
     }
 }
 
-fn blocking(stream: tokio::net::TcpStream) -> io::Result<TcpStream> {
+fn into_blocking(stream: tokio::net::TcpStream) -> io::Result<TcpStream> {
     let stream = stream.into_std()?;
     stream.set_nonblocking(false)?;
     Ok(stream)
 }
 
-fn open(shared: &Arc<Shared>, id: u64, stream: TcpStream) {
+/// Starts the thread that serves a connection, or resets the connection if there are too many.
+fn start_connection(shared: &Arc<Shared>, id: u64, stream: TcpStream) {
     let stream = Arc::new(stream);
     {
         let mut connections = lock(&shared.connections);
-        if connections.len() >= shared.limit {
-            shared.over.fetch_add(1, Ordering::Relaxed);
+        if connections.len() >= shared.max_connections {
+            shared.over_limit.fetch_add(1, Ordering::Relaxed);
             listen::reset(&*stream);
             return;
         }
@@ -215,9 +216,9 @@
     let inner = Arc::clone(shared);
     let spawned = thread::Builder::new()
         .name("serve".into())
-        .stack_size(STACK)
+        .stack_size(STACK_BYTES)
         .spawn(move || {
-            let _ = serve(&inner, &stream);
+            let _ = serve_connection(&inner, &stream);
             lock(&inner.connections).remove(&id);
         });
     if spawned.is_err() {
@@ -225,8 +226,8 @@
     }
 }
 
-/// Serves one connection until it ends.
-fn serve(shared: &Shared, stream: &TcpStream) -> io::Result<()> {
+/// Serves a connection until it ends.
+fn serve_connection(shared: &Shared, stream: &TcpStream) -> io::Result<()> {
     stream.set_read_timeout(Some(IDLE_TIMEOUT))?;
     stream.set_write_timeout(Some(IDLE_TIMEOUT))?;
     let mut input = Input {
@@ -234,13 +235,13 @@
         buffer: Vec::new(),
         peer: stream.peer_addr()?,
     };
-    while let Some((request, keep)) = input.request()? {
-        let head_only = request.method == "HEAD";
+    while let Some((request, keep_alive)) = input.read_request()? {
+        let is_head = request.method == "HEAD";
         match (shared.handler)(request) {
-            Reply::Answer(response) => {
-                let cut = response.framing == Framing::Truncated;
-                write_response(stream, &response, head_only, keep && !cut)?;
-                if cut || !keep {
+            Reply::Response(response) => {
+                let is_truncated = response.framing == Framing::Truncated;
+                write_response(stream, &response, is_head, keep_alive && !is_truncated)?;
+                if is_truncated || !keep_alive {
                     break;
                 }
             }
@@ -255,7 +256,7 @@
                 return Ok(());
             }
             Reply::Hang => {
-                input.drain();
+                input.discard_all();
                 break;
             }
         }
@@ -263,7 +264,7 @@
     stream.shutdown(Shutdown::Both)
 }
 
-/// The reading side of a connection.
+/// Reads requests from a connection.
 struct Input<'a> {
     stream: &'a TcpStream,
     buffer: Vec<u8>,
@@ -271,34 +272,35 @@
 }
 
 impl Input<'_> {
-    /// The next request and whether the connection is kept after it; none at an orderly end.
-    fn request(&mut self) -> io::Result<Option<(Request, bool)>> {
+    /// Reads the next request, and whether the connection stays open after it; none if the peer has closed the connection.
+    fn read_request(&mut self) -> io::Result<Option<(Request, bool)>> {
         loop {
-            if let Some(head) = parse(&self.buffer)? {
+            if let Some(head) = parse_head(&self.buffer)? {
                 self.buffer.drain(..head.length);
-                return self.complete(head).map(Some);
+                return self.read_body(head).map(Some);
             }
-            if self.buffer.len() > MAX_HEAD {
-                return Err(invalid("head too long"));
+            if self.buffer.len() > MAX_HEAD_BYTES {
+                return Err(invalid_data("head too long"));
             }
-            if self.fill()? == 0 {
+            if self.fill_buffer()? == 0 {
                 return Ok(None);
             }
         }
     }
 
-    fn complete(&mut self, head: Head) -> io::Result<(Request, bool)> {
-        let mut request = head.request(self.peer);
+    /// Reads the body of the request with the given head.
+    fn read_body(&mut self, head: Head) -> io::Result<(Request, bool)> {
+        let mut request = head.into_request(self.peer);
         if request.header("Expect").is_some() {
             let mut writer = self.stream;
             writer.write_all(b"HTTP/1.1 100 Continue\r\n\r\n")?;
         }
-        let chunked = request.header("Transfer-Encoding").is_some();
+        let is_chunked = request.header("Transfer-Encoding").is_some();
         let length = request.number("Content-Length").unwrap_or(0) as usize;
-        request.body = if chunked {
-            self.chunks()?
+        request.body = if is_chunked {
+            self.read_chunks()?
         } else {
-            self.exactly(length)?
+            self.read_exact(length)?
         };
         let closes = request
             .header("Connection")
@@ -306,16 +308,17 @@
         Ok((request, !closes))
     }
 
-    fn fill(&mut self) -> io::Result<usize> {
+    /// Reads once into the buffer; returns the number of bytes, 0 if the peer has closed the connection.
+    fn fill_buffer(&mut self) -> io::Result<usize> {
         let mut chunk = [0; 16 << 10];
         let n = self.stream.read(&mut chunk)?;
         self.buffer.extend_from_slice(&chunk[..n]);
         Ok(n)
     }
 
-    fn exactly(&mut self, length: usize) -> io::Result<Vec<u8>> {
-        if length > MAX_BODY {
-            return Err(invalid("body too long"));
+    fn read_exact(&mut self, length: usize) -> io::Result<Vec<u8>> {
+        if length > MAX_BODY_BYTES {
+            return Err(invalid_data("body too long"));
         }
         let buffered = length.min(self.buffer.len());
         let mut body: Vec<u8> = self.buffer.drain(..buffered).collect();
@@ -324,64 +327,66 @@
         Ok(body)
     }
 
-    fn chunks(&mut self) -> io::Result<Vec<u8>> {
+    fn read_chunks(&mut self) -> io::Result<Vec<u8>> {
         let mut body = Vec::new();
         loop {
-            let line = self.line()?;
+            let line = self.read_line()?;
             let (start, size) = match httparse::parse_chunk_size(&line) {
                 Ok(httparse::Status::Complete(found)) => found,
-                _ => return Err(invalid("bad chunk size")),
+                _ => return Err(invalid_data("invalid chunk size")),
             };
             debug_assert_eq!(start, line.len());
             if size == 0 {
-                while self.line()? != b"\r\n" {}
+                while self.read_line()? != b"\r\n" {}
                 return Ok(body);
             }
-            if body.len() as u64 + size > MAX_BODY as u64 {
-                return Err(invalid("body too long"));
+            if body.len() as u64 + size > MAX_BODY_BYTES as u64 {
+                return Err(invalid_data("body too long"));
             }
-            body.extend(self.exactly(size as usize)?);
-            self.line()?;
+            body.extend(self.read_exact(size as usize)?);
+            self.read_line()?;
         }
     }
 
-    /// One line with its end.
-    fn line(&mut self) -> io::Result<Vec<u8>> {
+    /// Reads a line, with its line break.
+    fn read_line(&mut self) -> io::Result<Vec<u8>> {
         loop {
             if let Some(at) = self.buffer.iter().position(|b| *b == b'\n') {
                 return Ok(self.buffer.drain(..=at).collect());
             }
-            if self.buffer.len() > MAX_HEAD || self.fill()? == 0 {
-                return Err(invalid("line cut"));
+            if self.buffer.len() > MAX_HEAD_BYTES || self.fill_buffer()? == 0 {
+                return Err(invalid_data("line too long or incomplete"));
             }
         }
     }
 
-    /// Reads until the connection ends.
-    fn drain(&mut self) {
+    /// Discards everything until the connection ends.
+    fn discard_all(&mut self) {
         let _ = self.stream.set_read_timeout(None);
-        while self.fill().is_ok_and(|n| n > 0) {
+        while self.fill_buffer().is_ok_and(|n| n > 0) {
             self.buffer.clear();
         }
     }
 }
 
+/// The parsed head of a request.
 struct Head {
     method: String,
     target: String,
     headers: Vec<(String, String)>,
+    /// Length of the head in bytes.
     length: usize,
 }
 
 impl Head {
-    fn request(self, peer: SocketAddr) -> Request {
+    fn into_request(self, peer: SocketAddr) -> Request {
         let (path, query) = self.target.split_once('?').unwrap_or((&self.target, ""));
         let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         Request {
             method: self.method,
-            path: decode(path),
+            path: percent_decode(path),
             query: pairs
-                .map(|(name, value)| (decode(name), decode(value)))
+                .map(|(name, value)| (percent_decode(name), percent_decode(value)))
                 .collect(),
             headers: self.headers,
             body: Vec::new(),
@@ -390,7 +395,7 @@
     }
 }
 
-fn parse(buffer: &[u8]) -> io::Result<Option<Head>> {
+fn parse_head(buffer: &[u8]) -> io::Result<Option<Head>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let length = match request.parse(buffer) {
@@ -411,14 +416,14 @@
     }))
 }
 
-/// Undoes percent encoding.
-fn decode(text: &str) -> String {
+/// Decodes percent-encoded text.
+fn percent_decode(text: &str) -> String {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
     while let Some((first, tail)) = rest.split_first() {
         let hex = tail.get(..2).and_then(|h| std::str::from_utf8(h).ok());
-        let coded = hex.and_then(|h| u8::from_str_radix(h, 16).ok());
-        match (first, coded) {
+        let decoded = hex.and_then(|h| u8::from_str_radix(h, 16).ok());
+        match (first, decoded) {
             (b'%', Some(byte)) => {
                 bytes.push(byte);
                 rest = &tail[2..];
@@ -435,22 +440,22 @@
 fn write_response(
     stream: &TcpStream,
     response: &Response,
-    head_only: bool,
-    keep: bool,
+    is_head: bool,
+    keep_alive: bool,
 ) -> io::Result<()> {
     let mut bytes = format!(
         "HTTP/1.1 {} {}\r\n",
         response.status,
-        reason(response.status)
+        reason_phrase(response.status)
     );
     for (name, value) in &response.headers {
         bytes += &format!("{name}: {value}\r\n");
     }
-    if !keep && response.framing != Framing::Truncated {
+    if !keep_alive && response.framing != Framing::Truncated {
         bytes += "Connection: close\r\n";
     }
-    let chunked = response.framing == Framing::Chunked;
-    if chunked {
+    let is_chunked = response.framing == Framing::Chunked;
+    if is_chunked {
         bytes += "Transfer-Encoding: chunked\r\n\r\n";
     } else {
         bytes += &format!("Content-Length: {}\r\n\r\n", response.body.len());
@@ -458,12 +463,12 @@
     let mut bytes = bytes.into_bytes();
     let body = &response.body;
     match response.framing {
-        _ if head_only => {}
+        _ if is_head => {}
         Framing::Length => bytes.extend_from_slice(body),
         Framing::Truncated => bytes.extend_from_slice(&body[..body.len() / 2]),
         Framing::Chunked => {
-            // Small chunks even in a small answer, so that their ends are met.
-            for part in body.chunks((body.len() / 3).clamp(1, CHUNK)) {
+            // Splits small bodies as well, so that clients have to join chunks.
+            for part in body.chunks((body.len() / 3).clamp(1, MAX_CHUNK_BYTES)) {
                 bytes.extend_from_slice(format!("{:x}\r\n", part.len()).as_bytes());
                 bytes.extend_from_slice(part);
                 bytes.extend_from_slice(b"\r\n");
@@ -475,7 +480,7 @@
     writer.write_all(&bytes)
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
@@ -487,6 +492,6 @@
     }
 }
 
-fn invalid(text: &'static str) -> io::Error {
+fn invalid_data(text: &'static str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, text)
 }
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for what surrounds ragwortfold: a platform, targets, a faulty link, callers.
+//! Test doubles for the systems around ragwortfold: a platform, targets, a faulty link and callers.
 //!
-//! Each can be embedded (it runs beside its user and stops when dropped) or started as a
-//! process by the `standin` binary. Faults are switched while they run, by a method or by
+//! Each can be embedded (it runs in its user's process and stops when dropped) or started as a
+//! process by the `standin` binary. Faults can be changed while it runs, by a method or by
 //! `POST /standin/fault`.
 
 pub mod caller;
@@ -24,13 +24,13 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Locks a mutex; the state of a stand-in stays usable after a panic elsewhere.
+/// Locks a mutex, also after a panic of another thread that held it.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Microseconds since the Unix epoch, comparable between the processes of one machine.
+/// Returns the time in microseconds since the Unix epoch, comparable between the processes of one machine.
 pub fn unix_us() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |d| d.as_micros() as u64)
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.map_or(0, |elapsed| elapsed.as_micros() as u64)
 }
--- a/standin/src/link.rs
+++ b/standin/src/link.rs
@@ -1,14 +1,18 @@
-//! A TCP link with faults: delay, loss of a direction, cuts, refusal, resets, limited bandwidth.
+//! A TCP proxy that simulates a faulty link: delay, loss of a direction, broken connections, refusal,
+//! resets, limited bandwidth.
 //!
-//! Each direction of a connection has a reader, which stamps chunks with the time they are due,
-//! and a writer, which sends them then: a delay does not lower the throughput, up to
-//! [`QUEUE`] chunks under way. Both are tasks, as a link in front of a busy host has thousands. While a direction is a black hole its bytes are held and arrive
-//! after it ends, as retransmission would have it; a new connection is accepted all the same,
-//! since the kernel does that. When the far end refuses, the link refuses as well, until the far
-//! end is back; the connection that finds it out is reset.
+//! Each direction of a connection has a reader, which assigns chunks the time at which they are due,
+//! and a writer, which sends them at that time. A delay does not lower the throughput, as long as no
+//! more than [`MAX_CHUNKS_IN_FLIGHT`] chunks are in flight. Both are tasks instead of threads, since a
+//! link in front of a busy host has thousands of them.
 //!
-//! Connections from one source address can have a fault and a count of bytes of their own, so that
-//! one link shows the distances from many places.
+//! While a direction is a black hole, its bytes are held; they arrive after it ends, as they would
+//! with TCP retransmission. New connections are accepted meanwhile, since the kernel accepts them
+//! too. When the far end refuses a connection, the link resets the connection that it was for and
+//! refuses new ones until the far end accepts again.
+//!
+//! Connections from a source address can have their own fault and byte count, so that one link can
+//! simulate the distances from many locations.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -24,39 +28,39 @@
 use tokio::sync::watch;
 
 use crate::http::{Reply, Request, Response, Server};
-use crate::listen::{self, Gate, Listener};
+use crate::listen::{self, Listener, ListenerState};
 use crate::{lock, Error};
 
-/// Bytes read at once.
-const CHUNK: usize = 16 << 10;
-/// Chunks under way in one direction of a connection.
-const QUEUE: usize = 256;
+/// Limit of the bytes read at once.
+const MAX_CHUNK_BYTES: usize = 16 << 10;
+/// Limit of the chunks in flight in one direction of a connection.
+const MAX_CHUNKS_IN_FLIGHT: usize = 256;
 const MAX_CONNECTIONS: usize = 1024;
-const CONTROL_CONNECTIONS: usize = 8;
+const MAX_CONTROL_CONNECTIONS: usize = 8;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause between tries to reach a far end that refused.
+/// Pause between attempts to connect to a far end that refused.
 const PROBE_PAUSE: Duration = Duration::from_millis(20);
 const WRITE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What one direction does to the bytes. The default is to pass them on.
+/// How the bytes of one direction are forwarded; without any fault by default.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Flow {
-    /// Time under way, in microseconds.
+    /// Latency, in microseconds.
     pub delay_us: u64,
-    /// Nothing arrives while it lasts.
+    /// Holds all bytes back while it is set.
     pub black_hole: bool,
-    /// The connection is cut after this many bytes since the fault was set.
+    /// Closes the connection once this many bytes were forwarded since the fault was set.
     pub cut_after: Option<u64>,
-    /// Bandwidth shared by all connections, in bytes per second; 0 is no limit.
+    /// Bandwidth shared by all connections, in bytes per second; 0 for unlimited.
     pub bytes_per_s: u64,
 }
 
-/// What becomes of new connections.
+/// How a link handles new connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Accept {
-    /// They are joined to the far end.
+    /// They are connected to the far end.
     #[default]
     Join,
     /// They are refused.
@@ -65,22 +69,22 @@
     Reset,
 }
 
-/// What a link does wrong. The default is nothing.
+/// The faults of a link; none by default.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fault {
-    /// Bytes from the connecting side to the far end.
+    /// The direction from the connecting side to the far end.
     pub forth: Flow,
-    /// Bytes from the far end back.
+    /// The direction from the far end to the connecting side.
     pub back: Flow,
-    /// What becomes of new connections.
+    /// How new connections are handled.
     pub accept: Accept,
-    /// Resets every connection that is open when the fault is set.
+    /// Resets all connections that are open when the fault is set.
     pub reset_open: bool,
 }
 
 impl Fault {
-    /// A sound link of that delay each way.
+    /// A delay in each direction and no other fault.
     pub fn delay(delay: Duration) -> Self {
         let flow = Flow {
             delay_us: delay.as_micros() as u64,
@@ -93,7 +97,7 @@
         }
     }
 
-    /// The same with nothing passing either way.
+    /// Makes both directions black holes.
     pub fn with_black_hole(mut self) -> Self {
         self.forth.black_hole = true;
         self.back.black_hole = true;
@@ -107,15 +111,15 @@
     Back = 1,
 }
 
-/// The two joined streams: the near one and the far one.
+/// The streams to both sides: to the connecting side (near) and to the far end.
 struct Connection {
     near: TcpStream,
     far: TcpStream,
-    reset: AtomicBool,
+    is_reset: AtomicBool,
 }
 
 impl Connection {
-    /// The stream a direction reads and the one it writes.
+    /// The streams that a direction reads from and writes to.
     fn streams(&self, direction: Direction) -> (&TcpStream, &TcpStream) {
         match direction {
             Direction::Forth => (&self.near, &self.far),
@@ -123,91 +127,94 @@
         }
     }
 
-    fn cut(&self) {
+    fn close(&self) {
         let _ = SockRef::from(&self.near).shutdown(Shutdown::Both);
         let _ = SockRef::from(&self.far).shutdown(Shutdown::Both);
     }
 
-    /// Resets both sides; the resets go out when the tasks have let go.
+    /// Resets both sides; the resets are sent when the tasks have dropped the connection.
     fn reset(&self) {
-        self.reset.store(true, Ordering::Relaxed);
+        self.is_reset.store(true, Ordering::Relaxed);
         listen::reset(&self.near);
         listen::reset(&self.far);
     }
 }
 
-/// What a reader hands to its writer.
-enum Piece {
+/// What a reader passes to its writer.
+enum Chunk {
     Bytes(Vec<u8>),
     End,
     Reset,
 }
 
-type Due = (Instant, Piece);
+/// A chunk and the time at which it is due.
+type ScheduledChunk = (Instant, Chunk);
 
 struct State {
     fault: Fault,
-    /// Rises with each change of the fault.
+    /// Incremented with each change of the fault.
     generation: u64,
-    /// When each direction has sent what it was given so far.
-    free: [Option<Instant>; 2],
+    /// When each direction will have sent all bytes read so far at its bandwidth.
+    sent_at: [Option<Instant>; 2],
     connections: BTreeMap<u64, Arc<Connection>>,
-    /// The far end refused and is being probed.
+    /// Whether the far end refused a connection and has not accepted one since.
     far_refuses: bool,
     bytes: [u64; 2],
-    stopped: bool,
+    is_stopped: bool,
 }
 
 struct Shared {
-    to: SocketAddr,
+    far_address: SocketAddr,
     keep_source: AtomicBool,
     state: Mutex<State>,
-    /// Told each change of the state that a writer may wait for.
+    /// Notifies writers of changes of the fault and of the stop.
     changed: watch::Sender<()>,
-    gate: OnceLock<Box<dyn Fn(Gate) + Send + Sync>>,
+    set_listener_state: OnceLock<Box<dyn Fn(ListenerState) + Send + Sync>>,
 }
 
-/// What the connections from some source addresses meet, in place of the link's own fault.
-type Paths = Arc<Mutex<BTreeMap<IpAddr, Arc<Shared>>>>;
+/// The state of connections from source addresses that have their own fault.
+type SourcePaths = Arc<Mutex<BTreeMap<IpAddr, Arc<Shared>>>>;
 
 /// A running link; it stops when dropped.
 pub struct Link {
     shared: Arc<Shared>,
-    paths: Paths,
+    source_paths: SourcePaths,
     listener: Listener,
     control: Option<Server>,
 }
 
 impl Link {
-    /// Starts a sound link from `listen` (port 0 takes a free one) to `to`.
-    pub fn new(listen: SocketAddr, to: SocketAddr) -> Result<Self, Error> {
-        let shared = Arc::new(Shared::new(to));
-        let paths = Paths::default();
-        let (inner, known) = (Arc::clone(&shared), Arc::clone(&paths));
-        let mut next = 0;
+    /// Starts a link without faults from `listen` (with port 0 from a free port) to `far_address`.
+    pub fn new(listen: SocketAddr, far_address: SocketAddr) -> Result<Self, Error> {
+        let shared = Arc::new(Shared::new(far_address));
+        let source_paths = SourcePaths::default();
+        let (inner, inner_paths) = (Arc::clone(&shared), Arc::clone(&source_paths));
+        let mut last_id = 0;
         let listener = Listener::new(listen, move |stream| {
-            next += 1;
+            last_id += 1;
             let path = stream.peer_addr().ok();
-            let path = path.and_then(|from| lock(&known).get(&from.ip()).cloned());
-            open(path.as_ref().unwrap_or(&inner), next, stream);
+            let path = path.and_then(|from| lock(&inner_paths).get(&from.ip()).cloned());
+            start_connection(path.as_ref().unwrap_or(&inner), last_id, stream);
         })?;
-        let _ = shared.gate.set(Box::new(listener.setter()));
+        let _ = shared
+            .set_listener_state
+            .set(Box::new(listener.state_setter()));
         Ok(Self {
             shared,
-            paths,
+            source_paths,
             listener,
             control: None,
         })
     }
 
-    /// Connects to the far end from the source address of the connecting side (of this machine),
-    /// so that the far end sees who calls.
+    /// Connects to the far end from the source address of the connecting side (an address of this
+    /// machine), so that the far end sees the client's address.
     pub fn with_source(self) -> Self {
         self.shared.keep_source.store(true, Ordering::Relaxed);
         self
     }
 
-    /// Takes `POST /standin/fault` at a second address, which no fault reaches.
+    /// Serves `POST /standin/fault` at a second address, which faults do not affect.
     pub fn with_control(mut self, listen: SocketAddr) -> Result<Self, Error> {
         let shared = Arc::clone(&self.shared);
         let handler = move |request: Request| {
@@ -222,44 +229,44 @@
                 Err(error) => Response::error(400, &error.to_string()).into(),
             }
         };
-        self.control = Some(Server::new(listen, CONTROL_CONNECTIONS, handler)?);
+        self.control = Some(Server::new(listen, MAX_CONTROL_CONNECTIONS, handler)?);
         Ok(self)
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// Where it takes control calls, if there is a second address.
+    /// The second address, for control calls, if there is one.
     pub fn control_address(&self) -> Option<SocketAddr> {
         self.control.as_ref().map(Server::address)
     }
 
-    /// Replaces the faults shown, for open connections too.
+    /// Replaces the faults in force, for open connections too.
     pub fn set_fault(&self, fault: Fault) {
         self.shared.set_fault(fault);
     }
 
-    /// Replaces the faults shown to connections from `source`, which from now on meet these and
-    /// not the link's own. Refusal is the link's alone; [`Accept::Reset`] works here as well.
+    /// Replaces the faults of connections from `source`, to which the link's own faults no longer
+    /// apply. [`Accept::Refuse`] has no effect here, since the listener is shared; [`Accept::Reset`] has.
     pub fn set_fault_from(&self, source: IpAddr, fault: Fault) {
-        let mut paths = lock(&self.paths);
+        let mut paths = lock(&self.source_paths);
         let path = paths
             .entry(source)
-            .or_insert_with(|| Arc::new(Shared::new(self.shared.to)));
+            .or_insert_with(|| Arc::new(Shared::new(self.shared.far_address)));
         path.set_fault(fault);
     }
 
-    /// Bytes passed on so far, forth and back; those of sources with faults of their own are not
-    /// among them.
+    /// Bytes forwarded so far in each direction, forth and back, without those of sources that have
+    /// their own faults.
     pub fn bytes(&self) -> [u64; 2] {
         lock(&self.shared.state).bytes
     }
 
-    /// Bytes passed on so far, forth and back, for a source that has faults of its own.
+    /// Bytes forwarded so far in each direction, forth and back, for a source that has its own faults.
     pub fn bytes_from(&self, source: IpAddr) -> [u64; 2] {
-        let path = lock(&self.paths).get(&source).cloned();
+        let path = lock(&self.source_paths).get(&source).cloned();
         path.map_or([0; 2], |path| lock(&path.state).bytes)
     }
 }
@@ -267,37 +274,39 @@
 impl Drop for Link {
     fn drop(&mut self) {
         self.shared.stop();
-        lock(&self.paths).values().for_each(|path| path.stop());
+        lock(&self.source_paths)
+            .values()
+            .for_each(|path| path.stop());
     }
 }
 
 impl Shared {
-    fn new(to: SocketAddr) -> Self {
+    fn new(far_address: SocketAddr) -> Self {
         let state = State {
             fault: Fault::default(),
             generation: 0,
-            free: [None; 2],
+            sent_at: [None; 2],
             connections: BTreeMap::new(),
             far_refuses: false,
             bytes: [0; 2],
-            stopped: false,
+            is_stopped: false,
         };
         Self {
-            to,
+            far_address,
             keep_source: AtomicBool::new(false),
             state: Mutex::new(state),
             changed: watch::Sender::new(()),
-            gate: OnceLock::new(),
+            set_listener_state: OnceLock::new(),
         }
     }
 
     fn stop(&self) {
         let mut state = lock(&self.state);
-        state.stopped = true;
+        state.is_stopped = true;
         state
             .connections
             .values()
-            .for_each(|connection| connection.cut());
+            .for_each(|connection| connection.close());
         drop(state);
         self.changed.send_replace(());
     }
@@ -314,61 +323,72 @@
         }
         drop(state);
         self.changed.send_replace(());
-        self.regate();
+        self.update_listener();
     }
 
-    /// Refuses connections if the fault says so or the far end does.
-    fn regate(&self) {
+    /// Refuses new connections if the fault requires it or the far end refuses them.
+    fn update_listener(&self) {
         let state = lock(&self.state);
-        let closed = state.far_refuses || state.fault.accept == Accept::Refuse;
-        if let Some(gate) = self.gate.get() {
-            gate(if closed { Gate::Closed } else { Gate::Open });
+        let is_closed = state.far_refuses || state.fault.accept == Accept::Refuse;
+        if let Some(set_listener_state) = self.set_listener_state.get() {
+            set_listener_state(if is_closed {
+                ListenerState::Closed
+            } else {
+                ListenerState::Open
+            });
         }
     }
 
-    /// Connects to the far end; if it refuses, refuses too until it is back.
+    /// Connects to the far end. If that refuses, closes the listener until the far end accepts a
+    /// connection again.
     async fn connect(&self, near: &TcpStream) -> io::Result<TcpStream> {
-        let keeps = self.keep_source.load(Ordering::Relaxed);
-        let source = near.peer_addr().ok().filter(|_| keeps);
-        let result = connect(source.map(|from| from.ip()), self.to).await;
-        if is_refused(&result) && self.note_refusal() {
-            self.regate();
-            while is_refused(&connect(None, self.to).await) && !lock(&self.state).stopped {
+        let keep_source = self.keep_source.load(Ordering::Relaxed);
+        let source = near.peer_addr().ok().filter(|_| keep_source);
+        let result = connect(source.map(|from| from.ip()), self.far_address).await;
+        if is_refused(&result) && self.set_far_refuses() {
+            self.update_listener();
+            while is_refused(&connect(None, self.far_address).await)
+                && !lock(&self.state).is_stopped
+            {
                 tokio::time::sleep(PROBE_PAUSE).await;
             }
             lock(&self.state).far_refuses = false;
-            self.regate();
+            self.update_listener();
         }
         result
     }
 
-    /// Whether this is the first connection that the far end refused.
-    fn note_refusal(&self) -> bool {
+    /// Records that the far end refuses connections; returns whether this was not known before.
+    fn set_far_refuses(&self) -> bool {
         let mut state = lock(&self.state);
         !std::mem::replace(&mut state.far_refuses, true)
     }
 
-    /// When bytes read now arrive.
-    fn due(&self, direction: Direction, length: usize) -> Instant {
+    /// Returns the time at which bytes that are read now are due, and counts them against the bandwidth.
+    fn schedule(&self, direction: Direction, length: usize) -> Instant {
         let mut state = lock(&self.state);
         let flow = state.fault.flow(direction);
         let now = Instant::now();
-        let free = &mut state.free[direction as usize];
-        let mut sent = free.map_or(now, |free| free.max(now));
+        let last_sent_at = &mut state.sent_at[direction as usize];
+        let mut sent_at = last_sent_at.map_or(now, |last| last.max(now));
         if flow.bytes_per_s > 0 {
-            sent += Duration::from_secs_f64(length as f64 / flow.bytes_per_s as f64);
+            sent_at += Duration::from_secs_f64(length as f64 / flow.bytes_per_s as f64);
         }
-        *free = Some(sent);
-        sent + Duration::from_micros(flow.delay_us)
+        *last_sent_at = Some(sent_at);
+        sent_at + Duration::from_micros(flow.delay_us)
     }
 
-    /// Waits until a piece may arrive; answers the cut in force and the fault's generation.
-    async fn arrive(&self, direction: Direction, due: Instant) -> io::Result<(Option<u64>, u64)> {
+    /// Waits until a chunk may be sent; returns [`Flow::cut_after`] and the fault's generation.
+    async fn wait_until_due(
+        &self,
+        direction: Direction,
+        due: Instant,
+    ) -> io::Result<(Option<u64>, u64)> {
         let mut changes = self.changed.subscribe();
         loop {
             let (flow, generation) = {
                 let state = lock(&self.state);
-                if state.stopped {
+                if state.is_stopped {
                     return Err(io::ErrorKind::ConnectionAborted.into());
                 }
                 (state.fault.flow(direction), state.generation)
@@ -419,22 +439,22 @@
     }
 }
 
-/// Takes a new connection.
-fn open(shared: &Arc<Shared>, id: u64, near: TcpStream) {
+/// Starts the task of a new connection, or resets the connection.
+fn start_connection(shared: &Arc<Shared>, id: u64, near: TcpStream) {
     let state = lock(&shared.state);
-    let full = state.connections.len() >= MAX_CONNECTIONS;
-    if full || state.fault.accept == Accept::Reset {
+    let is_full = state.connections.len() >= MAX_CONNECTIONS;
+    if is_full || state.fault.accept == Accept::Reset {
         listen::reset(&near);
         return;
     }
     drop(state);
     let shared = Arc::clone(shared);
-    // A connection that can't be joined ends, which the connecting side sees.
-    tokio::spawn(async move { drop(join(&shared, id, near).await) });
+    // After an error the connection is dropped, so that the connecting side sees it end.
+    tokio::spawn(async move { drop(run_connection(&shared, id, near).await) });
 }
 
-/// Joins a connection to the far end until both directions have ended.
-async fn join(shared: &Arc<Shared>, id: u64, near: TcpStream) -> io::Result<()> {
+/// Connects to the far end and forwards bytes until both directions have ended.
+async fn run_connection(shared: &Arc<Shared>, id: u64, near: TcpStream) -> io::Result<()> {
     let far = match shared.connect(&near).await {
         Ok(far) => far,
         Err(error) => {
@@ -446,61 +466,67 @@
     let connection = Arc::new(Connection {
         near,
         far,
-        reset: AtomicBool::new(false),
+        is_reset: AtomicBool::new(false),
     });
     lock(&shared.state)
         .connections
         .insert(id, Arc::clone(&connection));
     tokio::join!(
-        carry(shared, &connection, Direction::Forth),
-        carry(shared, &connection, Direction::Back)
+        forward(shared, &connection, Direction::Forth),
+        forward(shared, &connection, Direction::Back)
     );
     lock(&shared.state).connections.remove(&id);
     Ok(())
 }
 
-/// Carries one direction until it has ended.
-async fn carry(shared: &Shared, connection: &Connection, direction: Direction) {
-    let (sender, receiver) = mpsc::channel(QUEUE);
+/// Forwards the bytes of one direction until it has ended.
+async fn forward(shared: &Shared, connection: &Connection, direction: Direction) {
+    let (sender, receiver) = mpsc::channel(MAX_CHUNKS_IN_FLIGHT);
     let writer = async {
-        if write(shared, connection, direction, receiver)
+        if write_chunks(shared, connection, direction, receiver)
             .await
             .is_err()
         {
-            connection.cut();
+            connection.close();
         }
     };
-    tokio::join!(read(shared, connection, direction, sender), writer);
+    tokio::join!(read_chunks(shared, connection, direction, sender), writer);
 }
 
-async fn read(shared: &Shared, connection: &Connection, direction: Direction, to: Sender<Due>) {
+/// Reads chunks and passes them to the writer with the times at which they are due.
+async fn read_chunks(
+    shared: &Shared,
+    connection: &Connection,
+    direction: Direction,
+    writer: Sender<ScheduledChunk>,
+) {
     let (from, _) = connection.streams(direction);
     loop {
-        let piece = match receive(from).await {
-            Ok(bytes) if bytes.is_empty() => Piece::End,
-            Ok(bytes) => Piece::Bytes(bytes),
-            Err(_) => Piece::Reset,
+        let chunk = match receive(from).await {
+            Ok(bytes) if bytes.is_empty() => Chunk::End,
+            Ok(bytes) => Chunk::Bytes(bytes),
+            Err(_) => Chunk::Reset,
         };
-        let length = if let Piece::Bytes(bytes) = &piece {
+        let length = if let Chunk::Bytes(bytes) = &chunk {
             bytes.len()
         } else {
             0
         };
-        let due = shared.due(direction, length);
-        if to.send((due, piece)).await.is_err() || length == 0 {
+        let due = shared.schedule(direction, length);
+        if writer.send((due, chunk)).await.is_err() || length == 0 {
             return;
         }
     }
 }
 
-/// The next bytes; none at the end.
+/// Receives the next bytes; none at the end of the stream.
 async fn receive(from: &TcpStream) -> io::Result<Vec<u8>> {
     loop {
         from.readable().await?;
-        let mut buffer = Vec::with_capacity(CHUNK);
+        let mut buffer = Vec::with_capacity(MAX_CHUNK_BYTES);
         match from.try_read_buf(&mut buffer) {
             Ok(_) => {
-                // Many small pieces may be under way.
+                // Many small chunks may be in flight, each with a buffer of its own.
                 buffer.shrink_to_fit();
                 return Ok(buffer);
             }
@@ -510,36 +536,37 @@
     }
 }
 
-async fn write(
+/// Sends chunks when they are due, until the direction ends or the fault closes the connection.
+async fn write_chunks(
     shared: &Shared,
     connection: &Connection,
     direction: Direction,
-    mut from: Receiver<Due>,
+    mut chunks: Receiver<ScheduledChunk>,
 ) -> io::Result<()> {
     let (_, to) = connection.streams(direction);
     let mut sent = 0;
-    let mut seen = 0;
-    while let Some((due, piece)) = from.recv().await {
-        let (cut_after, generation) = shared.arrive(direction, due).await?;
-        if generation != seen {
-            seen = generation;
+    let mut last_generation = 0;
+    while let Some((due, chunk)) = chunks.recv().await {
+        let (cut_after, generation) = shared.wait_until_due(direction, due).await?;
+        if generation != last_generation {
+            last_generation = generation;
             sent = 0;
         }
-        match piece {
-            Piece::Bytes(bytes) => {
-                let room = cut_after.map_or(u64::MAX, |limit| limit - sent);
-                let passed = (bytes.len() as u64).min(room) as usize;
-                let all = send(to, &bytes[..passed]);
-                tokio::time::timeout(WRITE_TIMEOUT, all).await??;
-                sent += passed as u64;
-                lock(&shared.state).bytes[direction as usize] += passed as u64;
+        match chunk {
+            Chunk::Bytes(bytes) => {
+                let allowed = cut_after.map_or(u64::MAX, |limit| limit - sent);
+                let length = (bytes.len() as u64).min(allowed) as usize;
+                let write = send(to, &bytes[..length]);
+                tokio::time::timeout(WRITE_TIMEOUT, write).await??;
+                sent += length as u64;
+                lock(&shared.state).bytes[direction as usize] += length as u64;
                 if cut_after == Some(sent) {
                     return Err(io::ErrorKind::ConnectionAborted.into());
                 }
             }
-            Piece::End if connection.reset.load(Ordering::Relaxed) => return Ok(()),
-            Piece::End => return SockRef::from(to).shutdown(Shutdown::Write),
-            Piece::Reset => {
+            Chunk::End if connection.is_reset.load(Ordering::Relaxed) => return Ok(()),
+            Chunk::End => return SockRef::from(to).shutdown(Shutdown::Write),
+            Chunk::Reset => {
                 connection.reset();
                 return Ok(());
             }
--- a/standin/src/listen.rs
+++ b/standin/src/listen.rs
@@ -1,7 +1,7 @@
 //! A listener that can stop listening and start again on the same port.
 //!
-//! A bound socket that never listens holds the port, so that connections are refused meanwhile
-//! and nobody else takes it.
+//! A second socket is bound to the port and never listens. It reserves the port, so that connections
+//! are refused while the listener is closed and no other process can bind the port.
 
 use std::io;
 use std::net::{Shutdown, SocketAddr};
@@ -18,22 +18,22 @@
 use crate::{lock, runtime, Error};
 
 const BACKLOG: i32 = 1024;
-/// Pause after a failed accept or bind.
+/// Pause after a failed accept; the pause after a failed bind is ten times as long.
 const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Whether connections are accepted.
+/// Whether a listener accepts connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Gate {
-    /// Accepted.
+pub(crate) enum ListenerState {
+    /// Connections are accepted.
     Open,
-    /// Refused by the kernel.
+    /// Connections are refused by the kernel.
     Closed,
-    /// The listener ends for good.
+    /// The listener has ended and can't be opened again.
     Stopped,
 }
 
 struct State {
-    gate: Gate,
+    status: ListenerState,
     listener: Option<Arc<TcpListener>>,
 }
 
@@ -42,40 +42,41 @@
     changed: Notify,
     runtime: Handle,
     address: SocketAddr,
-    _holder: Socket,
+    /// Reserves the port.
+    _reservation: Socket,
 }
 
-/// A listening address with a task that accepts.
+/// A listening address and the task that accepts its connections.
 pub(crate) struct Listener {
     shared: Arc<Shared>,
     task: JoinHandle<()>,
 }
 
 impl Listener {
-    /// Listens on `address` and hands each connection to `accept`, which must not wait.
+    /// Listens on `address` and passes each connection to `accept`, which must not block.
     pub(crate) fn new(
         address: SocketAddr,
         accept: impl FnMut(TcpStream) + Send + 'static,
     ) -> Result<Self, Error> {
-        let failed = |source| Error::Listen { address, source };
+        let listen_error = |source| Error::Listen { address, source };
         let runtime = runtime::handle()?;
-        let holder = bind(address).map_err(failed)?;
-        let address = holder.local_addr().map_err(failed)?;
+        let reservation = bind(address).map_err(listen_error)?;
+        let address = reservation.local_addr().map_err(listen_error)?;
         let address = address
             .as_socket()
-            .ok_or_else(|| failed(io::Error::other("no IP")))?;
-        let first = listen(&runtime, address).map_err(failed)?;
+            .ok_or_else(|| listen_error(io::Error::other("not an IP address")))?;
+        let first = listen(&runtime, address).map_err(listen_error)?;
         let shared = Arc::new(Shared {
             state: Mutex::new(State {
-                gate: Gate::Open,
+                status: ListenerState::Open,
                 listener: Some(Arc::new(first)),
             }),
             changed: Notify::new(),
             runtime: runtime.clone(),
             address,
-            _holder: holder,
+            _reservation: reservation,
         });
-        let task = runtime.spawn(run(Arc::clone(&shared), accept));
+        let task = runtime.spawn(accept_connections(Arc::clone(&shared), accept));
         Ok(Self { shared, task })
     }
 
@@ -83,35 +84,35 @@
         self.shared.address
     }
 
-    /// Opens or closes the gate. When this returns after closing, connections are refused.
-    pub(crate) fn set(&self, gate: Gate) {
-        set(&self.shared, gate);
+    /// Opens or closes the listener. After a close, connections are refused once this returns.
+    pub(crate) fn set_state(&self, status: ListenerState) {
+        set_state(&self.shared, status);
     }
 
-    /// A handle that sets the gate from elsewhere.
-    pub(crate) fn setter(&self) -> impl Fn(Gate) + Send + Sync + 'static {
+    /// A function that sets the state without a reference to the listener.
+    pub(crate) fn state_setter(&self) -> impl Fn(ListenerState) + Send + Sync + 'static {
         let shared = Arc::clone(&self.shared);
-        move |gate| set(&shared, gate)
+        move |status| set_state(&shared, status)
     }
 }
 
 impl Drop for Listener {
     fn drop(&mut self) {
-        self.set(Gate::Stopped);
+        self.set_state(ListenerState::Stopped);
         self.task.abort();
     }
 }
 
-fn set(shared: &Shared, gate: Gate) {
+fn set_state(shared: &Shared, status: ListenerState) {
     let mut state = lock(&shared.state);
-    if state.gate == Gate::Stopped {
+    if state.status == ListenerState::Stopped {
         return;
     }
-    state.gate = gate;
-    match (gate, &state.listener) {
-        (Gate::Open, None) => state.listener = shared.listen(),
-        (Gate::Closed | Gate::Stopped, Some(listener)) => {
-            // Ends the listening at once and wakes the accepting task.
+    state.status = status;
+    match (status, &state.listener) {
+        (ListenerState::Open, None) => state.listener = shared.listen(),
+        (ListenerState::Closed | ListenerState::Stopped, Some(listener)) => {
+            // Closes the listening socket at once and wakes the accepting task.
             let _ = SockRef::from(&**listener).shutdown(Shutdown::Both);
             state.listener = None;
         }
@@ -141,21 +142,22 @@
         listen(&self.runtime, self.address).ok().map(Arc::new)
     }
 
-    /// The listener to accept from, if there is one now.
+    /// The listening socket; opens one if the listener is open and has none. None if that fails.
     fn listener(&self) -> Option<Arc<TcpListener>> {
         let state = &mut *lock(&self.state);
-        if state.gate == Gate::Open && state.listener.is_none() {
+        if state.status == ListenerState::Open && state.listener.is_none() {
             state.listener = self.listen();
         }
         state.listener.clone()
     }
 }
 
-async fn run(shared: Arc<Shared>, mut accept: impl FnMut(TcpStream)) {
+/// Accepts connections until the task is aborted.
+async fn accept_connections(shared: Arc<Shared>, mut accept: impl FnMut(TcpStream)) {
     loop {
         let Some(listener) = shared.listener() else {
             let changed = shared.changed.notified();
-            // While the port cannot be had, it is tried again.
+            // A closed listener waits to be opened. An open one could not bind the port and tries again after the pause.
             let _ = tokio::time::timeout(RETRY_PAUSE * 10, changed).await;
             continue;
         };
@@ -166,9 +168,9 @@
     }
 }
 
-/// Ends a connection by a reset instead of an orderly end.
+/// Makes a connection end with a reset instead of an orderly close.
 ///
-/// The reset goes out when the last handle is dropped; a blocked reader wakes at once.
+/// The reset is sent when the last handle is dropped; a blocked reader wakes at once.
 pub(crate) fn reset(stream: &impl AsFd) {
     let socket = SockRef::from(stream);
     let _ = socket.set_linger(Some(Duration::ZERO));
--- a/standin/src/main.rs
+++ b/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Command line of the stand-ins.
+//! Command line that starts each stand-in as a process.
 
 use std::io::Write;
 use std::net::{IpAddr, SocketAddr};
@@ -17,10 +17,10 @@
 fn main() -> ExitCode {
     let matches = command().get_matches();
     let result = match matches.subcommand() {
-        Some(("platform", args)) => platform(args),
-        Some(("target", args)) => target(args),
-        Some(("link", args)) => link(args),
-        Some(("caller", args)) => caller(args),
+        Some(("platform", args)) => run_platform(args),
+        Some(("target", args)) => run_target(args),
+        Some(("link", args)) => run_link(args),
+        Some(("caller", args)) => run_caller(args),
         _ => Ok(()),
     };
     match result {
@@ -34,11 +34,11 @@
 
 fn command() -> Command {
     let listen = || {
-        address("listen")
+        address_arg("listen")
             .default_value("127.0.0.1:0")
-            .help("Where to listen")
+            .help("Address to listen on")
     };
-    let control = || address("control").help("Second address, for /standin/ calls only");
+    let control = || address_arg("control").help("Second address, for /standin/ calls only");
     let text = |name: &'static str, default: &'static str| {
         Arg::new(name).long(name).default_value(default)
     };
@@ -56,26 +56,32 @@
             number("slots", "4"),
             number("queue", "4"),
             number("connections", "400"),
-            number("work-ms", "0").help("Shortest service time"),
-            number("work-max-ms", "0").help("Longest service time"),
+            number("work-ms", "0").help("Shortest service time, in milliseconds"),
+            number("work-max-ms", "0").help("Longest service time, in milliseconds"),
             number("load-lag-ms", "0"),
             number("seed", "0"),
         ]))
-        .subcommand(Command::new("link").args([
-            listen(),
-            control(),
-            address("to").required(true).help("The far end"),
-            number("delay-us", "0").help("Delay each way"),
-        ]))
+        .subcommand(
+            Command::new("link").args([
+                listen(),
+                control(),
+                address_arg("to")
+                    .required(true)
+                    .help("Address of the far end"),
+                number("delay-us", "0").help("Delay in each direction, in microseconds"),
+            ]),
+        )
         .subcommand(
             Command::new("caller").args([
-                address("entry").required(true).action(ArgAction::Append),
+                address_arg("entry")
+                    .required(true)
+                    .action(ArgAction::Append),
                 Arg::new("client")
                     .long("client")
                     .action(ArgAction::Append)
                     .value_parser(value_parser!(IpAddr))
                     .default_value("127.0.0.1")
-                    .help("Source address"),
+                    .help("Source address of a client"),
                 text("name", "caller"),
                 text("service", "service"),
                 text("class", "class"),
@@ -95,44 +101,44 @@
                 Arg::new("answer-bytes")
                     .long("answer-bytes")
                     .value_parser(value_parser!(u64)),
-                flag("keyed").help("Non-idempotent calls, with a key and a ticket"),
-                flag("direct").help("The entries are targets; no look-ups"),
+                flag("keyed").help("Makes non-idempotent calls, with a key and a ticket"),
+                flag("direct").help("Uses the entries as targets, without look-ups"),
                 flag("records").help("Prints each call's record as a line of JSON"),
             ]),
         )
 }
 
-fn address(name: &'static str) -> Arg {
+fn address_arg(name: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .value_name("IP:PORT")
         .value_parser(value_parser!(SocketAddr))
 }
 
-fn text<'a>(args: &'a ArgMatches, name: &str) -> &'a str {
+fn text_value<'a>(args: &'a ArgMatches, name: &str) -> &'a str {
     args.get_one::<String>(name).map_or("", String::as_str)
 }
 
-fn number(args: &ArgMatches, name: &str) -> u64 {
+fn number_value(args: &ArgMatches, name: &str) -> u64 {
     args.get_one(name).copied().unwrap_or_default()
 }
 
-fn ms(args: &ArgMatches, name: &str) -> Duration {
-    Duration::from_millis(number(args, name))
+fn millis_value(args: &ArgMatches, name: &str) -> Duration {
+    Duration::from_millis(number_value(args, name))
 }
 
-fn listen(args: &ArgMatches) -> SocketAddr {
+fn listen_address(args: &ArgMatches) -> SocketAddr {
     args.get_one("listen")
         .copied()
         .unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)))
 }
 
-fn control(args: &ArgMatches) -> Option<SocketAddr> {
+fn control_address(args: &ArgMatches) -> Option<SocketAddr> {
     args.get_one("control").copied()
 }
 
-/// Says where it listens and runs until the process is ended.
-fn serve(address: SocketAddr, control: Option<SocketAddr>) -> Result<(), Error> {
+/// Prints the listening addresses and blocks until the process is ended.
+fn run_forever(address: SocketAddr, control: Option<SocketAddr>) -> Result<(), Error> {
     println!("listening on {address}");
     if let Some(control) = control {
         println!("control on {control}");
@@ -143,49 +149,52 @@
     }
 }
 
-fn platform(args: &ArgMatches) -> Result<(), Error> {
-    let mut platform = Platform::new(listen(args))?;
-    if let Some(control) = control(args) {
+fn run_platform(args: &ArgMatches) -> Result<(), Error> {
+    let mut platform = Platform::new(listen_address(args))?;
+    if let Some(control) = control_address(args) {
         platform = platform.with_control(control)?;
     }
-    serve(platform.address(), platform.control_address())
+    run_forever(platform.address(), platform.control_address())
 }
 
-fn target(args: &ArgMatches) -> Result<(), Error> {
-    let shortest = ms(args, "work-ms");
-    let longest = shortest.max(ms(args, "work-max-ms"));
-    let settings = target::Settings::new(text(args, "name"), number(args, "slots") as usize)
-        .with_zone(text(args, "zone"))
-        .with_queue(number(args, "queue") as usize)
-        .with_connections(number(args, "connections") as usize)
-        .with_service_time(
-            target::ServiceTime { shortest, longest },
-            number(args, "seed"),
-        )
-        .with_load_lag(ms(args, "load-lag-ms"));
-    let mut target = Target::new(listen(args), settings)?;
-    if let Some(control) = control(args) {
+fn run_target(args: &ArgMatches) -> Result<(), Error> {
+    let shortest = millis_value(args, "work-ms");
+    let longest = shortest.max(millis_value(args, "work-max-ms"));
+    let settings = target::Settings::new(
+        text_value(args, "name"),
+        number_value(args, "slots") as usize,
+    )
+    .with_zone(text_value(args, "zone"))
+    .with_queue(number_value(args, "queue") as usize)
+    .with_connections(number_value(args, "connections") as usize)
+    .with_service_time(
+        target::ServiceTime { shortest, longest },
+        number_value(args, "seed"),
+    )
+    .with_load_lag(millis_value(args, "load-lag-ms"));
+    let mut target = Target::new(listen_address(args), settings)?;
+    if let Some(control) = control_address(args) {
         target = target.with_control(control)?;
     }
-    serve(target.address(), target.control_address())
+    run_forever(target.address(), target.control_address())
 }
 
-fn link(args: &ArgMatches) -> Result<(), Error> {
-    let to = args
+fn run_link(args: &ArgMatches) -> Result<(), Error> {
+    let far_address = args
         .get_one("to")
         .copied()
-        .ok_or(Error::Settings("no far end"))?;
-    let mut link = Link::new(listen(args), to)?;
-    link.set_fault(link::Fault::delay(Duration::from_micros(number(
+        .ok_or(Error::Settings("the address of the far end is missing"))?;
+    let mut link = Link::new(listen_address(args), far_address)?;
+    link.set_fault(link::Fault::delay(Duration::from_micros(number_value(
         args, "delay-us",
     ))));
-    if let Some(control) = control(args) {
+    if let Some(control) = control_address(args) {
         link = link.with_control(control)?;
     }
-    serve(link.address(), link.control_address())
+    run_forever(link.address(), link.control_address())
 }
 
-fn caller(args: &ArgMatches) -> Result<(), Error> {
+fn run_caller(args: &ArgMatches) -> Result<(), Error> {
     let entries = args
         .get_many("entry")
         .into_iter()
@@ -199,21 +208,25 @@
         .copied()
         .collect();
     let body = (
-        number(args, "body-min") as usize,
-        number(args, "body-max") as usize,
+        number_value(args, "body-min") as usize,
+        number_value(args, "body-max") as usize,
     );
     let rate = args.get_one("rate").copied().unwrap_or(10.0);
-    let mut settings = caller::Settings::new(text(args, "name"), text(args, "service"), entries)
-        .with_names(text(args, "class"), text(args, "region"))
-        .with_clients(clients)
-        .with_rate(rate, number(args, "seed"))
-        .with_threads(number(args, "threads") as usize)
-        .with_deadline(ms(args, "deadline-ms"))
-        .with_request(text(args, "method"), text(args, "path"), body)
-        .with_end(
-            number(args, "count"),
-            Duration::from_secs(number(args, "seconds")),
-        );
+    let mut settings = caller::Settings::new(
+        text_value(args, "name"),
+        text_value(args, "service"),
+        entries,
+    )
+    .with_names(text_value(args, "class"), text_value(args, "region"))
+    .with_clients(clients)
+    .with_rate(rate, number_value(args, "seed"))
+    .with_threads(number_value(args, "threads") as usize)
+    .with_deadline(millis_value(args, "deadline-ms"))
+    .with_request(text_value(args, "method"), text_value(args, "path"), body)
+    .with_end(
+        number_value(args, "count"),
+        Duration::from_secs(number_value(args, "seconds")),
+    );
     if let Some(length) = args.get_one::<u64>("answer-bytes") {
         settings = settings.with_response_bytes(*length as usize);
     }
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -1,20 +1,20 @@
 //! The platform's object API, in memory.
 //!
-//! - `GET /v1/objects/KEY` answers the value with its version as `ETag: "N"`. `PUT` (any JSON, up
-//!   to [`MAX_VALUE`] bytes, else 413) and `DELETE` answer `{"version":N}`; both honour `If-Match`
-//!   and `If-None-Match: *` and answer 412 on a lost race. Keys may contain slashes. Versions come
-//!   from one rising counter.
-//! - `GET /v1/objects?prefix=P` answers `{"version":N,"objects":[{"key","version","value"}]}`.
+//! - `GET /v1/objects/KEY` returns the value with its version as `ETag: "N"`. `PUT` (any JSON, up
+//!   to [`MAX_VALUE_BYTES`] bytes, else 413) and `DELETE` return `{"version":N}`; both support
+//!   `If-Match` and `If-None-Match: *` and return 412 if the condition fails. Keys may contain
+//!   slashes. Versions come from one increasing counter.
+//! - `GET /v1/objects?prefix=P` returns `{"version":N,"objects":[{"key","version","value"}]}`.
 //! - `GET /v1/watch?prefix=P&after=N&timeout_ms=T` waits for a change later than version N and
-//!   answers `{"version":N,"events":[{"key","version","value"|null}]}`, with no events when the
-//!   time is up. Each key appears once, with its latest change; `null` is a deletion. The next
-//!   watch goes on after the answered version.
-//! - `GET /v1/hosts` answers `{"hosts":[{"host","state":"live"|"leaving"}]}`.
+//!   returns `{"version":N,"events":[{"key","version","value"|null}]}`, without events after the
+//!   time-out. Each key appears once, with its latest change; `null` is a deletion. The next watch
+//!   continues after the returned version.
+//! - `GET /v1/hosts` returns `{"hosts":[{"host","state":"live"|"leaving"}]}`.
 //!
-//! The test's side: `POST /standin/fault` takes a [`Fault`], `GET /standin/calls` answers
-//! [`Calls`], `PUT /standin/hosts` takes the list of hosts (`{"hosts":[..]}`). While connections
-//! are refused these are reachable at the control address only, and the call that sets such a
-//! fault is answered there only.
+//! For tests, `POST /standin/fault` sets a [`Fault`], `GET /standin/calls` returns [`Calls`] and
+//! `PUT /standin/hosts` sets the list of hosts (`{"hosts":[..]}`). While connections are refused
+//! these are reachable at the control address only, and the call that sets such a fault gets a
+//! response at that address only.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,58 +26,58 @@
 use serde_json::value::RawValue;
 
 use crate::http::{Reply, Request, Response, Server};
-use crate::listen::Gate;
+use crate::listen::ListenerState;
 use crate::{lock, Error};
 
 /// Largest value of an object, in bytes.
-pub const MAX_VALUE: usize = 1_000_000;
+pub const MAX_VALUE_BYTES: usize = 1_000_000;
 /// Longest wait of a watch.
-const MAX_WATCH: Duration = Duration::from_secs(60);
-/// Most connections at once, which bounds the waiting watches as well.
+const MAX_WATCH_TIME: Duration = Duration::from_secs(60);
+/// Limit of open connections, which also limits the waiting watches.
 const MAX_CONNECTIONS: usize = 4096;
 
-/// Whether calls are served.
+/// How the platform handles calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Availability {
-    /// Served.
+    /// Calls are served.
     #[default]
     Up,
-    /// Answered with 503.
+    /// Calls get a 503 response.
     Unavailable,
-    /// Connections end without an answer.
+    /// Connections are closed without a response.
     Closed,
-    /// Connections are refused, and open ones ended.
+    /// Connections are refused, and open ones closed.
     Refused,
 }
 
-/// What the platform does wrong. The default is nothing.
+/// The faults of the platform; none by default.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fault {
-    /// Whether calls are served.
+    /// How calls are handled.
     pub availability: Availability,
     /// Time added to each call, in milliseconds.
     pub slow_ms: u64,
-    /// Every nth write takes effect and is not answered; 0 is none.
+    /// Every nth write takes effect but gets no response; 0 for none.
     pub lose_answers: u64,
-    /// Every nth answer of a watch leaves its events out; 0 is none.
+    /// Every nth response of a watch that has events omits them; 0 for none.
     pub skip_events: u64,
-    /// Each answer of a watch tells all earlier events again.
+    /// Each response of a watch that has events repeats the earlier ones.
     pub repeat_events: bool,
-    /// The host list stays as it was when the fault began.
+    /// The host list is returned as it was when the fault was set.
     pub stale_hosts: bool,
-    /// Watches that wait when the fault begins are never answered, and their connections stay open.
+    /// Watches that wait when the fault is set never get a response, and their connections stay open.
     pub hang_watches: bool,
 }
 
-/// Whether a host is in use.
+/// The state of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
-    /// In use.
+    /// The host is in use.
     Live,
-    /// About to stop.
+    /// The host is about to stop.
     Leaving,
 }
 
@@ -86,7 +86,7 @@
 pub struct Host {
     /// Its name.
     pub host: Arc<str>,
-    /// Whether it is in use.
+    /// Its state.
     pub state: HostState,
 }
 
@@ -95,14 +95,14 @@
     hosts: Vec<Host>,
 }
 
-/// Calls since the start, by kind.
+/// Counts of calls since the start, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Calls {
-    /// Objects read.
+    /// Reads of an object.
     pub get: u64,
-    /// Objects written, lost races included.
+    /// Writes of an object, including conflicts.
     pub put: u64,
-    /// Objects deleted, lost races included.
+    /// Deletions of an object, including conflicts.
     pub delete: u64,
     /// Lists of objects.
     pub list: u64,
@@ -110,17 +110,17 @@
     pub watch: u64,
     /// Reads of the host list.
     pub hosts: u64,
-    /// Writes that lost a race, of those above.
+    /// Writes and deletions whose condition failed; counted above as well.
     pub conflicts: u64,
-    /// Writes that took effect without an answer, of those above.
+    /// Writes and deletions that took effect without a response; counted above as well.
     pub lost_answers: u64,
-    /// Calls that met an outage; they are not among the others.
+    /// Calls during an outage; not counted above.
     pub refused: u64,
 }
 
 struct Object {
     version: u64,
-    /// None once deleted.
+    /// None if the object is deleted.
     value: Option<Arc<RawValue>>,
 }
 
@@ -134,9 +134,9 @@
     calls: Calls,
     writes: u64,
     watch_answers: u64,
-    /// How often the watches that waited were left hanging.
-    hung: u64,
-    stopped: bool,
+    /// How often [`Fault::hang_watches`] was set.
+    hang_count: u64,
+    is_stopped: bool,
 }
 
 #[derive(Serialize)]
@@ -173,7 +173,7 @@
 }
 
 impl Platform {
-    /// Starts an empty platform; port 0 takes a free one.
+    /// Starts a platform without objects; with port 0 it listens on a free port.
     pub fn new(listen: SocketAddr) -> Result<Self, Error> {
         let shared = Arc::new(Shared::default());
         let inner = Arc::clone(&shared);
@@ -189,30 +189,30 @@
         })
     }
 
-    /// Serves `/standin/` at a second address as well, which no fault reaches.
+    /// Also serves `/standin/` at a second address, which faults do not affect.
     pub fn with_control(mut self, listen: SocketAddr) -> Result<Self, Error> {
         let shared = Arc::clone(&self.shared);
-        let handler = move |request: Request| Reply::from(shared.control(&request));
+        let handler = move |request: Request| Reply::from(shared.serve_control(&request));
         self.control = Some(Server::new(listen, MAX_CONNECTIONS, handler)?);
         Ok(self)
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Where it takes control calls, if there is a second address.
+    /// The second address, for control calls, if there is one.
     pub fn control_address(&self) -> Option<SocketAddr> {
         self.control.as_ref().map(Server::address)
     }
 
-    /// Replaces the faults shown.
+    /// Replaces the faults in force.
     pub fn set_fault(&self, fault: Fault) {
         self.shared.set_fault(fault);
     }
 
-    /// Calls since the start.
+    /// The counts of calls since the start.
     pub fn calls(&self) -> Calls {
         lock(&self.shared.state).calls
     }
@@ -222,7 +222,7 @@
         lock(&self.shared.state).hosts = hosts;
     }
 
-    /// An object's version and value, read without a call.
+    /// Returns an object's version and value without counting a call.
     pub fn object(&self, key: &str) -> Option<(u64, String)> {
         let state = lock(&self.shared.state);
         let object = state.objects.get(key)?;
@@ -233,7 +233,7 @@
 
 impl Drop for Platform {
     fn drop(&mut self) {
-        lock(&self.shared.state).stopped = true;
+        lock(&self.shared.state).is_stopped = true;
         self.shared.changed.notify_all();
     }
 }
@@ -244,29 +244,33 @@
         if fault.stale_hosts && !state.fault.stale_hosts {
             state.stale_hosts = state.hosts.clone();
         }
-        state.hung += u64::from(fault.hang_watches && !state.fault.hang_watches);
+        state.hang_count += u64::from(fault.hang_watches && !state.fault.hang_watches);
         state.fault = fault;
-        let refused = state.fault.availability == Availability::Refused;
+        let is_refused = state.fault.availability == Availability::Refused;
         drop(state);
         self.changed.notify_all();
         let Some(server) = self.server.get().and_then(Weak::upgrade) else {
             return;
         };
-        server.set(if refused { Gate::Closed } else { Gate::Open });
-        if refused {
+        server.set_listener_state(if is_refused {
+            ListenerState::Closed
+        } else {
+            ListenerState::Open
+        });
+        if is_refused {
             server.close_connections();
         }
     }
 
     fn serve(&self, request: &Request) -> Reply {
         if request.path.starts_with("/standin/") {
-            return self.control(request).into();
+            return self.serve_control(request).into();
         }
-        let (availability, slow) = {
+        let (availability, slow_ms) = {
             let state = lock(&self.state);
             (state.fault.availability, state.fault.slow_ms)
         };
-        thread::sleep(Duration::from_millis(slow));
+        thread::sleep(Duration::from_millis(slow_ms));
         if availability != Availability::Up {
             lock(&self.state).calls.refused += 1;
             return match availability {
@@ -286,7 +290,7 @@
         }
     }
 
-    fn control(&self, request: &Request) -> Response {
+    fn serve_control(&self, request: &Request) -> Response {
         match (request.method.as_str(), request.path.as_str()) {
             ("POST", "/standin/fault") => match serde_json::from_slice(&request.body) {
                 Ok(fault) => {
@@ -322,7 +326,7 @@
 
     fn write(&self, key: &str, request: &Request, change: Change) -> Reply {
         let value = match change {
-            Change::Put if request.body.len() > MAX_VALUE => {
+            Change::Put if request.body.len() > MAX_VALUE_BYTES => {
                 return Response::error(413, "the value is too large").into();
             }
             Change::Put => match serde_json::from_slice::<Box<RawValue>>(&request.body) {
@@ -336,16 +340,16 @@
             Change::Put => state.calls.put += 1,
             Change::Delete => state.calls.delete += 1,
         }
-        let current = state
+        let current_version = state
             .objects
             .get(key)
             .filter(|o| o.value.is_some())
             .map(|o| o.version);
-        if !condition_holds(request, current) {
+        if !is_condition_met(request, current_version) {
             state.calls.conflicts += 1;
             return Response::error(412, "the object has changed").into();
         }
-        if current.is_none() && change == Change::Delete {
+        if current_version.is_none() && change == Change::Delete {
             return Response::error(404, "no such object").into();
         }
         state.version += 1;
@@ -354,14 +358,14 @@
             .objects
             .insert(key.to_owned(), Object { version, value });
         state.writes += 1;
-        let lost = is_nth(state.writes, state.fault.lose_answers);
-        state.calls.lost_answers += u64::from(lost);
+        let is_lost = is_nth(state.writes, state.fault.lose_answers);
+        state.calls.lost_answers += u64::from(is_lost);
         drop(state);
         self.changed.notify_all();
-        if lost {
+        if is_lost {
             return Reply::Close;
         }
-        let status = if current.is_none() { 201 } else { 200 };
+        let status = if current_version.is_none() { 201 } else { 200 };
         Response::json(status, &BTreeMap::from([("version", version)]))
             .with_header("ETag", format_args!("\"{version}\""))
             .into()
@@ -370,7 +374,7 @@
     fn list(&self, request: &Request) -> Response {
         let mut state = lock(&self.state);
         state.calls.list += 1;
-        let mut objects = changes(&state, prefix(request), 0);
+        let mut objects = latest_changes(&state, query_prefix(request), 0);
         objects.retain(|entry| entry.value.is_some());
         let version = state.version;
         drop(state);
@@ -378,34 +382,35 @@
     }
 
     fn watch(&self, request: &Request) -> Reply {
-        let number = |name| {
+        let query_number = |name| {
             request
                 .query
                 .get(name)
                 .and_then(|text: &String| text.parse().ok())
         };
-        let after: u64 = number("after").unwrap_or(0);
-        let timeout = Duration::from_millis(number("timeout_ms").unwrap_or(0)).min(MAX_WATCH);
+        let after: u64 = query_number("after").unwrap_or(0);
+        let timeout =
+            Duration::from_millis(query_number("timeout_ms").unwrap_or(0)).min(MAX_WATCH_TIME);
         let end = Instant::now() + timeout;
         let mut state = lock(&self.state);
         state.calls.watch += 1;
-        let begun = state.hung;
+        let initial_hang_count = state.hang_count;
         loop {
-            if state.stopped || state.fault.availability != Availability::Up {
+            if state.is_stopped || state.fault.availability != Availability::Up {
                 return Reply::Close;
             }
-            if state.hung > begun {
+            if state.hang_count > initial_hang_count {
                 let waited = self.changed.wait(state);
                 state = waited.unwrap_or_else(PoisonError::into_inner);
                 continue;
             }
-            let mut events = changes(&state, prefix(request), after);
-            let left = end.saturating_duration_since(Instant::now());
-            if !events.is_empty() || left.is_zero() {
+            let mut events = latest_changes(&state, query_prefix(request), after);
+            let time_left = end.saturating_duration_since(Instant::now());
+            if !events.is_empty() || time_left.is_zero() {
                 if !events.is_empty() {
                     state.watch_answers += 1;
                     if state.fault.repeat_events {
-                        events = changes(&state, prefix(request), 0);
+                        events = latest_changes(&state, query_prefix(request), 0);
                     }
                     if is_nth(state.watch_answers, state.fault.skip_events) {
                         events.clear();
@@ -415,7 +420,7 @@
                 drop(state);
                 return Response::json(200, &Events { version, events }).into();
             }
-            let waited = self.changed.wait_timeout(state, left);
+            let waited = self.changed.wait_timeout(state, time_left);
             state = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
@@ -423,8 +428,8 @@
     fn hosts(&self) -> Response {
         let mut state = lock(&self.state);
         state.calls.hosts += 1;
-        let stale = state.fault.stale_hosts;
-        let hosts = if stale {
+        let is_stale = state.fault.stale_hosts;
+        let hosts = if is_stale {
             &state.stale_hosts
         } else {
             &state.hosts
@@ -444,12 +449,12 @@
     Delete,
 }
 
-fn prefix(request: &Request) -> &str {
+fn query_prefix(request: &Request) -> &str {
     request.query.get("prefix").map_or("", String::as_str)
 }
 
-/// The latest change of each key under `prefix` later than `after`, oldest first.
-fn changes(state: &State, prefix: &str, after: u64) -> Vec<Entry> {
+/// Returns the latest change of each key that starts with `prefix`, if later than version `after`, in the order of versions.
+fn latest_changes(state: &State, prefix: &str, after: u64) -> Vec<Entry> {
     let range = state.objects.range(prefix.to_owned()..);
     let mut entries: Vec<Entry> = range
         .take_while(|(key, _)| key.starts_with(prefix))
@@ -464,19 +469,20 @@
     entries
 }
 
-fn condition_holds(request: &Request, current: Option<u64>) -> bool {
+/// Whether `If-Match` and `If-None-Match` allow a write of an object with this version.
+fn is_condition_met(request: &Request, current_version: Option<u64>) -> bool {
     let expected = request.header("If-Match");
-    let matches = expected.is_none_or(|tag| match current {
+    let is_match = expected.is_none_or(|tag| match current_version {
         Some(version) => tag == "*" || tag == format!("\"{version}\""),
         None => false,
     });
-    let absent = request
+    let is_absent = request
         .header("If-None-Match")
-        .is_none_or(|_| current.is_none());
-    matches && absent
+        .is_none_or(|_| current_version.is_none());
+    is_match && is_absent
 }
 
-/// Whether `count` is a multiple of `n`, where 0 means never.
+/// Whether `count` is a multiple of `n`; never for 0.
 fn is_nth(count: u64, n: u64) -> bool {
     n > 0 && count.is_multiple_of(n)
 }
--- a/standin/src/target/mod.rs
+++ b/standin/src/target/mod.rs
@@ -31,7 +31,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::http::{Framing, Reply, Request, Response, Server};
-use crate::listen::Gate;
+use crate::listen::ListenerState;
 use crate::{lock, pattern, unix_us, Error};
 
 pub use journal::{Entry, Journal};
@@ -344,7 +344,11 @@
             return;
         };
         let is_closed = matches!(mode, Mode::Refuse | Mode::Crash);
-        server.set(if is_closed { Gate::Closed } else { Gate::Open });
+        server.set_listener_state(if is_closed {
+            ListenerState::Closed
+        } else {
+            ListenerState::Open
+        });
         if mode == Mode::Crash {
             server.close_connections();
         }
@@ -357,7 +361,7 @@
     fn counts(&self) -> Counts {
         let mut counts = lock(&self.state).counts;
         if let Some(server) = self.server() {
-            let (open, peak, over_limit) = server.connections();
+            let (open, peak, over_limit) = server.connection_counts();
             counts.connections = open;
             counts.max_connections = peak;
             counts.connections_over = over_limit;
--- a/standin/tests/platform.rs
+++ b/standin/tests/platform.rs
@@ -91,7 +91,7 @@
         assert_eq!(won, 1);
     };
     size_is_bounded: |platform: &Platform| {
-        let largest = format!("\"{}\"", "x".repeat(standin::platform::MAX_VALUE - 2));
+        let largest = format!("\"{}\"", "x".repeat(standin::platform::MAX_VALUE_BYTES - 2));
         assert_eq!(status(platform, "PUT", &[], &largest), 201);
         assert_eq!(status(platform, "PUT", &[], &format!("{largest} ")), 413);
         assert_eq!(status(platform, "PUT", &[], "{"), 400);
