--- a/src/bin/ragwortfold/demo/fault.rs
+++ b/src/bin/ragwortfold/demo/fault.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use serde_json::json;
-use standin::observer::{figure, Drain, Evidence, Loss, Span, Stop};
+use standin::observer::{statistics, Drain, Evidence, Loss, Span, Stop};
 use standin::platform::{self, Availability};
 use standin::target::{self, Mode};
 use standin::unix_us;
@@ -477,22 +477,22 @@
     let queries = |r: &&standin::caller::Record| world.shape(&r.service) == Shape::Query;
     for (kind, span) in &notes.spans {
         let records = evidence.records.iter().filter(queries);
-        let window = figure::error_window_ms(records.clone(), span);
+        let window = statistics::error_window_ms(records.clone(), span);
         let name = |what| format!("{}.{what}", kind.name());
         figures.insert(name("error_window_ms"), window as f64);
-        let attempts = figure::attempts(records.clone(), span);
+        let attempts = statistics::mean_attempts(records.clone(), span);
         figures.insert(name("attempts_per_call"), attempts);
-        let resent = figure::resent(records.clone(), span);
+        let resent = statistics::resent_share(records.clone(), span);
         figures.insert(name("answered_after_not_run"), resent);
         let capacity = surviving(world, evidence, span);
-        if let Some(goodput) = figure::goodput(records, span, capacity) {
+        if let Some(goodput) = statistics::goodput(records, span, capacity) {
             figures.insert(name("goodput"), goodput);
         }
     }
     if !evidence.drains.is_empty() {
         figures.insert(
             "drain.longest_request_ms".into(),
-            figure::longest_ms(evidence),
+            statistics::longest_run_ms(evidence),
         );
     }
     for drained in &notes.host_drains {
--- a/src/bin/ragwortfold/demo/mod.rs
+++ b/src/bin/ragwortfold/demo/mod.rs
@@ -117,7 +117,7 @@
     let records = callers.wait();
     let mut run = watch.finish(&world, records, notes);
     run.figures.extend(lag.figures());
-    let verdict = observer::judge(&run.world, &run.evidence);
+    let verdict = observer::find_violations(&run.world, &run.evidence);
     let summary = report::Summary::new(&run, &verdict);
     crate::print(&summary.text(config.format))?;
     if verdict.is_empty() {
--- a/src/bin/ragwortfold/demo/report.rs
+++ b/src/bin/ragwortfold/demo/report.rs
@@ -7,7 +7,7 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use standin::caller::Outcome;
-use standin::observer::{figure, Promise, Violation};
+use standin::observer::{statistics, Invariant, Violation};
 
 use super::watch::Run;
 use crate::table::Format;
@@ -44,19 +44,19 @@
 impl Summary {
     /// The results of a run and the observer's verdict on it.
     pub(crate) fn new(run: &Run, verdict: &[Violation]) -> Self {
-        let count = |promise: Promise| verdict.iter().filter(move |v| v.promise == promise);
-        let violations = Promise::ALL.map(|(promise, word)| (word, count(promise).count()));
-        let shown = Promise::ALL.map(|(promise, _)| count(promise).take(SHOWN));
+        let count = |promise: Invariant| verdict.iter().filter(move |v| v.invariant == promise);
+        let violations = Invariant::ALL.map(|(promise, word)| (word, count(promise).count()));
+        let shown = Invariant::ALL.map(|(promise, _)| count(promise).take(SHOWN));
         Self {
             classes: classes(run),
             headroom: headroom(run),
-            drain_ms: figure::drain_ms(&run.evidence),
+            drain_ms: statistics::longest_drain_ms(&run.evidence),
             figures: run.figures.clone(),
             violations: violations.into_iter().collect(),
             examples: shown
                 .into_iter()
                 .flatten()
-                .map(|v| v.what.clone())
+                .map(|v| v.description.clone())
                 .collect(),
         }
     }
@@ -118,7 +118,7 @@
             writeln!(text, "{name:<36}{value:>10.3}")?;
         }
         writeln!(text, "\nviolations")?;
-        for (promise, word) in Promise::ALL {
+        for (promise, word) in Invariant::ALL {
             let _ = promise;
             writeln!(text, "  {word:<16}{:>6}", self.violations[word])?;
         }
@@ -171,12 +171,12 @@
 
 /// The least free share of each region's slots, and of each link's bytes and requests.
 fn headroom(run: &Run) -> BTreeMap<String, f64> {
-    let regions = figure::headroom(&run.world, &run.evidence);
+    let regions = statistics::headroom(&run.world, &run.evidence);
     let mut headroom: BTreeMap<String, f64> = regions
         .into_iter()
         .map(|(name, share)| (name.to_string(), share))
         .collect();
-    let crossings = figure::crossings(&run.world, &run.evidence);
+    let crossings = statistics::peak_cross_region_calls(&run.world, &run.evidence);
     for (pair, (peak, limit)) in &run.links {
         let requests = crossings.get(pair).copied().unwrap_or(0) as f64 / limit.requests;
         let used = requests.max(peak / limit.bytes);
--- a/src/bin/ragwortfold/demo/watch.rs
+++ b/src/bin/ragwortfold/demo/watch.rs
@@ -9,7 +9,7 @@
 
 use serde::Deserialize;
 use standin::link::Link;
-use standin::observer::{self, Evidence, Sample};
+use standin::observer::{self, Evidence, RevisionSample};
 use standin::unix_us;
 
 use super::fault::Notes;
@@ -36,7 +36,7 @@
 #[derive(Default)]
 struct State {
     hosts: BTreeMap<Arc<str>, SocketAddr>,
-    samples: BTreeMap<Arc<str>, Vec<Sample>>,
+    samples: BTreeMap<Arc<str>, Vec<RevisionSample>>,
     /// The most bytes a second.
     peaks: BTreeMap<Pair, f64>,
 }
@@ -56,7 +56,7 @@
 /// All that is known of a run when it has ended.
 pub(crate) struct Run {
     /// What was configured.
-    pub(crate) world: observer::World,
+    pub(crate) world: observer::Deployment,
     /// What was written down.
     pub(crate) evidence: Evidence,
     /// Calls that callers could not make, by class.
@@ -195,7 +195,7 @@
         let hosts = lock(shared).hosts.clone();
         for (name, address) in hosts {
             if let Some((incarnation, revision)) = status(address) {
-                let sample = Sample {
+                let sample = RevisionSample {
                     at: unix_us(),
                     incarnation,
                     revision,
--- a/src/bin/ragwortfold/demo/world.rs
+++ b/src/bin/ragwortfold/demo/world.rs
@@ -20,7 +20,7 @@
 use serde_json::{json, Value};
 use standin::free_address;
 use standin::link::{Accept, Fault, Link};
-use standin::observer::{self, Cap, Place};
+use standin::observer::{self, Cap, TargetInfo};
 use standin::platform::{self, HostState, Platform};
 use standin::target::{self, ServiceTime, Target};
 
@@ -143,7 +143,7 @@
     /// What the operator configured.
     pub(crate) configuration: Configuration,
     /// The same for the observer.
-    pub(crate) facts: observer::World,
+    pub(crate) facts: observer::Deployment,
     /// The platform.
     pub(crate) platform: Platform,
     /// Targets by name.
@@ -419,7 +419,7 @@
     Ok(with_text("demo", &text.to_string(), &Overrides::default())?)
 }
 
-fn facts(configuration: &Configuration) -> observer::World {
+fn facts(configuration: &Configuration) -> observer::Deployment {
     let region = |zone: &str| {
         configuration.availability_zones[zone]
             .region
@@ -427,7 +427,7 @@
             .into()
     };
     let places = configuration.targets.iter().map(|(name, target)| {
-        let place = Place {
+        let place = TargetInfo {
             service: target.service.as_str().into(),
             zone: target.availability_zone.as_str().into(),
             region: region(&target.availability_zone),
@@ -435,12 +435,12 @@
         };
         (name.as_str().into(), place)
     });
-    observer::World {
+    observer::Deployment {
         targets: places.collect(),
-        planned: cap(configuration, "default"),
-        failover: cap(configuration, "failover"),
+        planned_cap: cap(configuration, "default"),
+        failover_cap: cap(configuration, "failover"),
         utilization: configuration.limits.utilization,
-        blocks: super::load::CLIENTS.into(),
+        client_blocks: super::load::CLIENTS.into(),
     }
 }
 
--- a/standin/src/crash.rs
+++ b/standin/src/crash.rs
@@ -1,7 +1,7 @@
-//! A target whose process a certain request crashes, and that is back as another process after a while.
+//! A target that crashes on certain requests and restarts after a while.
 //!
-//! It answers all other requests with 200 and five bytes. A crash resets all that is in flight, and connections are refused until
-//! the next process serves.
+//! It responds to all other requests with 200 and five bytes. A crash closes all connections, and new ones are refused until the
+//! restart. A restart is simulated within the same process: only the number of the target's process is raised.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -13,51 +13,51 @@
 use crate::listen::ListenerState;
 use crate::{lock, Error};
 
-const CONNECTIONS: usize = 400;
+const MAX_CONNECTIONS: usize = 400;
 
-/// How a target is set up.
+/// The configuration of a target.
 #[derive(Clone, Debug)]
 pub struct Settings {
     trigger: Arc<str>,
-    run: Duration,
-    down: Duration,
-    work: Duration,
-    echo: Option<&'static str>,
+    crash_delay: Duration,
+    downtime: Duration,
+    service_time: Duration,
+    echoed_header: Option<&'static str>,
 }
 
 impl Settings {
-    /// A target that crashes 20 ms after a request with `trigger` in its path began, is down for a second, and
-    /// works 5 ms for any other request.
+    /// A target that crashes 20 ms after the start of a request with `trigger` in its path, is down for a second, and
+    /// takes 5 ms for any other request.
     pub fn new(trigger: &str) -> Self {
         Self {
             trigger: trigger.into(),
-            run: Duration::from_millis(20),
-            down: Duration::from_secs(1),
-            work: Duration::from_millis(5),
-            echo: None,
+            crash_delay: Duration::from_millis(20),
+            downtime: Duration::from_secs(1),
+            service_time: Duration::from_millis(5),
+            echoed_header: None,
         }
     }
 
-    /// Sets how long it is down; without any such time only its connections end.
-    pub fn with_down(mut self, down: Duration) -> Self {
-        self.down = down;
+    /// Sets how long it is down after a crash. If zero, a crash only closes the connections.
+    pub fn with_downtime(mut self, downtime: Duration) -> Self {
+        self.downtime = downtime;
         self
     }
 
-    /// Sets a header of requests that answers repeat.
-    pub fn with_echo(mut self, header: &'static str) -> Self {
-        self.echo = Some(header);
+    /// Sets a request header that responses repeat.
+    pub fn with_echoed_header(mut self, header: &'static str) -> Self {
+        self.echoed_header = Some(header);
         self
     }
 }
 
 struct Shared {
     settings: Settings,
-    runs: Mutex<Vec<Instant>>,
+    trigger_runs: Mutex<Vec<Instant>>,
     crashes: AtomicU64,
     server: OnceLock<Weak<Server>>,
-    /// Called with the number of each later process as it starts.
-    started: Box<dyn Fn(u64) + Send + Sync>,
+    /// Called with the number of the new process at each restart.
+    on_restart: Box<dyn Fn(u64) + Send + Sync>,
 }
 
 /// A running target; it stops when dropped.
@@ -67,41 +67,44 @@
 }
 
 impl Target {
-    /// Starts a target; port 0 takes a free one. `started` is told the number of each process after the first.
+    /// Starts a target; with port 0 it listens on a free port. `on_restart` is called with the number of each process after the
+    /// first.
     ///
     /// # Errors
     ///
-    /// The address can't be listened on.
+    /// The target can't listen on the address.
     pub fn new(
         listen: SocketAddr,
         settings: Settings,
-        started: impl Fn(u64) + Send + Sync + 'static,
+        on_restart: impl Fn(u64) + Send + Sync + 'static,
     ) -> Result<Self, Error> {
         let shared = Arc::new(Shared {
             settings,
-            runs: Mutex::default(),
+            trigger_runs: Mutex::default(),
             crashes: AtomicU64::new(0),
             server: OnceLock::new(),
-            started: Box::new(started),
+            on_restart: Box::new(on_restart),
         });
         let inner = shared.clone();
-        let server = Server::new(listen, CONNECTIONS, move |request| inner.serve(&request))?;
+        let server = Server::new(listen, MAX_CONNECTIONS, move |request| {
+            inner.serve(&request)
+        })?;
         let server = Arc::new(server);
         let _ = shared.server.set(Arc::downgrade(&server));
         Ok(Self { shared, server })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// When each run of a request that crashes it began.
-    pub fn runs(&self) -> Vec<Instant> {
-        lock(&self.shared.runs).clone()
+    /// When each request that crashes the target began to run.
+    pub fn trigger_runs(&self) -> Vec<Instant> {
+        lock(&self.shared.trigger_runs).clone()
     }
 
-    /// Crashes it for a reason of its own.
+    /// Crashes the target without a request.
     pub fn crash(&self) {
         self.shared.crash();
     }
@@ -111,19 +114,19 @@
     fn serve(self: &Arc<Self>, request: &Request) -> Reply {
         let crashes = self.crashes.load(Ordering::SeqCst);
         if request.path.contains(&*self.settings.trigger) {
-            lock(&self.runs).push(Instant::now());
-            thread::sleep(self.settings.run);
+            lock(&self.trigger_runs).push(Instant::now());
+            thread::sleep(self.settings.crash_delay);
             self.crash();
             return Reply::Close;
         }
-        thread::sleep(self.settings.work);
+        thread::sleep(self.settings.service_time);
         if self.crashes.load(Ordering::SeqCst) != crashes {
             return Reply::Close;
         }
         let mut response = Response::new(200, b"hello".to_vec());
         if let Some((name, value)) = self
             .settings
-            .echo
+            .echoed_header
             .and_then(|name| Some((name, request.header(name)?)))
         {
             response = response.with_header(name, value);
@@ -136,100 +139,107 @@
         let Some(server) = self.server.get().and_then(Weak::upgrade) else {
             return;
         };
-        if self.settings.down.is_zero() {
+        if self.settings.downtime.is_zero() {
             server.close_connections();
-            (self.started)(process);
+            (self.on_restart)(process);
             return;
         }
         server.set_listener_state(ListenerState::Closed);
         server.close_connections();
         let shared = self.clone();
         thread::spawn(move || {
-            thread::sleep(shared.settings.down);
-            // The last of several crashes decides when it is back.
+            thread::sleep(shared.settings.downtime);
+            // After several crashes the target restarts once, after the last one's downtime.
             if shared.crashes.load(Ordering::SeqCst) == process {
                 server.set_listener_state(ListenerState::Open);
-                (shared.started)(process);
+                (shared.on_restart)(process);
             }
         });
     }
 }
 
-/// Callers with requests of their own beside the one that crashes targets.
-const OTHERS: usize = 4;
+/// Number of callers that send other requests than the one that crashes targets.
+const OTHER_CALLERS: usize = 4;
 /// Pause of such a caller between two requests.
-const OTHER_PAUSE: Duration = Duration::from_millis(20);
+const OTHER_CALLER_PAUSE: Duration = Duration::from_millis(20);
 /// Pause between two requests that crash targets.
 const CRASH_PAUSE: Duration = Duration::from_millis(100);
 
-/// What was seen while a request that crashes targets came again and again.
+/// The result of [`run_callers`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seen {
-    /// How often it began to run.
+pub struct Summary {
+    /// How often the request that crashes targets began to run.
     pub runs: usize,
-    /// How often later than a given time after it had crashed the third target.
-    pub late: usize,
+    /// How often it began to run later than a given time after the third crash.
+    pub late_runs: usize,
     /// Other requests after that time.
-    pub others: usize,
-    /// Those of them that were answered.
+    pub other_requests: usize,
+    /// Those other requests that were answered.
     pub answered: usize,
 }
 
-/// Sends the request that crashes `targets` to `hosts` in turn, until `after` has passed since the third crash, and other requests
-/// beside it. What comes `stable` after the third crash is counted. `send` is given a host's number and a request's path, and
-/// gives the status that came back.
-pub fn play(
+/// Sends the request that crashes `targets` to `hosts` hosts in turn until `duration` has passed since the third run of it, and other
+/// requests at the same time. Counts the runs and requests later than `settling_time` after the third run. `send` receives a host's
+/// number and a request's path and returns the response's status.
+///
+/// # Panics
+///
+/// If there are no targets.
+pub fn run_callers(
     targets: &[Target],
     hosts: usize,
-    stable: Duration,
-    after: Duration,
+    settling_time: Duration,
+    duration: Duration,
     send: impl Fn(usize, &str) -> u16 + Sync,
-) -> Seen {
-    let runs = || {
-        let mut runs: Vec<Instant> = targets.iter().flat_map(Target::runs).collect();
+) -> Summary {
+    let collect_runs = || {
+        let mut runs: Vec<Instant> = targets.iter().flat_map(Target::trigger_runs).collect();
         runs.sort();
         runs
     };
-    let ended = AtomicBool::new(false);
-    let others = |caller: usize| {
-        let mut seen = Vec::new();
+    let is_ended = AtomicBool::new(false);
+    let send_others = |caller: usize| {
+        let mut statuses = Vec::new();
         for number in 0.. {
-            if ended.load(Ordering::SeqCst) {
+            if is_ended.load(Ordering::SeqCst) {
                 break;
             }
-            let begun = Instant::now();
+            let sent_at = Instant::now();
             let status = send((caller + number) % hosts, &format!("{caller}-{number}"));
-            seen.push((begun, status));
-            thread::sleep(OTHER_PAUSE);
+            statuses.push((sent_at, status));
+            thread::sleep(OTHER_CALLER_PAUSE);
         }
-        seen
+        statuses
     };
     thread::scope(|scope| {
-        let others = &others;
-        let callers: Vec<_> = (0..OTHERS)
-            .map(|caller| scope.spawn(move || others(caller)))
+        let send_others = &send_others;
+        let callers: Vec<_> = (0..OTHER_CALLERS)
+            .map(|caller| scope.spawn(move || send_others(caller)))
             .collect();
         let trigger = &targets[0].shared.settings.trigger;
         for number in 0.. {
             send(number % hosts, trigger);
             thread::sleep(CRASH_PAUSE);
-            if runs().get(2).is_some_and(|third| third.elapsed() > after) {
+            if collect_runs()
+                .get(2)
+                .is_some_and(|third| third.elapsed() > duration)
+            {
                 break;
             }
         }
-        ended.store(true, Ordering::SeqCst);
-        let runs = runs();
-        let from = runs[2] + stable;
-        let seen: Vec<(Instant, u16)> = callers
+        is_ended.store(true, Ordering::SeqCst);
+        let runs = collect_runs();
+        let settled_at = runs[2] + settling_time;
+        let statuses: Vec<(Instant, u16)> = callers
             .into_iter()
             .flat_map(|caller| caller.join().unwrap_or_default())
-            .filter(|(begun, _)| *begun > from)
+            .filter(|(sent_at, _)| *sent_at > settled_at)
             .collect();
-        Seen {
+        Summary {
             runs: runs.len(),
-            late: runs.iter().filter(|run| **run > from).count(),
-            others: seen.len(),
-            answered: seen.iter().filter(|(_, status)| *status == 200).count(),
+            late_runs: runs.iter().filter(|run| **run > settled_at).count(),
+            other_requests: statuses.len(),
+            answered: statuses.iter().filter(|(_, status)| *status == 200).count(),
         }
     })
 }
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -8,13 +8,13 @@
 pub mod crash;
 mod error;
 mod http;
-pub mod limited;
 pub mod link;
 mod listen;
 pub mod observer;
 pub mod pattern;
 pub mod platform;
 mod port;
+pub mod rate_limit;
 mod runtime;
 pub mod target;
 
--- a/standin/src/observer/mod.rs
+++ b/standin/src/observer/mod.rs
@@ -1,13 +1,13 @@
-//! An observer that judges a run by what callers and targets wrote down, and by nothing else.
+//! An observer that checks a run for violated invariants from the records of callers and targets.
 //!
-//! It believes no word of the system under test, but for one: the revision that a host says is in
-//! force, which must never fall. [`judge`] and the figures in [`figure`] are pure functions of the
-//! [`Evidence`].
+//! It uses no data of the system under test, except for the revision that a host reports as in
+//! force, which must never decrease. [`find_violations`] and the [`statistics`] are pure functions of
+//! the [`Evidence`].
 
-pub mod figure;
+mod checks;
 mod overload;
-mod promise;
 mod shift;
+pub mod statistics;
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -19,7 +19,7 @@
 /// Microseconds in a second.
 pub(crate) const SECOND: u64 = 1_000_000;
 
-/// What may move in a window, as a share of a service's traffic.
+/// The largest share of a service's traffic that may move within a window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cap {
     /// The share.
@@ -28,43 +28,43 @@
     pub window_us: u64,
 }
 
-/// Where a target is and what it can hold.
+/// The service, location and capacity of a target.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Place {
+pub struct TargetInfo {
     /// Its service.
     pub service: Arc<str>,
     /// Its availability zone.
     pub zone: Arc<str>,
     /// That zone's region.
     pub region: Arc<str>,
-    /// Requests it runs at once.
+    /// Requests that it can run at once.
     pub slots: u32,
 }
 
-/// What the operator configured.
+/// The operator's configuration, as far as the checks need it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct World {
+pub struct Deployment {
     /// Targets by name.
-    pub targets: BTreeMap<Arc<str>, Place>,
+    pub targets: BTreeMap<Arc<str>, TargetInfo>,
     /// The cap on planned moves.
-    pub planned: Cap,
-    /// The cap on moves while a place has failed.
-    pub failover: Cap,
-    /// The part of a capacity that steering may fill.
+    pub planned_cap: Cap,
+    /// The cap on moves while a target, host or link has failed.
+    pub failover_cap: Cap,
+    /// The share of a capacity that steering may use.
     pub utilization: f64,
-    /// Blocks of client addresses in each region, by which traffic is steered.
-    pub blocks: u32,
+    /// Number of blocks of client addresses in each region, by which traffic is steered.
+    pub client_blocks: u32,
 }
 
 /// A time span in microseconds since the Unix epoch.
 pub type Span = Range<u64>;
 
-/// A planned stop.
+/// The planned stop of a host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Stop {
     /// The host.
     pub host: Arc<str>,
-    /// From when it was told to stop until it was gone.
+    /// From the request to stop until the process had ended.
     pub span: Span,
 }
 
@@ -73,130 +73,131 @@
 pub struct Drain {
     /// The target.
     pub target: Arc<str>,
-    /// From when the operator's change was accepted until it was taken back.
+    /// From when the operator's change was accepted until it was reverted.
     pub span: Span,
 }
 
-/// A target that could not serve.
+/// A period in which a target could not serve.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Loss {
     /// The target.
     pub target: Arc<str>,
-    /// From its loss until it was back.
+    /// From its failure until it served again.
     pub span: Span,
 }
 
-/// What a host said of its revision.
+/// A revision that a host reported.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sample {
-    /// When it was asked.
+pub struct RevisionSample {
+    /// When it was reported, in microseconds since the Unix epoch.
     pub at: u64,
-    /// The incarnation it said it is.
+    /// The incarnation that the host reported.
     pub incarnation: u64,
-    /// The revision it said is in force.
+    /// The revision that the host reported as in force.
     pub revision: u64,
 }
 
-/// All that was written down of a run.
+/// Everything that was recorded during a run.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    /// The calls of all callers.
+    /// The records of all callers.
     pub records: Vec<Record>,
-    /// What the targets ran.
+    /// The journals of the targets.
     pub journals: BTreeMap<Arc<str>, Journal>,
-    /// Requests that each target turned away though it was to serve.
+    /// Requests that each target shed although it was serving.
     pub sheds: BTreeMap<Arc<str>, u64>,
-    /// Targets that were lost.
+    /// Periods in which targets could not serve.
     pub losses: Vec<Loss>,
-    /// When entry hosts or links had failed, so that moves fell under the failover cap.
+    /// When entry hosts or links had failed, so that the failover cap applied.
     pub failures: Vec<Span>,
     /// Drains.
     pub drains: Vec<Drain>,
     /// Planned stops of hosts.
     pub stops: Vec<Stop>,
-    /// Changes that were accepted and later not in force, in words.
+    /// Descriptions of changes that were accepted and later not in force.
     pub reverted: Vec<Arc<str>>,
-    /// What each host said, in order.
-    pub revisions: BTreeMap<Arc<str>, Vec<Sample>>,
+    /// The revisions that each host reported, in order.
+    pub revisions: BTreeMap<Arc<str>, Vec<RevisionSample>>,
 }
 
-/// The promises, by the words of the report.
+/// The invariants that a run must not violate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Promise {
-    /// A shift of traffic never exceeds its cap.
+pub enum Invariant {
+    /// Traffic never shifts by more than its cap.
     ShiftCap,
     /// No steering decision overloads a region.
     Overload,
-    /// Every caller receives the whole answer to its own request.
+    /// Every response is complete and belongs to its caller's request.
     WrongAnswer,
-    /// What is said not to have run did not run.
+    /// A request that is reported as not run did not run.
     FalseNotRun,
     /// A non-idempotent request runs at most once.
     RanTwice,
-    /// A leaving target receives no new work after a few seconds.
+    /// A draining target receives no new requests after a few seconds.
     LateNewWork,
-    /// A planned stop cuts no request.
+    /// A planned stop interrupts no request.
     CutRequest,
-    /// A configuration in force never reverts.
+    /// A host never returns to an older configuration.
     ConfigRevert,
 }
 
-impl Promise {
-    /// All promises and their words.
-    pub const ALL: [(Promise, &'static str); 8] = [
-        (Promise::ShiftCap, "shift_cap"),
-        (Promise::Overload, "overload"),
-        (Promise::WrongAnswer, "wrong_answer"),
-        (Promise::FalseNotRun, "false_not_run"),
-        (Promise::RanTwice, "ran_twice"),
-        (Promise::LateNewWork, "late_new_work"),
-        (Promise::CutRequest, "cut_request"),
-        (Promise::ConfigRevert, "config_revert"),
+impl Invariant {
+    /// All invariants and their names in reports.
+    pub const ALL: [(Invariant, &'static str); 8] = [
+        (Invariant::ShiftCap, "shift_cap"),
+        (Invariant::Overload, "overload"),
+        (Invariant::WrongAnswer, "wrong_answer"),
+        (Invariant::FalseNotRun, "false_not_run"),
+        (Invariant::RanTwice, "ran_twice"),
+        (Invariant::LateNewWork, "late_new_work"),
+        (Invariant::CutRequest, "cut_request"),
+        (Invariant::ConfigRevert, "config_revert"),
     ];
 }
 
-/// One broken promise.
+/// One violation of an invariant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// Which.
-    pub promise: Promise,
-    /// What was seen.
-    pub what: Arc<str>,
+    /// The invariant.
+    pub invariant: Invariant,
+    /// Description of what was observed.
+    pub description: Arc<str>,
 }
 
-/// Counts all broken promises.
-pub fn judge(world: &World, evidence: &Evidence) -> Vec<Violation> {
-    let mut found = shift::violations(world, evidence);
-    found.extend(overload::violations(world, evidence));
-    found.extend(promise::violations(evidence));
+/// Finds all violations of invariants.
+pub fn find_violations(deployment: &Deployment, evidence: &Evidence) -> Vec<Violation> {
+    let mut found = shift::violations(deployment, evidence);
+    found.extend(overload::violations(deployment, evidence));
+    found.extend(checks::violations(evidence));
     found
 }
 
-/// A violation in words.
-fn violation(promise: Promise, what: String) -> Violation {
+/// Builds a violation.
+fn violation(invariant: Invariant, description: String) -> Violation {
     Violation {
-        promise,
-        what: what.into(),
+        invariant,
+        description: description.into(),
     }
 }
 
 impl Evidence {
-    /// All that targets ran, with the target's name.
-    fn runs(&self) -> impl Iterator<Item = (&Arc<str>, &Entry)> {
+    /// All journal entries with the target's name.
+    fn journal_entries(&self) -> impl Iterator<Item = (&Arc<str>, &Entry)> {
         let journals = self.journals.iter();
-        journals.flat_map(|(target, journal)| journal.entries.iter().map(move |e| (target, e)))
+        journals
+            .flat_map(|(target, journal)| journal.entries.iter().map(move |entry| (target, entry)))
     }
 
-    /// Whether a place had failed at some time in a span.
+    /// Whether a target, host or link had failed at some time within a span.
     fn has_failure(&self, span: &Span) -> bool {
         let losses = self.losses.iter().map(|loss| &loss.span);
         losses
             .chain(&self.failures)
-            .any(|other| overlap(other, span))
+            .any(|other| is_overlapping(other, span))
     }
 }
 
-/// Whether two spans have a common moment.
-fn overlap(a: &Span, b: &Span) -> bool {
+/// Whether two spans is_overlapping.
+fn is_overlapping(a: &Span, b: &Span) -> bool {
     a.start < b.end && b.start < a.end
 }
--- a/tests/crash.rs
+++ b/tests/crash.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use serde_json::json;
-use standin::crash::{play, Settings, Target};
+use standin::crash::{run_callers, Settings, Target};
 use world::{send, Answer, World};
 
 const ZONES: [(&str, &str); 4] = [
@@ -44,7 +44,7 @@
     }
     let mut targets = Vec::new();
     for number in 0..TARGETS {
-        let settings = Settings::new("crash").with_down(down);
+        let settings = Settings::new("crash").with_downtime(down);
         let target = Target::new("127.0.0.1:0".parse().unwrap(), settings, |_| {}).unwrap();
         let (_, zone) = ZONES[number % ZONES.len()];
         let name = format!("look-{number}");
@@ -63,12 +63,12 @@
 #[test]
 fn a_request_that_crashes_targets_is_kept_from_them() {
     let (world, targets) = world(DOWN);
-    let seen = play(&targets, ZONES.len(), STABLE, AFTER, |host, path| {
+    let seen = run_callers(&targets, ZONES.len(), STABLE, AFTER, |host, path| {
         ask(&world, host, path).map_or(0, |answer| answer.status)
     });
-    assert!(seen.late <= LATE, "{seen:?}");
+    assert!(seen.late_runs <= LATE, "{seen:?}");
     assert!(
-        seen.answered as f64 >= seen.others as f64 * SERVED,
+        seen.answered as f64 >= seen.other_requests as f64 * SERVED,
         "{seen:?}"
     );
 }
@@ -125,6 +125,10 @@
     }
     ask(&world, 0, "crash");
     for target in &targets {
-        assert!(target.runs().len() <= 1, "{:?}", target.runs());
+        assert!(
+            target.trigger_runs().len() <= 1,
+            "{:?}",
+            target.trigger_runs()
+        );
     }
 }
--- a/tests/demo.rs
+++ b/tests/demo.rs
@@ -8,7 +8,8 @@
 
 use standin::caller::{Attempt, Outcome, Record};
 use standin::observer::{
-    figure, judge, Cap, Drain, Evidence, Loss, Place, Promise, Sample, Stop, World,
+    find_violations, statistics, Cap, Deployment, Drain, Evidence, Invariant, Loss, RevisionSample,
+    Stop, TargetInfo,
 };
 use standin::target::{Entry, Journal};
 
@@ -17,8 +18,8 @@
 const START: u64 = 1_000 * SECOND;
 
 /// Two regions, `north` with two zones; targets of four slots.
-fn world() -> World {
-    let place = |service: &str, zone: &str, region: &str| Place {
+fn world() -> Deployment {
+    let place = |service: &str, zone: &str, region: &str| TargetInfo {
         service: service.into(),
         zone: zone.into(),
         region: region.into(),
@@ -28,16 +29,16 @@
         share,
         window_us: seconds * SECOND,
     };
-    World {
+    Deployment {
         targets: BTreeMap::from([
             ("t-1".into(), place("checks", "north-a", "north")),
             ("t-2".into(), place("checks", "north-b", "north")),
             ("t-3".into(), place("checks", "south-a", "south")),
         ]),
-        planned: cap(0.05, 60),
-        failover: cap(0.5, 10),
+        planned_cap: cap(0.05, 60),
+        failover_cap: cap(0.5, 10),
         utilization: 0.8,
-        blocks: 1_000,
+        client_blocks: 1_000,
     }
 }
 
@@ -202,7 +203,7 @@
     let samples = revisions
         .iter()
         .zip(START..)
-        .map(|(&(incarnation, revision), at)| Sample {
+        .map(|(&(incarnation, revision), at)| RevisionSample {
             at,
             incarnation,
             revision,
@@ -234,10 +235,10 @@
     ($($name:ident: $evidence:expr => $promise:expr;)*) => {$(
         #[test]
         fn $name() {
-            let promise: Option<Promise> = $promise;
-            let found = judge(&world(), &$evidence);
+            let promise: Option<Invariant> = $promise;
+            let found = find_violations(&world(), &$evidence);
             assert_eq!(found.is_empty(), promise.is_none(), "{found:?}");
-            assert!(found.iter().all(|v| Some(v.promise) == promise), "{found:?}");
+            assert!(found.iter().all(|v| Some(v.invariant) == promise), "{found:?}");
         }
     )*};
 }
@@ -246,12 +247,12 @@
     nothing_at_all: Evidence::default() => None;
     steady_calls: moved(0.0) => None;
     a_move_within_the_cap: moved(0.04) => None;
-    a_move_beyond_the_cap: moved(0.2) => Some(Promise::ShiftCap);
+    a_move_beyond_the_cap: moved(0.2) => Some(Invariant::ShiftCap);
     a_failover_within_its_cap: with_failure(moved(0.5)) => None;
     a_return_after_refusals: refused(2, "t-1") => None;
-    a_move_after_refusals: refused(2, "t-2") => Some(Promise::ShiftCap);
-    a_failover_after_refusals: with_failure(refused(0, "t-2")) => Some(Promise::ShiftCap);
-    a_failover_beyond_its_cap: with_failure(moved(0.7)) => Some(Promise::ShiftCap);
+    a_move_after_refusals: refused(2, "t-2") => Some(Invariant::ShiftCap);
+    a_failover_after_refusals: with_failure(refused(0, "t-2")) => Some(Invariant::ShiftCap);
+    a_failover_beyond_its_cap: with_failure(moved(0.7)) => Some(Invariant::ShiftCap);
     calls_refused_are_not_moved: {
         let mut evidence = moved(0.0);
         for record in evidence.records.iter_mut().skip(4_000).step_by(2) {
@@ -262,30 +263,30 @@
     } => None;
     a_region_its_own_callers_fill: busy(4, 0) => None;
     a_region_within_the_limit: busy(3, 1) => None;
-    a_region_filled_from_elsewhere: busy(4, 1) => Some(Promise::Overload);
+    a_region_filled_from_elsewhere: busy(4, 1) => Some(Invariant::Overload);
     a_lost_target_has_no_slots: Evidence {
         losses: vec![Loss { target: "t-3".into(), span: START..START + SECOND }],
         ..busy(1, 1)
-    } => Some(Promise::Overload);
+    } => Some(Invariant::Overload);
     a_target_that_shed: Evidence {
         sheds: BTreeMap::from([("t-1".into(), 1)]),
         ..Evidence::default()
-    } => Some(Promise::Overload);
+    } => Some(Invariant::Overload);
     an_answer_of_another: {
         let mut record = failed("c", Outcome::Wrong, true);
         record.attempts[0].error = Some("the answer is another call's".into());
         one(record, vec![])
-    } => Some(Promise::WrongAnswer);
-    an_answer_that_nobody_ran: one(call("c", START, "t-1"), vec![]) => Some(Promise::WrongAnswer);
+    } => Some(Invariant::WrongAnswer);
+    an_answer_that_nobody_ran: one(call("c", START, "t-1"), vec![]) => Some(Invariant::WrongAnswer);
     an_answer_of_work_that_was_cut: one(
         call("c", START, "t-1"),
         vec![("t-1", Entry { completed: false, ..run("c", START, 1000) })],
-    ) => Some(Promise::WrongAnswer);
+    ) => Some(Invariant::WrongAnswer);
     a_true_not_run: one(failed("c", Outcome::NotRun, true), vec![]) => None;
     a_false_not_run: one(
         failed("c", Outcome::NotRun, true),
         vec![("t-1", run("c", START, 1000))],
-    ) => Some(Promise::FalseNotRun);
+    ) => Some(Invariant::FalseNotRun);
     an_unknown_that_ran: one(
         failed("c", Outcome::Unknown, true),
         vec![("t-1", run("c", START, 1000))],
@@ -294,7 +295,7 @@
     a_key_that_ran_twice: one(
         call("k", START, "t-1"),
         vec![("t-1", keyed("k", START)), ("t-2", keyed("k", START))],
-    ) => Some(Promise::RanTwice);
+    ) => Some(Invariant::RanTwice);
     an_idempotent_call_that_ran_twice: one(
         call("c", START, "t-1"),
         vec![("t-1", run("c", START, 1000)), ("t-2", run("c", START, 1000))],
@@ -306,7 +307,7 @@
     work_late_after_a_drain: Evidence {
         drains: draining(START - 3 * SECOND),
         ..answered([(START, "t-1")])
-    } => Some(Promise::LateNewWork);
+    } => Some(Invariant::LateNewWork);
     work_after_the_drain_was_taken_back: Evidence {
         drains: vec![Drain { target: "t-1".into(), span: START - 9 * SECOND..START - SECOND }],
         ..answered([(START, "t-1")])
@@ -314,7 +315,7 @@
     a_call_cut_by_a_stop: Evidence {
         stops: stopped(),
         ..one(failed("c", Outcome::Unknown, false), vec![])
-    } => Some(Promise::CutRequest);
+    } => Some(Invariant::CutRequest);
     a_call_cut_without_a_stop: one(failed("c", Outcome::Unknown, false), vec![]) => None;
     an_orphan_of_a_stop: Evidence {
         stops: stopped(),
@@ -322,7 +323,7 @@
             Record { ticket: Some("ent-1.7".into()), ..failed("c", Outcome::Unknown, true) },
             vec![],
         )
-    } => Some(Promise::CutRequest);
+    } => Some(Invariant::CutRequest);
     an_orphan_of_another_host: Evidence {
         stops: stopped(),
         ..one(
@@ -330,21 +331,21 @@
             vec![],
         )
     } => None;
-    work_cut_by_a_drain: cut_work(Outcome::Unknown) => Some(Promise::CutRequest);
+    work_cut_by_a_drain: cut_work(Outcome::Unknown) => Some(Invariant::CutRequest);
     a_second_copy_cut_in_a_drain: cut_work(Outcome::Answered) => None;
     revisions_that_rise: samples(&[(1, 0), (1, 2), (1, 2), (1, 5)]) => None;
     a_host_started_anew: samples(&[(1, 5), (2, 0), (2, 5)]) => None;
-    a_revision_that_falls: samples(&[(1, 5), (1, 4)]) => Some(Promise::ConfigRevert);
+    a_revision_that_falls: samples(&[(1, 5), (1, 4)]) => Some(Invariant::ConfigRevert);
     a_change_that_got_lost: Evidence {
         reverted: vec!["80-race.json".into()],
         ..Evidence::default()
-    } => Some(Promise::ConfigRevert);
+    } => Some(Invariant::ConfigRevert);
 }
 
 #[test]
 fn headroom_is_the_least_free_share() {
     let evidence = busy(3, 0);
-    let headroom = figure::headroom(&world(), &evidence);
+    let headroom = statistics::headroom(&world(), &evidence);
     assert_eq!(headroom["south"], 0.25);
     assert_eq!(headroom["north"], 1.0);
 }
@@ -352,16 +353,16 @@
 #[test]
 fn a_drain_lasts_until_the_last_work_ends() {
     let mut evidence = answered([(START, "t-1"), (START, "t-2")]);
-    assert_eq!(figure::drain_ms(&evidence), None);
+    assert_eq!(statistics::longest_drain_ms(&evidence), None);
     evidence.drains = draining(START - 2 * SECOND);
-    assert_eq!(figure::drain_ms(&evidence), Some(2001.0));
+    assert_eq!(statistics::longest_drain_ms(&evidence), Some(2001.0));
 }
 
 #[test]
 fn the_error_window_ends_with_the_last_failures() {
     let mut evidence = moved(0.0);
     let failure = START + SECOND..START + 8 * SECOND;
-    let window = |e: &Evidence| figure::error_window_ms(e.records.iter(), &failure);
+    let window = |e: &Evidence| statistics::error_window_ms(e.records.iter(), &failure);
     assert_eq!(window(&evidence), 0);
     for record in &mut evidence.records[1_000..2_100] {
         record.outcome = Outcome::NotRun;
@@ -376,7 +377,7 @@
         record.outcome = Outcome::NotRun;
     }
     let span = START..START + 8 * SECOND;
-    let goodput = |capacity| figure::goodput(evidence.records.iter(), &span, capacity);
+    let goodput = |capacity| statistics::goodput(evidence.records.iter(), &span, capacity);
     assert_eq!(goodput(2_000.0), Some(0.5));
     assert_eq!(goodput(500.0), Some(1.0));
 }
@@ -417,7 +418,7 @@
     }
     assert!(printed["drain_ms"].is_null(), "{printed}");
     let violations = printed["violations"].as_object().unwrap();
-    assert_eq!(violations.len(), Promise::ALL.len());
+    assert_eq!(violations.len(), Invariant::ALL.len());
     assert!(violations.values().all(|count| count == 0), "{printed}");
     assert_eq!(output.status.code(), Some(0), "{error}");
 }
--- a/tests/rate.rs
+++ b/tests/rate.rs
@@ -8,7 +8,10 @@
 use std::time::{Duration, Instant};
 
 use serde_json::json;
-use standin::limited::{play, Call, Headers, Target, LOAD, NAMED, SERVED, STABLE, USED};
+use standin::rate_limit::{
+    run_callers, Call, Headers, Target, LIMITED_TIME, MAX_SETTLING_TIME, MIN_ANSWERED_SHARE,
+    MIN_USED_SHARE, REQUESTS_PER_S,
+};
 use world::{send, World};
 
 const HEADERS: Headers = Headers {
@@ -43,7 +46,7 @@
 
 fn load(world: &World, time: Duration) -> Vec<Call> {
     let hosts: Vec<_> = world.hosts.values().collect();
-    play(time, |number| {
+    run_callers(time, |number| {
         let host = hosts[number % hosts.len()];
         let url = host.url(&format!("/v1/services/lookups/{number}"));
         let answer = send("GET", &url, &[], b"");
@@ -65,7 +68,7 @@
 }
 
 fn answered(calls: &[Call], from: Instant) -> (usize, usize) {
-    let calls = calls.iter().filter(|call| call.begun > from);
+    let calls = calls.iter().filter(|call| call.sent_at > from);
     let good = calls.clone().filter(|call| call.status == 200);
     (good.count(), calls.count())
 }
@@ -78,23 +81,23 @@
             let (world, targets) = world();
             load(&world, Duration::from_secs(1));
             let limited = &busiest(&targets)[..$targets];
-            limited.iter().for_each(|target| target.name(&[$named]));
+            limited.iter().for_each(|target| target.set_rates(&[$named]));
             let begun = Instant::now();
-            let calls = load(&world, NAMED);
+            let calls = load(&world, LIMITED_TIME);
             for target in limited {
-                target.judge($rate, begun).unwrap();
+                target.check_rate($rate, begun).unwrap();
             }
-            let (good, all) = answered(&calls, begun + STABLE);
+            let (good, all) = answered(&calls, begun + MAX_SETTLING_TIME);
             assert!(good as f64 >= all as f64 * $served, "{good} of {all}");
         }
     )*};
 }
 
 named! {
-    hosts_of_a_zone_keep_to_the_rate_that_a_target_names: 1, "3.0" => 3.0, SERVED;
+    hosts_of_a_zone_keep_to_the_rate_that_a_target_names: 1, "3.0" => 3.0, MIN_ANSWERED_SHARE;
     // What the zone does not take may not leave its region sooner than the cap on planned moves allows.
-    all_targets_of_a_zone_name_a_rate: 3, "4" => 4.0, USED * (12.0 + LOAD / 2.0) / LOAD;
-    all_targets_name_a_rate: 6, "6" => 6.0, USED * 36.0 / LOAD;
+    all_targets_of_a_zone_name_a_rate: 3, "4" => 4.0, MIN_USED_SHARE * (12.0 + REQUESTS_PER_S / 2.0) / REQUESTS_PER_S;
+    all_targets_name_a_rate: 6, "6" => 6.0, MIN_USED_SHARE * 36.0 / REQUESTS_PER_S;
 }
 
 #[test]
@@ -104,12 +107,12 @@
     load(&world, span);
     let target = busiest(&targets)[0];
     let before = target.arrivals().len();
-    target.name(&["2.0"]);
-    load(&world, NAMED);
-    target.name(&[]);
+    target.set_rates(&["2.0"]);
+    load(&world, LIMITED_TIME);
+    target.set_rates(&[]);
     load(&world, span);
     let begun = Instant::now();
     load(&world, span);
-    let count = target.count(begun, span);
+    let count = target.count_arrivals(begun, span);
     assert!(count >= before / 2, "{count} after {before}");
 }
