--- a/soak/fault.rs
+++ b/soak/fault.rs
@@ -60,7 +60,9 @@
             let states = ["ready", "draining", "ready"];
             let state = states[rng.random_range(0..states.len())];
             let address = world.links[target].address();
-            world.store.target(&format!("i-{target}"), address, state);
+            world
+                .store
+                .put_target(&format!("i-{target}"), address, state);
         }
         8 => world.hosts[host].signal("-HUP"),
         _ => world.links[target].set_fault(link_fault(rng)),
--- a/soak/world.rs
+++ b/soak/world.rs
@@ -8,7 +8,9 @@
 
 use ::standin::link::{Fault, Link};
 
-use crate::standin::{self, answer, configure, get, good, target, Host, Mode, Store};
+use crate::standin::{
+    self, build_response, configure, get, ok_response, start_target, Host, Mode, Store,
+};
 
 /// Hosts; one may be lost at any time.
 const HOSTS: usize = 3;
@@ -88,7 +90,7 @@
             })
             .collect();
         for (index, link) in links.iter().enumerate() {
-            store.target(&format!("i-{index}"), link.address(), "ready");
+            store.put_target(&format!("i-{index}"), link.address(), "ready");
         }
         let hosts = (0..HOSTS)
             .map(|index| Host::with_name(&store, &format!("h{index}")))
@@ -110,11 +112,11 @@
             link.set_fault(Fault::default());
             lock(&self.ledger).set_way(index, Way::Well);
             self.store
-                .target(&format!("i-{index}"), link.address(), "ready");
+                .put_target(&format!("i-{index}"), link.address(), "ready");
         }
         for host in &mut self.hosts {
             host.signal("-CONT");
-            host.ensure();
+            host.restart_if_ended();
         }
     }
 
@@ -159,25 +161,30 @@
 }
 
 fn one_target(index: usize, ledger: Shared) -> SocketAddr {
-    target(move |headers| {
+    start_target(move |headers| {
         let id = headers.get("ragwortfold-request-id")?.clone();
         let way = lock(&ledger).ways.get(&index).copied().unwrap_or_default();
         if way == Way::Refuse {
-            return Some(answer(headers, "503 X", "ragwortfold-not-run: 1\r\n", ""));
+            return Some(build_response(
+                headers,
+                "503 X",
+                "ragwortfold-not-run: 1\r\n",
+                "",
+            ));
         }
         if way == Way::Slow {
             thread::sleep(Duration::from_millis(300));
         }
         *lock(&ledger).runs.entry(id).or_default() += 1;
         match way {
-            Way::Well | Way::Slow | Way::Refuse => Some(good(headers)),
+            Way::Well | Way::Slow | Way::Refuse => Some(ok_response(headers)),
             Way::Break => None,
-            Way::Shed => Some(answer(headers, "503 X", "", "")),
-            Way::Fail => Some(answer(headers, "500 X", "", "no")),
+            Way::Shed => Some(build_response(headers, "503 X", "", "")),
+            Way::Fail => Some(build_response(headers, "500 X", "", "no")),
             Way::Stray => {
                 let mut other = headers.clone();
                 other.insert("ragwortfold-request-id".into(), "other".into());
-                Some(standin::good(&other))
+                Some(standin::ok_response(&other))
             }
         }
     })
--- a/standin/src/observer/checks.rs
+++ b/standin/src/observer/checks.rs
@@ -6,7 +6,7 @@
 use super::{is_overlapping, violation, Evidence, Invariant, RevisionSample, Violation, SECOND};
 use crate::caller::{Attempt, Outcome, Record};
 
-/// Time after the announcement of a drain in which a target may still receive new requests.
+/// Time after the announcement of a drain in which a target may still begin new requests.
 pub const DRAIN_NOTICE_US: u64 = 2 * SECOND;
 /// Allowance on that time for delays of the measurement: requests in flight to the target, and
 /// threads that wait for a processor.
--- a/standin/src/observer/mod.rs
+++ b/standin/src/observer/mod.rs
@@ -197,7 +197,7 @@
     }
 }
 
-/// Whether two spans is_overlapping.
+/// Whether two spans overlap.
 fn is_overlapping(a: &Span, b: &Span) -> bool {
     a.start < b.end && b.start < a.end
 }
--- a/standin/src/observer/overload.rs
+++ b/standin/src/observer/overload.rs
@@ -1,11 +1,12 @@
 //! Checks that steering overloaded no region.
 //!
-//! There are two kinds of overload. A target that was serving shed requests, since it received more
-//! than its slots and its queue could hold. Or the mean number of running requests of a service in a
-//! region was above the utilization limit for a second, and calls from other regions contributed to
-//! it: a region that is filled by its own callers is not overloaded by steering. The limit is the
-//! utilization times the slots of the targets that were not lost, plus [`ALLOWANCE_SLOTS`], since
-//! requests end and begin between two decisions.
+//! There are two kinds of overload:
+//!
+//! - A serving target shed requests: it received more than its slots and its queue could hold.
+//! - The mean number of running requests of a service in a region was above the limit for a second,
+//!   and calls from other regions were among them. A region that is filled by its own callers is not
+//!   overloaded by steering. The limit is the utilization times the slots of the targets that were not
+//!   lost, plus [`ALLOWANCE_SLOTS`], since requests end and begin between two decisions.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
