--- a/standin/tests/caller.rs
+++ b/standin/tests/caller.rs
@@ -1,4 +1,4 @@
-//! A caller's checks and resends, against scripted entry hosts.
+//! Tests of a caller's response checks and repeated attempts, with scripted entry hosts.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,42 +11,45 @@
 use standin::caller::{Caller, Outcome, Record, Settings};
 use standin::target::{self, Target};
 
-/// How a scripted entry host treats one request.
+/// How a scripted entry host handles one request.
 #[derive(Clone, Copy)]
-enum Answer {
-    /// Passes it to the target.
-    Pass,
-    /// Passes it on and answers with the bytes of another.
-    Swap,
+enum Action {
+    /// Forwards it to the target.
+    Forward,
+    /// Forwards it and returns the response to another request.
+    ForwardOther,
     NotRun(&'static str),
     Unknown,
     Close,
     BadRequest,
 }
 
-/// Serves look-ups that name `dead`, then itself, and notes the heads of requests.
-fn entry(
-    script: &'static [Answer],
+/// Starts an entry host that serves look-ups with `closed` and its own address, and records the heads of other requests.
+fn start_entry(
+    script: &'static [Action],
     target: SocketAddr,
-    dead: Option<SocketAddr>,
+    closed: Option<SocketAddr>,
 ) -> (SocketAddr, Heads) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let heads = Heads::default();
-    let noted = Arc::clone(&heads);
+    let recorded = Arc::clone(&heads);
     let mut script = script.iter().copied();
     thread::spawn(move || {
         for stream in listener.incoming() {
             let mut stream = stream.unwrap();
             let head = read_head(&stream);
             if head.starts_with("GET /v1/entries?") {
-                let named =
-                    |a| format!(r#"{{"host":"{a}","availability_zone":"z","address":"{a}"}}"#);
-                let entries: Vec<String> = dead.into_iter().chain([address]).map(named).collect();
+                let entry = |address| {
+                    format!(
+                        r#"{{"host":"{address}","availability_zone":"z","address":"{address}"}}"#
+                    )
+                };
+                let entries: Vec<String> = closed.into_iter().chain([address]).map(entry).collect();
                 let entries = entries.join(",");
                 let body = format!(
                     r#"{{"revision":1,"ttl_ms":0,"ticket":"T{}","entries":[{entries}]}}"#,
-                    noted.lock().unwrap().len()
+                    recorded.lock().unwrap().len()
                 );
                 let _ = write!(
                     stream,
@@ -55,11 +58,11 @@
                 );
                 continue;
             }
-            noted
+            recorded
                 .lock()
                 .unwrap()
                 .push((stream.peer_addr().unwrap(), head.clone()));
-            answer(stream, &head, script.next().unwrap(), target);
+            handle(stream, &head, script.next().unwrap(), target);
         }
     });
     (address, heads)
@@ -74,46 +77,51 @@
     head
 }
 
-fn answer(mut stream: TcpStream, head: &str, answer: Answer, target: SocketAddr) {
-    let mut reply = |status, headers: &str| {
+fn handle(mut stream: TcpStream, head: &str, action: Action, target: SocketAddr) {
+    let mut respond = |status, headers: &str| {
         let _ = write!(
             stream,
             "HTTP/1.1 {status} X\r\nConnection: close\r\nContent-Length: 0\r\n{headers}\r\n"
         );
     };
-    match answer {
-        Answer::NotRun(after) => reply(
+    match action {
+        Action::NotRun(retry_after) => respond(
             503,
-            &format!("Ragwortfold-Outcome: not-run\r\nRetry-After: {after}\r\n"),
+            &format!("Ragwortfold-Outcome: not-run\r\nRetry-After: {retry_after}\r\n"),
         ),
-        Answer::Unknown => reply(502, "Ragwortfold-Outcome: unknown\r\n"),
-        Answer::BadRequest => reply(400, "Ragwortfold-Outcome: not-run\r\n"),
-        Answer::Close => {}
-        Answer::Pass | Answer::Swap => {
+        Action::Unknown => respond(502, "Ragwortfold-Outcome: unknown\r\n"),
+        Action::BadRequest => respond(400, "Ragwortfold-Outcome: not-run\r\n"),
+        Action::Close => {}
+        Action::Forward | Action::ForwardOther => {
             let mut head = head.replacen("\r\n", "\r\nConnection: close\r\n", 1);
-            if matches!(answer, Answer::Swap) {
+            if matches!(action, Action::ForwardOther) {
                 head = head.replace("standin-answer-bytes: 100", "standin-answer-bytes: 99");
             }
-            let mut onward = TcpStream::connect(target).unwrap();
-            onward.write_all(head.as_bytes()).unwrap();
-            let _ = std::io::copy(&mut onward, &mut stream);
+            let mut upstream = TcpStream::connect(target).unwrap();
+            upstream.write_all(head.as_bytes()).unwrap();
+            let _ = std::io::copy(&mut upstream, &mut stream);
         }
     }
 }
 
-/// Makes one call against a script; answers its record and the heads that the entry host saw.
-fn run(script: &'static [Answer], keyed: bool, dead: bool) -> (Record, Vec<(SocketAddr, String)>) {
+/// Makes one call to a scripted entry host; returns its record and the heads that the entry host received. If `first_is_closed`,
+/// look-ups name a closed port first.
+fn run(
+    script: &'static [Action],
+    keyed: bool,
+    first_is_closed: bool,
+) -> (Record, Vec<(SocketAddr, String)>) {
     let target = Target::new(
         "127.0.0.1:0".parse().unwrap(),
         target::Settings::new("t", 4),
     )
     .unwrap();
-    // A port that was free a moment ago, with nobody behind it.
-    let gone = TcpListener::bind("127.0.0.1:0")
+    // A port that was free a moment ago and on which nothing listens.
+    let closed = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    let (address, heads) = entry(script, target.address(), dead.then_some(gone));
+    let (address, heads) = start_entry(script, target.address(), first_is_closed.then_some(closed));
     let mut settings = Settings::new("me", "s", vec![address])
         .with_rate(1000.0, 7)
         .with_clients(vec!["127.9.8.7".parse().unwrap()])
@@ -143,19 +151,19 @@
 }
 
 case! {
-    a_whole_answer: [Answer::Pass], Outcome::Answered, 1;
-    a_wrong_answer: [Answer::Swap], Outcome::Wrong, 1;
-    not_run_is_sent_again: [Answer::NotRun("0"), Answer::Pass], Outcome::Answered, 2;
-    a_long_retry_after_ends_it: [Answer::NotRun("30")], Outcome::NotRun, 1;
-    unknown_is_sent_again: [Answer::Unknown, Answer::Close, Answer::Pass], Outcome::Answered, 3;
-    unknown_stays_unknown: [Answer::Unknown, Answer::NotRun("30")], Outcome::Unknown, 2;
-    a_bad_request_is_final: [Answer::BadRequest], Outcome::NotRun, 1;
+    a_complete_response: [Action::Forward], Outcome::Answered, 1;
+    a_response_to_another_call: [Action::ForwardOther], Outcome::Wrong, 1;
+    not_run_is_sent_again: [Action::NotRun("0"), Action::Forward], Outcome::Answered, 2;
+    a_long_retry_after_ends_the_call: [Action::NotRun("30")], Outcome::NotRun, 1;
+    unknown_is_sent_again: [Action::Unknown, Action::Close, Action::Forward], Outcome::Answered, 3;
+    unknown_stays_unknown: [Action::Unknown, Action::NotRun("30")], Outcome::Unknown, 2;
+    a_bad_request_is_final: [Action::BadRequest], Outcome::NotRun, 1;
 }
 
 #[test]
 fn a_keyed_call_keeps_its_key_and_ticket() {
     let (record, heads) = run(
-        &[Answer::Unknown, Answer::Unknown, Answer::Pass],
+        &[Action::Unknown, Action::Unknown, Action::Forward],
         true,
         false,
     );
@@ -174,8 +182,12 @@
 
 #[test]
 fn a_refused_connection_goes_to_the_next_entry() {
-    let (record, _) = run(&[Answer::Pass], true, true);
-    let outcomes: Vec<Outcome> = record.attempts.iter().map(|a| a.outcome).collect();
+    let (record, _) = run(&[Action::Forward], true, true);
+    let outcomes: Vec<Outcome> = record
+        .attempts
+        .iter()
+        .map(|attempt| attempt.outcome)
+        .collect();
     assert_eq!(outcomes, [Outcome::NotRun, Outcome::Answered], "{record:?}");
 }
 
@@ -190,13 +202,15 @@
         .with_deadline(Duration::from_secs(20))
         .with_end(300, Duration::from_secs(20));
     let (report, records) = Caller::new(settings).unwrap().wait();
-    let answered = records.iter().filter(|r| r.outcome == Outcome::Answered);
-    let mut called: Vec<_> = answered.map(|r| Some(r.call.clone())).collect();
+    let answered = records
+        .iter()
+        .filter(|record| record.outcome == Outcome::Answered);
+    let mut called: Vec<_> = answered.map(|record| Some(record.call.clone())).collect();
     let mut ran: Vec<_> = target
         .journal()
         .entries
         .into_iter()
-        .map(|e| e.call)
+        .map(|entry| entry.call)
         .collect();
     called.sort();
     ran.sort();
--- a/standin/tests/link.rs
+++ b/standin/tests/link.rs
@@ -1,4 +1,4 @@
-//! The faults of a link that other tests rely on.
+//! Tests of the link's faults that other tests depend on.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,15 +9,15 @@
 
 use standin::link::{Accept, Fault, Flow, Link};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     "127.0.0.1:0".parse().unwrap()
 }
 
-/// A far end that sends back what it gets.
-fn echo() -> SocketAddr {
-    let listener = TcpListener::bind(any()).unwrap();
+/// Starts a far end that sends all bytes back.
+fn start_echo() -> SocketAddr {
+    let listener = TcpListener::bind(any_port()).unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
         for stream in listener.incoming() {
@@ -33,29 +33,32 @@
 
 fn connect(link: &Link) -> TcpStream {
     let stream = TcpStream::connect(link.address()).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     stream
 }
 
-/// Sends bytes, ends, and reads what comes back and how that ends. The system tells of a reset once: to
-/// the reader, or to the writer if that is first.
+/// Sends bytes and closes the sending side; returns the number of bytes received and the error at the end. The system reports a
+/// reset only once, to the reader or to the writer, whichever comes first.
 fn exchange(mut stream: TcpStream, bytes: &[u8]) -> (usize, Option<ErrorKind>) {
     let mut writer = stream.try_clone().unwrap();
     let bytes = bytes.to_vec();
     let sender = thread::spawn(move || {
-        let sent = writer.write_all(&bytes).err().map(|e| e.kind());
+        let sent = writer.write_all(&bytes).err().map(|error| error.kind());
         let _ = writer.shutdown(Shutdown::Write);
         sent.filter(|&kind| kind == ErrorKind::ConnectionReset)
     });
     let mut back = Vec::new();
-    let end = stream.read_to_end(&mut back).err().map(|e| e.kind());
+    let end = stream
+        .read_to_end(&mut back)
+        .err()
+        .map(|error| error.kind());
     let reset = sender.join().unwrap();
     (back.len(), end.or(reset))
 }
 
 macro_rules! case {
     ($($name:ident: $run:expr;)*) => {
-        $(#[test] fn $name() { let link = Link::new(any(), echo()).unwrap(); $run(&link); })*
+        $(#[test] fn $name() { let link = Link::new(any_port(), start_echo()).unwrap(); $run(&link); })*
     };
 }
 
@@ -69,10 +72,10 @@
         link.set_fault(Fault::delay(delay));
         let start = Instant::now();
         assert_eq!(exchange(connect(link), &[7; 4_000_000]), (4_000_000, None));
-        let took = start.elapsed();
-        assert!(took >= 2 * delay, "{took:?}");
-        // One chunk at a time would take 245 delays.
-        assert!(took < 100 * delay, "{took:?}");
+        let elapsed = start.elapsed();
+        assert!(elapsed >= 2 * delay, "{elapsed:?}");
+        // With one chunk in flight at a time it would take 245 delays.
+        assert!(elapsed < 100 * delay, "{elapsed:?}");
     };
     bandwidth_is_limited: |link: &Link| {
         let forth = Flow { bytes_per_s: 1_000_000, ..Flow::default() };
@@ -89,11 +92,11 @@
         ] {
             let before = link.bytes()[direction];
             link.set_fault(fault);
-            // The sender keeps its side open: the cut alone ends the connection.
+            // The sender keeps its side open, so that only the fault ends the connection.
             let mut stream = connect(link);
             stream.write_all(&[7; 5000]).unwrap();
             let mut back = Vec::new();
-            let end = stream.read_to_end(&mut back).map_err(|e| e.kind());
+            let end = stream.read_to_end(&mut back).map_err(|error| error.kind());
             assert!(!matches!(end, Err(ErrorKind::WouldBlock)), "{direction}");
             assert!(back.len() <= 1000);
             assert_eq!(link.bytes()[direction] - before, 1000);
@@ -109,7 +112,7 @@
         stream.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
         assert_eq!(stream.read(&mut byte).unwrap_err().kind(), ErrorKind::WouldBlock);
         link.set_fault(Fault::default());
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         stream.read_exact(&mut byte).unwrap();
         assert_eq!(&byte, b"b");
     };
@@ -132,18 +135,18 @@
 }
 
 #[test]
-fn a_refusing_far_end_is_refused() {
-    let port = TcpListener::bind(any()).unwrap();
-    let to = port.local_addr().unwrap();
-    drop(port);
-    let link = Link::new(any(), to).unwrap();
-    let end = Instant::now() + PATIENCE;
-    let refused = |e: std::io::Error| e.kind() == ErrorKind::ConnectionRefused;
-    while !TcpStream::connect(link.address()).is_err_and(refused) {
+fn a_link_refuses_while_its_far_end_refuses() {
+    let listener = TcpListener::bind(any_port()).unwrap();
+    let far_address = listener.local_addr().unwrap();
+    drop(listener);
+    let link = Link::new(any_port(), far_address).unwrap();
+    let end = Instant::now() + TIMEOUT;
+    let is_refused = |error: std::io::Error| error.kind() == ErrorKind::ConnectionRefused;
+    while !TcpStream::connect(link.address()).is_err_and(is_refused) {
         assert!(Instant::now() < end);
         thread::sleep(Duration::from_millis(1));
     }
-    let _back = TcpListener::bind(to).unwrap();
+    let _far_end = TcpListener::bind(far_address).unwrap();
     while TcpStream::connect(link.address()).is_err() {
         assert!(Instant::now() < end);
         thread::sleep(Duration::from_millis(1));
@@ -151,8 +154,8 @@
 }
 
 #[test]
-fn a_source_has_a_fault_and_a_count_of_its_own() {
-    let link = Link::new(any(), echo()).unwrap();
+fn a_source_has_its_own_fault_and_byte_count() {
+    let link = Link::new(any_port(), start_echo()).unwrap();
     let fault = Fault {
         accept: Accept::Reset,
         ..Fault::default()
@@ -172,14 +175,14 @@
 
 #[test]
 fn the_far_end_sees_the_source() {
-    let listener = TcpListener::bind(any()).unwrap();
-    let link = Link::new(any(), listener.local_addr().unwrap())
+    let listener = TcpListener::bind(any_port()).unwrap();
+    let link = Link::new(any_port(), listener.local_addr().unwrap())
         .unwrap()
         .with_source();
     let near = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     let from: SocketAddr = "127.0.0.9:0".parse().unwrap();
     near.bind(&from.into()).unwrap();
     near.connect(&link.address().into()).unwrap();
-    let (_, seen) = listener.accept().unwrap();
-    assert_eq!(seen.ip(), from.ip());
+    let (_, peer) = listener.accept().unwrap();
+    assert_eq!(peer.ip(), from.ip());
 }
--- a/standin/tests/platform.rs
+++ b/standin/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The contract of the platform's object API that the store's client relies on.
+//! Tests of the platform's object API, as the store's client uses it.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,8 +9,8 @@
 use serde_json::{json, Value};
 use standin::platform::{Availability, Fault, Platform};
 
-/// Less than the time of the watch that must be woken.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Shorter than the time-out of the watch that a change must end.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 macro_rules! case {
     ($($name:ident: $run:expr;)*) => {
@@ -18,7 +18,7 @@
     };
 }
 
-/// Method, conditions, body and the status expected.
+/// Method, conditional headers, body and expected status.
 type Step = (
     &'static str,
     &'static [(&'static str, &'static str)],
@@ -41,7 +41,7 @@
     }
     let config = ureq::Agent::config_builder()
         .http_status_as_error(false)
-        .timeout_global(Some(PATIENCE));
+        .timeout_global(Some(TIMEOUT));
     let agent = ureq::Agent::from(config.allow_non_standard_methods(true).build());
     let mut response = agent.run(request.body(body.to_owned()).unwrap())?;
     let text = response.body_mut().read_to_string()?;
@@ -77,26 +77,26 @@
         assert_eq!(platform.object("a/b"), Some((4, "5".into())));
         assert_eq!(platform.calls().conflicts, 4);
     };
-    one_of_many_racing_writers_wins: |platform: &Platform| {
+    one_of_several_concurrent_creations_succeeds: |platform: &Platform| {
         let start = Barrier::new(8);
-        let race = || {
+        let create = || {
             start.wait();
             status(platform, "PUT", &[("If-None-Match", "*")], "1")
         };
-        let won = thread::scope(|scope| {
-            let racers: Vec<_> = (0..8).map(|_| scope.spawn(race)).collect();
-            let statuses: Vec<u16> = racers.into_iter().map(|r| r.join().unwrap()).collect();
-            statuses.iter().filter(|s| **s == 201).count()
+        let created = thread::scope(|scope| {
+            let writers: Vec<_> = (0..8).map(|_| scope.spawn(create)).collect();
+            let statuses: Vec<u16> = writers.into_iter().map(|writer| writer.join().unwrap()).collect();
+            statuses.iter().filter(|status| **status == 201).count()
         });
-        assert_eq!(won, 1);
+        assert_eq!(created, 1);
     };
-    size_is_bounded: |platform: &Platform| {
+    values_have_a_size_limit: |platform: &Platform| {
         let largest = format!("\"{}\"", "x".repeat(standin::platform::MAX_VALUE_BYTES - 2));
         assert_eq!(status(platform, "PUT", &[], &largest), 201);
         assert_eq!(status(platform, "PUT", &[], &format!("{largest} ")), 413);
         assert_eq!(status(platform, "PUT", &[], "{"), 400);
     };
-    list_takes_a_prefix: |platform: &Platform| {
+    a_list_has_the_objects_of_a_prefix: |platform: &Platform| {
         for key in ["a/1", "a/2", "b/1"] {
             call(platform, "PUT", &format!("/v1/objects/{key}"), &[], "{}").unwrap();
         }
@@ -104,9 +104,9 @@
         let objects = json!([{"key":"a/1","version":1,"value":{}}, {"key":"a/2","version":2,"value":{}}]);
         assert_eq!(list, json!({"version": 3, "objects": objects}));
     };
-    watch_waits_for_a_change: |platform: &Platform| {
-        let watch = |after: u64, ms: u64| {
-            let path = format!("/v1/watch?prefix=a/&after={after}&timeout_ms={ms}");
+    a_watch_waits_for_a_change: |platform: &Platform| {
+        let watch = |after: u64, timeout_ms: u64| {
+            let path = format!("/v1/watch?prefix=a/&after={after}&timeout_ms={timeout_ms}");
             call(platform, "GET", &path, &[], "").unwrap().1
         };
         let (first, second) = thread::scope(|scope| {
@@ -128,7 +128,7 @@
         platform.set_fault(Fault { skip_events: 1, ..Fault::default() });
         assert_eq!(watch(2, 0), json!({"version":3,"events":[]}));
     };
-    a_lost_answer_took_effect: |platform: &Platform| {
+    a_write_without_a_response_takes_effect: |platform: &Platform| {
         platform.set_fault(Fault { lose_answers: 2, ..Fault::default() });
         assert_eq!(status(platform, "PUT", &[], "1"), 201);
         assert!(call(platform, "PUT", "/v1/objects/a/b", &[], "2").is_err());
@@ -138,13 +138,13 @@
     an_outage_ends: |platform: &Platform| {
         for availability in [Availability::Unavailable, Availability::Closed, Availability::Refused] {
             platform.set_fault(Fault { availability, ..Fault::default() });
-            let down = call(platform, "GET", "/v1/hosts", &[], "");
-            assert!(down.is_err() || down.unwrap().0 == 503, "{availability:?}");
+            let result = call(platform, "GET", "/v1/hosts", &[], "");
+            assert!(result.is_err() || result.unwrap().0 == 503, "{availability:?}");
             platform.set_fault(Fault::default());
             assert_eq!(call(platform, "GET", "/v1/hosts", &[], "").unwrap().0, 200);
         }
     };
-    a_stale_host_list_stays: |platform: &Platform| {
+    a_stale_host_list_does_not_change: |platform: &Platform| {
         let hosts = || call(platform, "GET", "/v1/hosts", &[], "").unwrap().1;
         let list = json!({"hosts":[{"host":"ent-1","state":"leaving"}]});
         let fault = json!({"stale_hosts": true}).to_string();
--- a/standin/tests/process.rs
+++ b/standin/tests/process.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as processes: each says where it listens and takes faults over HTTP.
+//! Tests of the stand-ins as processes, which print their addresses and whose faults are set over HTTP.
 
 #![allow(clippy::unwrap_used)]
 
@@ -44,7 +44,7 @@
         assert_eq!(ureq::post(uri).send(json).unwrap().status(), 200);
     }
 
-    fn serves(&self, path: &str) -> bool {
+    fn is_serving(&self, path: &str) -> bool {
         ureq::get(format!("http://{}{path}", self.address))
             .call()
             .is_ok()
@@ -59,21 +59,21 @@
 }
 
 #[test]
-fn faults_begin_and_end() {
+fn faults_can_be_set_and_removed() {
     let platform = Process::new(&["platform"]);
     let target = Process::new(&["target", "--slots", "2"]);
-    let to = target.address.to_string();
-    let link = Process::new(&["link", "--to", &to]);
-    let rows = [
+    let far_address = target.address.to_string();
+    let link = Process::new(&["link", "--to", &far_address]);
+    let cases = [
         (&platform, "/v1/hosts", r#"{"availability":"refused"}"#),
         (&target, "/health", r#"{"mode":"refuse"}"#),
         (&link, "/health", r#"{"accept":"reset"}"#),
     ];
-    for (process, path, fault) in rows {
-        assert!(process.serves(path), "{path}");
+    for (process, path, fault) in cases {
+        assert!(process.is_serving(path), "{path}");
         process.set_fault(fault);
-        assert!(!process.serves(path), "{fault}");
+        assert!(!process.is_serving(path), "{fault}");
         process.set_fault("{}");
-        assert!(process.serves(path), "{path}");
+        assert!(process.is_serving(path), "{path}");
     }
 }
--- a/standin/tests/target.rs
+++ b/standin/tests/target.rs
@@ -1,4 +1,4 @@
-//! What other tests rely on in a target: shedding, cancellation, faults and the journal.
+//! Tests of a target's shedding, cancellation, faults and journal, on which other tests depend.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,11 +10,11 @@
 use standin::target::{Counts, Fault, Mode, Settings, Target};
 use ureq::http::Response;
 
-const PATIENCE: Duration = Duration::from_secs(20);
-/// A service time that only a cancellation ends within a test.
-const LONG_WORK: (&str, &str) = ("Standin-Work-Ms", "600000");
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// A service time that is longer than any test, so that only a cancellation ends the request.
+const LONG_SERVICE_TIME: (&str, &str) = ("Standin-Work-Ms", "600000");
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     "127.0.0.1:0".parse().unwrap()
 }
 
@@ -31,7 +31,7 @@
     }
     let config = ureq::Agent::config_builder().http_status_as_error(false);
     let config = config
-        .timeout_global(Some(PATIENCE))
+        .timeout_global(Some(TIMEOUT))
         .allow_non_standard_methods(true);
     let agent = ureq::Agent::from(config.build());
     let (parts, mut body) = agent
@@ -47,29 +47,29 @@
         .map_or("", |value| value.to_str().unwrap())
 }
 
-fn wait_for(target: &Target, ready: impl Fn(&Counts) -> bool) {
-    let end = Instant::now() + PATIENCE;
-    while !ready(&target.counts()) {
+fn wait_until(target: &Target, is_met: impl Fn(&Counts) -> bool) {
+    let end = Instant::now() + TIMEOUT;
+    while !is_met(&target.counts()) {
         assert!(Instant::now() < end, "{:?}", target.counts());
         thread::sleep(Duration::from_millis(1));
     }
 }
 
-type Answer<'scope> = ScopedJoinHandle<'scope, Result<Response<Vec<u8>>, ureq::Error>>;
+type PendingResponse<'scope> = ScopedJoinHandle<'scope, Result<Response<Vec<u8>>, ureq::Error>>;
 
-/// Fills the only slot with request `1` and the only place in the queue with request `2`.
-fn fill<'scope>(
+/// Occupies the only slot with request `1` and the only place in the queue with request `2`.
+fn occupy<'scope>(
     scope: &'scope thread::Scope<'scope, '_>,
     target: &'scope Target,
-) -> [Answer<'scope>; 2] {
+) -> [PendingResponse<'scope>; 2] {
     let request = |id| {
-        let headers = [("Ragwortfold-Request-Id", id), LONG_WORK];
+        let headers = [("Ragwortfold-Request-Id", id), LONG_SERVICE_TIME];
         scope.spawn(move || send(target, "POST", "/x", &headers))
     };
     let first = request("1");
-    wait_for(target, |counts| counts.running == 1);
+    wait_until(target, |counts| counts.running == 1);
     let second = request("2");
-    wait_for(target, |counts| counts.waiting == 1);
+    wait_until(target, |counts| counts.waiting == 1);
     [first, second]
 }
 
@@ -77,20 +77,20 @@
     ($($name:ident: $run:expr;)*) => {
         $(#[test] fn $name() {
             let settings = Settings::new("t-1", 1).with_zone("z-1").with_connections(3);
-            $run(&Target::new(any(), settings).unwrap());
+            $run(&Target::new(any_port(), settings).unwrap());
         })*
     };
 }
 
 case! {
-    answers_prove_whose_they_are: |target: &Target| {
+    responses_identify_their_request: |target: &Target| {
         let headers = [("Standin-Call", "c"), ("Idempotency-Key", "k"), ("Ragwortfold-Request-Id", "r")];
-        let answer = send(target, "POST", "/a/b?c=d", &headers).unwrap();
-        assert_eq!(header(&answer, "Standin-Call"), "c");
-        assert_eq!(header(&answer, "Standin-Target"), "t-1");
-        assert_eq!(header(&answer, "Standin-Zone"), "z-1");
-        assert_eq!(header(&answer, "Standin-Body-Hash"), pattern::hash(b"body"));
-        assert_eq!(header(&answer, "Ragwortfold-Load"), "0/1");
+        let response = send(target, "POST", "/a/b?c=d", &headers).unwrap();
+        assert_eq!(header(&response, "Standin-Call"), "c");
+        assert_eq!(header(&response, "Standin-Target"), "t-1");
+        assert_eq!(header(&response, "Standin-Zone"), "z-1");
+        assert_eq!(header(&response, "Standin-Body-Hash"), pattern::hash(b"body"));
+        assert_eq!(header(&response, "Ragwortfold-Load"), "0/1");
         let journal = target.journal();
         let [entry] = journal.entries.as_slice() else { panic!("{journal:?}") };
         assert_eq!(entry.call.as_deref(), Some("c"));
@@ -99,34 +99,34 @@
         assert_eq!(&*entry.line, "POST /a/b");
         assert!(entry.completed && entry.ended_us >= Some(entry.began_us));
     };
-    answers_have_the_bytes_asked_for: |target: &Target| {
+    responses_have_the_requested_bytes: |target: &Target| {
         for chunked in [false, true] {
             let mut headers = vec![("Standin-Call", "c"), ("Standin-Answer-Bytes", "300000")];
             headers.extend(chunked.then_some(("Standin-Chunked", "1")));
-            let answer = send(target, "GET", "/", &headers).unwrap();
-            assert_eq!(answer.body(), &pattern::bytes("c", 300_000));
-            assert_eq!(answer.headers().contains_key("Transfer-Encoding"), chunked);
+            let response = send(target, "GET", "/", &headers).unwrap();
+            assert_eq!(response.body(), &pattern::bytes("c", 300_000));
+            assert_eq!(response.headers().contains_key("Transfer-Encoding"), chunked);
         }
     };
-    full_slots_and_queue_shed: |target: &Target| thread::scope(|scope| {
-        let running = fill(scope, target);
+    a_target_with_a_full_queue_sheds_requests: |target: &Target| thread::scope(|scope| {
+        let running = occupy(scope, target);
         let shed = send(target, "POST", "/x", &[]).unwrap();
         assert_eq!(shed.status(), 503);
         assert_eq!(header(&shed, "Ragwortfold-Outcome"), "not-run");
         assert!(!header(&shed, "Retry-After").is_empty());
         assert_eq!(target.journal().entries.len(), 1);
         target.set_fault(Fault { mode: Mode::Crash, ..Fault::default() });
-        for cut in running {
-            assert!(cut.join().unwrap().is_err());
+        for request in running {
+            assert!(request.join().unwrap().is_err());
         }
-        wait_for(target, |counts| counts.running == 0);
+        wait_until(target, |counts| counts.running == 0);
         assert!(!target.journal().entries[0].completed);
         assert!(send(target, "GET", "/health", &[]).is_err());
         target.set_fault(Fault::default());
         assert_eq!(send(target, "GET", "/health", &[]).unwrap().status(), 200);
     });
-    cancelled_work_is_dropped_or_ended: |target: &Target| thread::scope(|scope| {
-        let [first, second] = fill(scope, target);
+    cancelled_requests_are_dropped_or_ended: |target: &Target| thread::scope(|scope| {
+        let [first, second] = occupy(scope, target);
         assert_eq!(send(target, "DELETE", "/requests/2", &[]).unwrap().status(), 200);
         assert_eq!(header(&second.join().unwrap().unwrap(), "Ragwortfold-Outcome"), "not-run");
         assert_eq!(send(target, "DELETE", "/requests/1", &[]).unwrap().status(), 200);
@@ -136,18 +136,18 @@
         assert_eq!((counts.began, counts.completed, counts.ended_early, counts.dropped), (1, 0, 1, 1));
     });
     a_deadline_ends_the_wait: |target: &Target| thread::scope(|scope| {
-        let headers = [("Ragwortfold-Request-Id", "1"), LONG_WORK];
+        let headers = [("Ragwortfold-Request-Id", "1"), LONG_SERVICE_TIME];
         let first = scope.spawn(move || send(target, "POST", "/x", &headers));
-        wait_for(target, |counts| counts.running == 1);
-        let late = send(target, "POST", "/x", &[("Ragwortfold-Deadline-Ms", "20")]).unwrap();
-        assert_eq!(header(&late, "Ragwortfold-Outcome"), "not-run");
+        wait_until(target, |counts| counts.running == 1);
+        let expired = send(target, "POST", "/x", &[("Ragwortfold-Deadline-Ms", "20")]).unwrap();
+        assert_eq!(header(&expired, "Ragwortfold-Outcome"), "not-run");
         send(target, "DELETE", "/requests/1", &[]).unwrap();
         first.join().unwrap().unwrap();
         assert_eq!(target.journal().entries.len(), 1);
     });
-    modes_decide_what_runs_and_what_is_answered: |target: &Target| {
-        // The mode, the answer's state (none: no whole answer), and whether the request ran.
-        let rows = [
+    modes_determine_execution_and_response: |target: &Target| {
+        // The mode, the response's state (none without a complete response), and whether the request runs.
+        let cases = [
             (Mode::Serving, Some("serving"), true),
             (Mode::Cold, Some("cold"), true),
             (Mode::Draining, Some("draining"), true),
@@ -159,19 +159,19 @@
             (Mode::Refuse, None, false),
             (Mode::Crash, None, false),
         ];
-        for (mode, state, runs) in rows {
+        for (mode, state, runs) in cases {
             target.set_fault(Fault { mode, ..Fault::default() });
             let before = target.journal().entries.len();
-            let answer = send(target, "GET", "/x", &[]).ok();
-            let shown = answer.as_ref().map(|answer| header(answer, "Ragwortfold-State"));
-            assert_eq!(shown, state, "{mode:?}");
+            let response = send(target, "GET", "/x", &[]).ok();
+            let reported = response.as_ref().map(|response| header(response, "Ragwortfold-State"));
+            assert_eq!(reported, state, "{mode:?}");
             assert_eq!(target.journal().entries.len() > before, runs, "{mode:?}");
         }
     };
-    connections_are_bounded: |target: &Target| {
+    connections_are_limited: |target: &Target| {
         let open = || std::net::TcpStream::connect(target.address()).unwrap();
-        let _held = [open(), open(), open()];
-        wait_for(target, |counts| counts.connections == 3);
+        let _open = [open(), open(), open()];
+        wait_until(target, |counts| counts.connections == 3);
         assert!(send(target, "GET", "/health", &[]).is_err());
         assert_eq!(target.counts().connections_over, 1);
     };
