--- a/src/bin/ragwortfold/demo/world.rs
+++ b/src/bin/ragwortfold/demo/world.rs
@@ -20,9 +20,9 @@
 use serde_json::{json, Value};
 use standin::free_address;
 use standin::link::{Accept, Fault, Link};
-use standin::observer::{self, Cap, Place};
+use standin::observer::{self, Cap, TargetInfo};
 use standin::platform::{self, HostState, Platform};
-use standin::target::{self, Target, Work};
+use standin::target::{self, ServiceTime, Target};
 
 use super::operator::Operator;
 use super::{Customer, Error};
@@ -94,13 +94,13 @@
 
 impl Shape {
     /// The service times of its targets.
-    pub(crate) fn work(self) -> Work {
+    pub(crate) fn work(self) -> ServiceTime {
         let (shortest, longest) = match self {
             Shape::Query => (5, 20),
             Shape::Booking => (10, 40),
             Shape::Upload => (50, 150),
         };
-        Work {
+        ServiceTime {
             shortest: Duration::from_millis(shortest),
             longest: Duration::from_millis(longest),
         }
@@ -143,7 +143,7 @@
     /// What the operator configured.
     pub(crate) configuration: Configuration,
     /// The same for the observer.
-    pub(crate) facts: observer::World,
+    pub(crate) facts: observer::Deployment,
     /// The platform.
     pub(crate) platform: Platform,
     /// Targets by name.
@@ -331,7 +331,7 @@
                     } else {
                         self.delays.region
                     };
-                    link.fault(lost(
+                    link.set_fault(lost(
                         Fault::delay(self.delays.client + far),
                         is_lost,
                         reset,
@@ -341,7 +341,7 @@
                 for other in self.machines.values() {
                     let is_lost = is_lost || self.lost.contains(&other.zone);
                     let fault = lost(self.path(other, machine), is_lost, reset, Accept::Reset);
-                    seat.peers.fault_from(other.source, fault);
+                    seat.peers.set_fault_from(other.source, fault);
                 }
             }
         }
@@ -352,7 +352,7 @@
             } else {
                 fault
             };
-            link.fault(lost(fault, self.lost.contains(zone), reset, Accept::Refuse));
+            link.set_fault(lost(fault, self.lost.contains(zone), reset, Accept::Refuse));
         }
     }
 
@@ -419,7 +419,7 @@
     Ok(with_text("demo", &text.to_string(), &Overrides::default())?)
 }
 
-fn facts(configuration: &Configuration) -> observer::World {
+fn facts(configuration: &Configuration) -> observer::Deployment {
     let region = |zone: &str| {
         configuration.availability_zones[zone]
             .region
@@ -427,7 +427,7 @@
             .into()
     };
     let places = configuration.targets.iter().map(|(name, target)| {
-        let place = Place {
+        let place = TargetInfo {
             service: target.service.as_str().into(),
             zone: target.availability_zone.as_str().into(),
             region: region(&target.availability_zone),
@@ -435,12 +435,12 @@
         };
         (name.as_str().into(), place)
     });
-    observer::World {
+    observer::Deployment {
         targets: places.collect(),
-        planned: cap(configuration, "default"),
-        failover: cap(configuration, "failover"),
+        planned_cap: cap(configuration, "default"),
+        failover_cap: cap(configuration, "failover"),
         utilization: configuration.limits.utilization,
-        blocks: super::load::CLIENTS.into(),
+        client_blocks: super::load::CLIENTS.into(),
     }
 }
 
@@ -459,7 +459,7 @@
         let settings = target::Settings::new(name, target.slots.get() as usize)
             .with_zone(&target.availability_zone)
             .with_connections(target.connections.get() as usize)
-            .with_work(work, seed.wrapping_add(number as u64))
+            .with_service_time(work, seed.wrapping_add(number as u64))
             .with_load_lag(Duration::from_millis(500));
         targets.insert(name.as_str().into(), Target::new(local(0), settings)?);
     }
