--- a/src/host/exchange.rs
+++ b/src/host/exchange.rs
@@ -18,7 +18,7 @@
 use super::admission::Admitted;
 use super::body::{self, Body, Part};
 use super::client::{self, Connection, Unanswered};
-use super::record::{self, Stop, Story};
+use super::request_log::{self, Stop, Story};
 use super::{answer, log, message, now, quarantine, throttle, Host};
 use crate::border::settings::Switch;
 use crate::catalog::Repeat;
@@ -162,7 +162,7 @@
         if self.status.is_none() {
             self.story.leave(now());
         }
-        record::request(
+        request_log::request(
             self.host,
             self.exchange,
             &self.ask,
@@ -512,7 +512,7 @@
     response: Response<Incoming>,
 ) -> Outcome {
     let (parts, incoming) = response.into_parts();
-    record::headers(host, grant.target, &parts.headers);
+    request_log::headers(host, grant.target, &parts.headers);
     let told = (host.platform.wire.answer)(&parts);
     grant.seen.load = told.load;
     grant.seen.bytes = incoming.size_hint().exact();
@@ -521,7 +521,7 @@
         return Outcome::NotRun;
     }
     if told.id != exchange.head.id {
-        record::stray(host, exchange, grant);
+        request_log::stray(host, exchange, grant);
         grant.end = End::Stray;
         return Outcome::Unknown;
     }
--- a/src/host/feed.rs
+++ b/src/host/feed.rs
@@ -14,9 +14,9 @@
 use tokio_tungstenite::tungstenite::{self, Bytes, Message as Packet};
 use tokio_tungstenite::WebSocketStream;
 
-use super::copy::{self, Copy};
+use super::snapshot::{self, Copy};
 use super::log::Event;
-use super::{beat, client, now, proof, serve, Error, Gap, Host};
+use super::{datagram, client, now, proof, serve, Error, Gap, Host};
 use crate::control::presence::{Record, Sight};
 use crate::control::replica::Update;
 use crate::port::{Entry, Kind};
@@ -199,8 +199,8 @@
     let mut queue = host.followers.borrow_mut().add();
     for kind in KINDS {
         let messages = match known.get(&kind) {
-            Some(revision) => copy::difference(host, kind, *revision),
-            None => copy::whole(host, kind),
+            Some(revision) => snapshot::difference(host, kind, *revision),
+            None => snapshot::whole(host, kind),
         };
         for bytes in messages.iter() {
             socket.send(Packet::Binary(bytes.clone())).await?;
@@ -343,7 +343,7 @@
                     hosts = records.len()
                 });
                 host.core.borrow_mut().hear_of(now(), records);
-                beat::send_to_all(host).await;
+                datagram::send_to_all(host).await;
             }
             Message::Part(entries) => parts.push(entries),
             Message::Update(mut update) => {
--- a/src/host/front.rs
+++ b/src/host/front.rs
@@ -11,7 +11,7 @@
 use super::admission::{admit, Admitted};
 use super::body::{self, Body, Broken};
 use super::exchange::{self, Exchange, Kept};
-use super::{answer, begin, now, record, serve, Error, Host};
+use super::{answer, startup, now, request_log, serve, Error, Host};
 use crate::inventory::Route;
 use crate::port::Head;
 use crate::steer::fingerprint::{Content, Fingerprint};
@@ -36,10 +36,10 @@
     let begun = now();
     host.core.borrow_mut().presence.count(begun);
     let (parts, incoming) = request.into_parts();
-    begin::known(host).await;
+    startup::known(host).await;
     let limits = host.core.borrow().table.limits();
     let reject = |parts: &request::Parts, response: Response<Body>, reason, detail: &str| {
-        record::rejected(host, parts, begun, response.status(), reason, detail);
+        request_log::rejected(host, parts, begun, response.status(), reason, detail);
         response
     };
     let Some(limits) = limits else {
--- a/src/host/join.rs
+++ b/src/host/join.rs
@@ -7,7 +7,7 @@
 use super::log::Event;
 use super::store::{Client, Error};
 use super::sync::{self, Pause};
-use super::{beat, now, Host};
+use super::{datagram, now, Host};
 use crate::port::{Age, Call, Entry, Kind, Reply};
 
 /// How often the registrations of hosts are read again, to find hosts whose heartbeats are lost.
@@ -33,7 +33,7 @@
             Ok((entries, _)) => {
                 tidy(&host, &mut client, &entries).await;
                 host.core.borrow_mut().meet(now(), entries);
-                beat::send_to_all(&host).await;
+                datagram::send_to_all(&host).await;
                 if !host.joined.get() {
                     tokio::time::sleep(MEET).await;
                     host.joined.set(true);
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -5,17 +5,17 @@
 
 mod admission;
 mod answer;
-mod beat;
-mod begin;
+mod datagram;
+mod startup;
 mod body;
 mod client;
-mod copy;
+mod snapshot;
 mod core;
 mod error;
 mod exchange;
 mod feed;
 mod front;
-mod inquiry;
+mod refresh;
 mod join;
 mod log;
 mod lookup;
@@ -25,10 +25,10 @@
 mod probe;
 mod proof;
 mod quarantine;
-mod record;
+mod request_log;
 mod reload;
 mod serve;
-mod stop;
+mod shutdown;
 mod store;
 mod sync;
 mod throttle;
@@ -50,7 +50,7 @@
 use crate::entry::metrics::Metrics;
 use crate::port::{Platform, Settings};
 
-pub use begin::WAIT;
+pub use startup::WAIT;
 pub use error::Error;
 pub use feed::SILENCE;
 pub use log::EVENTS;
@@ -61,7 +61,7 @@
     settings: Settings,
     core: RefCell<core::Core>,
     pool: RefCell<pool::Pool>,
-    stop: stop::Stop,
+    stop: shutdown::Stop,
     metrics: Metrics,
     limits: RefCell<log::Limits>,
     beats: RefCell<Option<Rc<UdpSocket>>>,
@@ -69,7 +69,7 @@
     /// What the host that this one follows knows of the store.
     followed: Cell<Option<Sight>>,
     watching: watcher::Watching,
-    begin: begin::Begin,
+    begin: startup::Begin,
     /// Whether the host has registered, or has tried to.
     joined: Cell<bool>,
     /// Feeds that ended, and when.
@@ -145,14 +145,14 @@
     let host = Rc::new(Host {
         core: RefCell::new(core::Core::new(now(), &settings)),
         pool: RefCell::new(pool::Pool::default()),
-        stop: stop::Stop::new(),
+        stop: shutdown::Stop::new(),
         metrics: Metrics::new()?,
         limits: RefCell::default(),
         beats: RefCell::new(None),
         followers: RefCell::default(),
         followed: Cell::new(None),
         watching: watcher::Watching::new(),
-        begin: begin::Begin::new(now(), &settings),
+        begin: startup::Begin::new(now(), &settings),
         joined: Cell::new(false),
         failed: RefCell::default(),
         claims: throttle::Claims::default(),
@@ -165,8 +165,8 @@
     lookup::listen(&host).await?;
     metrics::listen(&host).await?;
     feed::listen(&host).await?;
-    beat::start(&host).await?;
-    begin::start(&host);
+    datagram::start(&host).await?;
+    startup::start(&host);
     sync::start(&host);
     tokio::task::spawn_local(probe::run(host.clone()));
     tokio::task::spawn_local(proof::assure(host.clone()));
@@ -177,6 +177,6 @@
         zone = &*host.settings.zone,
         front = host.settings.front.to_string().as_str()
     });
-    stop::run(&host).await;
+    shutdown::run(&host).await;
     Ok(())
 }
--- a/src/host/probe.rs
+++ b/src/host/probe.rs
@@ -14,7 +14,7 @@
 use http::{HeaderValue, Request, Uri};
 use http_body_util::BodyExt;
 
-use super::{beat, body, client, exchange, log, now, throttle, Host};
+use super::{datagram, body, client, exchange, log, now, throttle, Host};
 use crate::inventory::TargetKey;
 use crate::steer::throttle::Fit;
 
@@ -90,7 +90,7 @@
     {
         log::cold(&question.id, left);
     }
-    beat::tell_cold(&host, &question.id, left).await;
+    datagram::tell_cold(&host, &question.id, left).await;
 }
 
 /// Asks a target; gives how much longer it is cold.
--- a/src/host/proof.rs
+++ b/src/host/proof.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::store::{Client, Error};
-use super::{inquiry, now, Host};
+use super::{refresh, now, Host};
 use crate::control::proof::{Moment, CAUTION};
 use crate::port::Kind;
 
@@ -88,7 +88,7 @@
             is_old && host.joined.get() && core.presence.is_store_seen(now())
         };
         if needed {
-            let question = inquiry::catch_up(&host, &mut client, Kind::Config);
+            let question = refresh::catch_up(&host, &mut client, Kind::Config);
             let result = tokio::time::timeout(PATIENCE, question).await;
             if let Err(error) = result.unwrap_or(Err(Error::Timeout)) {
                 spdlog::debug!("proof: the store does not tell whether there is news: {error}");
--- a/src/host/quarantine.rs
+++ b/src/host/quarantine.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::exchange::{Exchange, Grant};
-use super::{beat, log, now, Host};
+use super::{datagram, log, now, Host};
 use crate::steer::fingerprint::Fingerprint;
 use crate::steer::fleet::End;
 use crate::steer::quarantine::{News, Note, Verdict, UNSURE};
@@ -93,18 +93,18 @@
         let core = host.core.borrow();
         core.quarantine.standings(now()).collect()
     };
-    beat::send_notes(host, &notes, peers).await;
+    datagram::send_notes(host, &notes, peers).await;
 }
 
 fn tell_all(host: &Rc<Host>, note: Note) {
     log::standing(&note);
-    let peers = beat::all(host);
+    let peers = datagram::all(host);
     send(host, note, peers);
 }
 
 fn send(host: &Rc<Host>, note: Note, peers: Vec<SocketAddr>) {
     let host = host.clone();
     tokio::task::spawn_local(async move {
-        beat::send_notes(&host, &[note], &peers).await;
+        datagram::send_notes(&host, &[note], &peers).await;
     });
 }
--- a/src/host/serve.rs
+++ b/src/host/serve.rs
@@ -24,7 +24,7 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
 use super::body::{self, Body};
-use super::{client, now, stop, Error, Host};
+use super::{client, now, shutdown, Error, Host};
 
 /// Connections that may wait to be accepted.
 const BACKLOG: u32 = 1024;
@@ -221,7 +221,7 @@
     F: Fn(Rc<Host>, Request<Incoming>) -> R + Copy + 'static,
     R: Future<Output = Response<Body>> + 'static,
 {
-    let _guard = stop::Guard::new(&host);
+    let _guard = shutdown::Guard::new(&host);
     if let Err(error) = client::watch(&stream) {
         spdlog::debug!("serve: a connection ended at once: {error}");
         return;
--- a/src/host/stop.rs
+++ b/src/host/shutdown.rs
@@ -13,7 +13,7 @@
 use tokio::sync::Notify;
 
 use super::log::Event;
-use super::{beat, join, Host};
+use super::{datagram, join, Host};
 
 /// The part of the time between SIGTERM and the end in which callers that keep the address are served.
 const SERVE: f64 = 0.45;
@@ -85,7 +85,7 @@
     let begun = super::now();
     host.stop.leaving.set(true);
     host.core.borrow_mut().presence.leave();
-    beat::tell_leaving(host).await;
+    datagram::tell_leaving(host).await;
     let grace = host.settings.bounds.grace;
     tokio::join!(
         join::unregister(host),
--- a/src/host/sync.rs
+++ b/src/host/sync.rs
@@ -9,11 +9,11 @@
 use tokio::task::AbortHandle;
 
 use super::feed;
-use super::inquiry::{self, Inquiry};
+use super::refresh::{self, Inquiry};
 use super::log::{self, Event};
 use super::store::{Client, Error};
 use super::watcher::{Reach, Steady, WATCHED};
-use super::{beat, join, now, proof, Host};
+use super::{datagram, join, now, proof, Host};
 use crate::control::presence::{Record, Sight};
 use crate::control::replica::Update;
 use crate::port::{Age, Call, Entry, Kind, Reply};
@@ -98,7 +98,7 @@
                     tokio::task::spawn_local(watch_kind(host.clone(), *kind)).abort_handle()
                 })
                 .collect();
-            watchers.push(tokio::task::spawn_local(inquiry::run(host.clone())).abort_handle());
+            watchers.push(tokio::task::spawn_local(refresh::run(host.clone())).abort_handle());
         }
         if !watch && !watchers.is_empty() {
             log::watching(false);
@@ -205,7 +205,7 @@
     };
     if let Some(before) = news {
         feed::tell_sight(host);
-        beat::tell_sight(host, before).await;
+        datagram::tell_sight(host, before).await;
     }
 }
 
@@ -260,7 +260,7 @@
         }
     }
     let _turn = host.watching.turn(kind).await;
-    inquiry::catch_up(host, client, kind).await?;
+    refresh::catch_up(host, client, kind).await?;
     Ok(())
 }
 
--- a/src/host/throttle.rs
+++ b/src/host/throttle.rs
@@ -11,7 +11,7 @@
 use tokio::sync::oneshot;
 
 use super::exchange::Grant as Held;
-use super::{beat, log, now, Host};
+use super::{datagram, log, now, Host};
 use crate::inventory::TargetKey;
 use crate::port::Answer;
 use crate::steer::fleet::Leave;
@@ -69,7 +69,7 @@
     };
     let (sender, answered) = oneshot::channel();
     host.claims.waiting.borrow_mut().insert(claim.0, sender);
-    beat::claim(host, claim, address).await;
+    datagram::claim(host, claim, address).await;
     let patience = if is_near { NEAR } else { FAR };
     let answer = tokio::time::timeout(patience, answered).await;
     host.claims.waiting.borrow_mut().remove(&claim.0);
@@ -85,7 +85,7 @@
 /// Answers another host's claim.
 pub(crate) async fn answer(host: &Host, sender: SocketAddr, claim: &Claim) {
     let grant = host.core.borrow_mut().fleet.grant(now(), claim);
-    beat::grant(host, grant, sender).await;
+    datagram::grant(host, grant, sender).await;
 }
 
 /// Takes in a keeper's answer, also one that comes late.
@@ -126,8 +126,8 @@
     }
     let host = host.clone();
     tokio::task::spawn_local(async move {
-        let peers = beat::all(&host);
-        beat::send_rates(&host, &[news], &peers).await;
+        let peers = datagram::all(&host);
+        datagram::send_rates(&host, &[news], &peers).await;
     });
 }
 
@@ -150,6 +150,6 @@
         all.sample(&mut core.rng, REPEATED)
     };
     if !news.is_empty() {
-        beat::send_rates(host, &news, peers).await;
+        datagram::send_rates(host, &news, peers).await;
     }
 }
--- a/src/host/watcher.rs
+++ b/src/host/watcher.rs
@@ -10,7 +10,7 @@
 use tokio::sync::{Mutex, MutexGuard, Notify};
 
 use super::feed::KINDS;
-use super::inquiry::{Inquiry, TERM};
+use super::refresh::{Inquiry, TERM};
 use super::{log, Host};
 use crate::control::freshness::Evidence;
 use crate::port::Kind;
