--- a/src/host/request_log.rs
+++ b/src/host/request_log.rs
@@ -1,4 +1,4 @@
-//! What is kept of each request: a line in the log, and metrics.
+//! Logs each request and updates its metrics.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -6,50 +6,50 @@
 use http::header::HOST;
 use http::{request, HeaderMap, StatusCode};
 
-use super::exchange::{Exchange, Grant};
+use super::exchange::{Exchange, InFlight};
 use super::log::Event;
 use super::{now, serve, Host};
 use crate::entry::metrics::Sample;
 use crate::inventory::TargetKey;
 use crate::steer::fleet::{Ask, End, Refusal};
 
-/// Names of unknown headers that are logged at most: whoever writes them may write any.
-const UNKNOWN_HEADERS: usize = 32;
+/// Maximum names of unknown headers that are logged: a target could send any number of them.
+const MAX_UNKNOWN_HEADERS: usize = 32;
 
-/// One try of a request.
-pub(crate) struct Try {
+/// One attempt of a request.
+pub(crate) struct Attempt {
     target: Arc<str>,
-    begun: Instant,
+    started_at: Instant,
     end: End,
     took: Duration,
 }
 
 /// Why no further target was tried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Stop {
-    /// The answer was good.
+pub(crate) enum StopReason {
+    /// A target answered the request.
     Answered,
     /// The request must not run twice, and may have run.
     MayHaveRun,
-    /// No target took it.
+    /// No target accepted the request.
     Refused(Refusal),
-    /// It was sent as often as its route allows.
+    /// The route's limit of attempts was reached.
     Attempts,
-    /// Its time is over.
+    /// The request's time was over.
     Time,
-    /// The budget of repeats is used up.
+    /// The retry budget was used up.
     Budget,
-    /// Its body was not kept.
+    /// The request's body was not buffered completely.
     Body,
-    /// Its caller left.
+    /// The caller disconnected.
     Left,
-    /// It is suspected to crash targets, and is not repeated.
+    /// The request is suspected to crash targets and is not sent again.
     Suspected,
-    /// It crashed several targets, and may be tried again after this time.
+    /// The request crashed several targets and may be sent again after this time.
     Quarantined(Duration),
 }
 
-impl Stop {
+impl StopReason {
     fn as_str(self) -> &'static str {
         match self {
             Self::Answered => "answered",
@@ -67,90 +67,94 @@
     }
 }
 
-/// The course of one request.
-pub(crate) struct Story {
-    pub(crate) begun: Instant,
-    pub(crate) tries: Vec<Try>,
-    pub(crate) stop: Stop,
+/// The attempts of one request, and why no further one was made.
+pub(crate) struct RequestTrace {
+    pub(crate) started_at: Instant,
+    pub(crate) attempts: Vec<Attempt>,
+    pub(crate) stop_reason: StopReason,
 }
 
-impl Story {
-    pub(crate) fn new(begun: Instant) -> Self {
+impl RequestTrace {
+    pub(crate) fn new(started_at: Instant) -> Self {
         Self {
-            begun,
-            tries: Vec::new(),
-            stop: Stop::Answered,
+            started_at,
+            attempts: Vec::new(),
+            stop_reason: StopReason::Answered,
         }
     }
 
-    /// Adds a try that begins.
-    pub(crate) fn begin(&mut self, host: &Host, grant: &Grant) {
+    /// Adds an attempt that starts.
+    pub(crate) fn start_attempt(&mut self, host: &Host, in_flight: &InFlight) {
         let core = host.core.borrow();
-        let target = core.fleet.member(grant.target);
-        self.tries.push(Try {
+        let target = core.fleet.member(in_flight.target);
+        self.attempts.push(Attempt {
             target: target.map_or_else(|| "gone".into(), |member| member.id().clone()),
-            begun: grant.begun,
+            started_at: in_flight.started_at,
             end: End::Cancelled,
             took: Duration::ZERO,
         });
     }
 
-    /// The last try has ended.
-    pub(crate) fn end(&mut self, grant: &Grant) {
-        if let Some(last) = self.tries.last_mut() {
-            last.end = grant.end;
-            last.took = now().saturating_duration_since(last.begun);
+    /// Records the end of the last attempt.
+    pub(crate) fn finish_attempt(&mut self, in_flight: &InFlight) {
+        if let Some(last) = self.attempts.last_mut() {
+            last.end = in_flight.end;
+            last.took = now().saturating_duration_since(last.started_at);
         }
     }
 
-    /// The caller has left, in the middle of the last try if there is one.
-    pub(crate) fn leave(&mut self, now: Instant) {
-        if let Some(last) = self.tries.last_mut() {
+    /// Records that the caller disconnected, possibly during the last attempt.
+    pub(crate) fn abandon(&mut self, now: Instant) {
+        if let Some(last) = self.attempts.last_mut() {
             if last.took.is_zero() {
-                last.took = now.saturating_duration_since(last.begun);
+                last.took = now.saturating_duration_since(last.started_at);
             }
         }
-        self.stop = Stop::Left;
+        self.stop_reason = StopReason::Left;
     }
 
-    fn tries(&self) -> String {
-        let tries = self.tries.iter().map(|one| {
-            let end = format!("{:?}", one.end).to_lowercase();
-            format!("{} {end} after {} ms", one.target, one.took.as_millis())
+    fn describe_attempts(&self) -> String {
+        let attempts = self.attempts.iter().map(|attempt| {
+            let end = format!("{:?}", attempt.end).to_lowercase();
+            format!(
+                "{} {end} after {} ms",
+                attempt.target,
+                attempt.took.as_millis()
+            )
         });
-        tries.collect::<Vec<_>>().join(", ")
+        attempts.collect::<Vec<_>>().join(", ")
     }
 }
 
-/// Keeps what became of a request; without a status its caller has left.
-pub(crate) fn request(
+/// Logs a finished request and updates its metrics; without a status its caller has disconnected.
+pub(crate) fn log_request(
     host: &Host,
     exchange: &Exchange,
     ask: &Ask<'_>,
-    story: &Story,
+    trace: &RequestTrace,
     status: Option<StatusCode>,
 ) {
-    let total = now().saturating_duration_since(story.begun);
-    let event = status.map_or(Event::Abandoned, event);
-    count(host, exchange, ask.service, story, event, total);
-    let Some(left_out) = host.limits.borrow_mut().take(now(), event) else {
+    let total = now().saturating_duration_since(trace.started_at);
+    let event = status.map_or(Event::Abandoned, event_for);
+    update_metrics(host, exchange, ask.service, trace, event, total);
+    let Some(left_out) = host.log_limits.borrow_mut().take(now(), event) else {
         return;
     };
     let core = host.core.borrow();
     let id = exchange.head.id.as_deref().unwrap_or_default();
     let left = exchange.deadline.saturating_duration_since(now());
-    spdlog::info!("request: ended", kv: {
+    spdlog::info!("request: finished", kv: {
         event = event.as_str(),
         id,
         status = status.map_or(0, |status| status.as_u16()),
-        reason = story.stop.as_str(),
+        reason = trace.stop_reason.as_str(),
         route = &*exchange.route.name,
         path = exchange.parts.uri.path(),
-        caller = serve::caller(&exchange.parts.extensions).to_string().as_str(),
+        caller = serve::caller_address(&exchange.parts.extensions).to_string().as_str(),
         fingerprint = exchange.fingerprint.to_string().as_str(),
         account = exchange.admitted.caller.account().map_or("", |account| &account.name),
         service = &**ask.service,
-        tries = story.tries().as_str(),
+        tries = trace.describe_attempts().as_str(),
         choices = core.fleet.explain(now(), ask).as_str(),
         total_ms = total.as_millis() as u64,
         left_ms = left.as_millis() as u64,
@@ -160,16 +164,16 @@
     });
 }
 
-/// Keeps that a request was answered before a target was looked for.
-pub(crate) fn rejected(
+/// Logs a request that was answered before a target was chosen.
+pub(crate) fn log_rejected(
     host: &Host,
     parts: &request::Parts,
-    begun: Instant,
+    started_at: Instant,
     status: StatusCode,
     reason: &str,
     detail: &str,
 ) {
-    let Some(left_out) = host.limits.borrow_mut().take(now(), Event::Rejected) else {
+    let Some(left_out) = host.log_limits.borrow_mut().take(now(), Event::Rejected) else {
         return;
     };
     let head = (host.platform.wire.head)(parts);
@@ -182,27 +186,28 @@
         detail,
         name = name.and_then(Result::ok).unwrap_or_default(),
         path = parts.uri.path(),
-        total_ms = now().saturating_duration_since(begun).as_millis() as u64,
+        total_ms = now().saturating_duration_since(started_at).as_millis() as u64,
         configuration = host.core.borrow().table.version().unwrap_or_default(),
         left_out
     });
 }
 
-/// Keeps that a target's answer has headers that nobody here knows, once for each name: they may ask for something.
-pub(crate) fn headers(host: &Host, target: TargetKey, headers: &HeaderMap) {
+/// Logs each unknown header name in targets' answers once: the header may request something that
+/// the host does not support.
+pub(crate) fn log_unknown_headers(host: &Host, target: TargetKey, headers: &HeaderMap) {
     let unknown = headers
         .iter()
         .filter(|(name, _)| !(host.platform.wire.is_usual)(name));
     for (name, value) in unknown {
         let known = &mut *host.unknown_headers.borrow_mut();
-        if known.len() >= UNKNOWN_HEADERS || known.contains(name.as_str()) {
+        if known.len() >= MAX_UNKNOWN_HEADERS || known.contains(name.as_str()) {
             continue;
         }
         known.insert(name.as_str().into());
         let core = host.core.borrow();
         let target = core.fleet.member(target);
-        spdlog::warn!("exchange: a target's answer has a header that is not known", kv: {
-            event = Event::Header.as_str(),
+        spdlog::warn!("exchange: a target's answer has an unknown header", kv: {
+            event = Event::UnknownHeader.as_str(),
             name = name.as_str(),
             value = format!("{value:?}").as_str(),
             target = target.map(|member| &**member.id()).unwrap_or_default()
@@ -210,23 +215,23 @@
     }
 }
 
-/// Keeps that a target's answer names another request than the one it got.
-pub(crate) fn stray(host: &Host, exchange: &Exchange, grant: &Grant) {
-    let Some(left_out) = host.limits.borrow_mut().take(now(), Event::Stray) else {
+/// Logs that a target's answer carries the ID of another request.
+pub(crate) fn log_stray(host: &Host, exchange: &Exchange, in_flight: &InFlight) {
+    let Some(left_out) = host.log_limits.borrow_mut().take(now(), Event::StrayAnswer) else {
         return;
     };
     let core = host.core.borrow();
-    let target = core.fleet.member(grant.target);
+    let target = core.fleet.member(in_flight.target);
     let target = target.map(|member| &**member.id()).unwrap_or_default();
-    spdlog::warn!("exchange: an answer to another request", kv: {
-        event = Event::Stray.as_str(),
+    spdlog::warn!("exchange: a target's answer carries the ID of another request", kv: {
+        event = Event::StrayAnswer.as_str(),
         id = exchange.head.id.as_deref().unwrap_or_default(),
         target,
         left_out
     });
 }
 
-fn event(status: StatusCode) -> Event {
+fn event_for(status: StatusCode) -> Event {
     match status {
         StatusCode::SERVICE_UNAVAILABLE => Event::Refused,
         status if status.is_server_error() => Event::Failed,
@@ -234,15 +239,15 @@
     }
 }
 
-fn count(
+fn update_metrics(
     host: &Host,
     exchange: &Exchange,
     service: &Arc<str>,
-    story: &Story,
+    trace: &RequestTrace,
     event: Event,
     total: Duration,
 ) {
-    let tried: Duration = story.tries.iter().map(|one| one.took).sum();
+    let attempt_time: Duration = trace.attempts.iter().map(|attempt| attempt.took).sum();
     host.metrics.request(&Sample {
         service,
         class: &exchange.route.name,
@@ -253,11 +258,11 @@
             _ => "unknown",
         },
         total,
-        added: total.saturating_sub(tried),
+        added: total.saturating_sub(attempt_time),
         waited: Duration::ZERO,
-        attempts: story.tries.len() as u32,
+        attempts: trace.attempts.len() as u32,
     });
     if event == Event::Refused {
-        host.metrics.refusal(service, story.stop.as_str());
+        host.metrics.refusal(service, trace.stop_reason.as_str());
     }
 }
--- a/src/host/serve.rs
+++ b/src/host/serve.rs
@@ -1,8 +1,9 @@
-//! Incoming connections: HTTP/1.1 with bounds on how long a head may take and a connection may idle.
+//! Serves incoming connections: HTTP/1.1 with limits on how long a request head may take and how
+//! long a connection may be idle.
 //!
-//! Many callers keep connections on which nothing happens most of the time, and the buffers of an HTTP
-//! connection are most of what it costs in memory. So they are given back whenever an answer is out and
-//! nothing else has come, and only the socket waits.
+//! Many callers keep connections that are idle most of the time, and the buffers of an HTTP
+//! connection account for most of its memory. So the buffers are freed whenever the response has
+//! been sent and no further bytes have been received; only the socket is kept.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -26,119 +27,120 @@
 use super::body::{self, Body};
 use super::{client, now, shutdown, Error, Host};
 
-/// Connections that may wait to be accepted.
+/// Listen backlog: connections that may wait to be accepted.
 const BACKLOG: u32 = 1024;
-/// Pause after a failed accept, when descriptors have run out.
-const PAUSE: Duration = Duration::from_millis(50);
-/// How often a connection's times are checked, as the bounds may change.
-const CHECK: Duration = Duration::from_secs(1);
-/// How often a connection that waits for a request is looked at: most wait, and each look wakes the process. An idle one
-/// may so be closed this much later than its bound, before which callers use it.
-const LOOK: Duration = Duration::from_secs(5);
-/// The least buffer that the HTTP library takes, in bytes.
-const MIN_BUFFER: usize = 8192;
-/// Bound on a request head before the first configuration, in bytes.
-const DEFAULT_HEAD: usize = 16 << 10;
+/// Pause after a failed accept, for instance when file descriptors have run out.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Interval at which a connection in use is checked against its time limits, which may change.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval at which an idle connection is checked: most connections are idle, and each check wakes
+/// the process. So an idle connection may be closed this much later than its time limit, until
+/// which callers use it.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
+/// Smallest buffer size that hyper accepts, in bytes.
+const MIN_BUFFER_BYTES: usize = 8192;
+/// Limit on a request head before the first configuration, in bytes.
+const DEFAULT_HEAD_BYTES: usize = 16 << 10;
 
-/// What a connection is doing.
+/// The phase of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
-    /// It waits for a request since then.
+    /// Waiting for a request since this time.
     Idle(Instant),
-    /// A head began to arrive then.
+    /// Receiving a request head since this time.
     Head(Instant),
-    /// A request is being answered.
+    /// Answering a request.
     Busy,
 }
 
-/// What the two sides of the HTTP library tell of a connection.
-struct Watch {
+/// State of a connection, shared by its stream and its request handler.
+struct ConnectionState {
     phase: Cell<Phase>,
-    /// Whether all that was written has gone to the socket.
+    /// Whether everything written has been flushed to the socket.
     flushed: Cell<bool>,
-    /// Whether a part of the last request's body may still come.
-    unread: Cell<bool>,
-    /// Since when the caller takes nothing of what is written.
-    stalled: Cell<Option<Instant>>,
+    /// Whether a part of the last request's body may still arrive.
+    body_unread: Cell<bool>,
+    /// Since when writes to the caller have been blocked.
+    blocked_since: Cell<Option<Instant>>,
 }
 
-impl Watch {
+impl ConnectionState {
     fn new() -> Self {
         Self {
             phase: Cell::new(Phase::Idle(now())),
             flushed: Cell::new(true),
-            unread: Cell::new(false),
-            stalled: Cell::new(None),
+            body_unread: Cell::new(false),
+            blocked_since: Cell::new(None),
         }
     }
 
-    /// Whether the last answer is out and nothing else has come. While the rest of a body may come, only
-    /// the HTTP library knows that it is not a request.
-    fn is_at_rest(&self) -> bool {
+    /// Whether the last response has been sent and no further bytes have been received. While the
+    /// rest of a body may arrive, only hyper can tell its bytes from a new request.
+    fn is_idle(&self) -> bool {
         let idle = matches!(self.phase.get(), Phase::Idle(_));
-        idle && self.flushed.get() && !self.unread.get()
+        idle && self.flushed.get() && !self.body_unread.get()
     }
 }
 
-/// A mark on an answer: the request's body has been read to its end.
+/// Response extension: the request's body has been read completely.
 #[derive(Clone, Copy)]
-pub(crate) struct ReadWhole;
+pub(crate) struct BodyConsumed;
 
-/// Ends the phase in which a request is answered.
-struct Answering(Rc<Watch>);
+/// Marks the connection as idle when dropped, after a request has been answered.
+struct AnswerGuard(Rc<ConnectionState>);
 
-impl Drop for Answering {
+impl Drop for AnswerGuard {
     fn drop(&mut self) {
         self.0.phase.set(Phase::Idle(now()));
     }
 }
 
-/// A stream that notes what happens on it.
-struct Watched {
-    stream: TcpStream,
-    /// What was read before and belongs to the next request.
-    rest: Bytes,
-    watch: Rc<Watch>,
+/// A TCP stream that records its activity in a [`ConnectionState`].
+struct TrackedStream {
+    tcp: TcpStream,
+    /// Bytes already read that belong to the next request.
+    unparsed: Bytes,
+    state: Rc<ConnectionState>,
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for TrackedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
-        let result = if self.rest.has_remaining() {
-            let count = self.rest.len().min(buf.remaining());
-            buf.put_slice(&self.rest.split_to(count));
+        let result = if self.unparsed.has_remaining() {
+            let count = self.unparsed.len().min(buf.remaining());
+            buf.put_slice(&self.unparsed.split_to(count));
             Poll::Ready(Ok(()))
         } else {
-            Pin::new(&mut self.stream).poll_read(cx, buf)
+            Pin::new(&mut self.tcp).poll_read(cx, buf)
         };
-        if buf.filled().len() > before && matches!(self.watch.phase.get(), Phase::Idle(_)) {
-            self.watch.phase.set(Phase::Head(now()));
+        if buf.filled().len() > before && matches!(self.state.phase.get(), Phase::Idle(_)) {
+            self.state.phase.set(Phase::Head(now()));
         }
         result
     }
 }
 
-impl Watched {
-    fn note<T>(&self, written: &Poll<io::Result<T>>) {
-        self.watch.flushed.set(false);
-        let since = self.watch.stalled.get().unwrap_or_else(now);
-        let stalled = written.is_pending().then_some(since);
-        self.watch.stalled.set(stalled);
+impl TrackedStream {
+    fn note_write<T>(&self, written: &Poll<io::Result<T>>) {
+        self.state.flushed.set(false);
+        let since = self.state.blocked_since.get().unwrap_or_else(now);
+        let blocked_since = written.is_pending().then_some(since);
+        self.state.blocked_since.set(blocked_since);
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for TrackedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let written = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.note(&written);
+        let written = Pin::new(&mut self.tcp).poll_write(cx, buf);
+        self.note_write(&written);
         written
     }
 
@@ -147,28 +149,28 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let written = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.note(&written);
+        let written = Pin::new(&mut self.tcp).poll_write_vectored(cx, bufs);
+        self.note_write(&written);
         written
     }
 
     fn is_write_vectored(&self) -> bool {
-        self.stream.is_write_vectored()
+        self.tcp.is_write_vectored()
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let flushed = Pin::new(&mut self.stream).poll_flush(cx);
-        self.watch.flushed.set(flushed.is_ready());
+        let flushed = Pin::new(&mut self.tcp).poll_flush(cx);
+        self.state.flushed.set(flushed.is_ready());
         flushed
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.stream).poll_shutdown(cx)
+        Pin::new(&mut self.tcp).poll_shutdown(cx)
     }
 }
 
-/// The address that a request with these extensions came from.
-pub(crate) fn caller(extensions: &Extensions) -> IpAddr {
+/// The address of the caller, from a request's extensions.
+pub(crate) fn caller_address(extensions: &Extensions) -> IpAddr {
     let caller = extensions.get::<IpAddr>().copied();
     caller.unwrap_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED))
 }
@@ -190,24 +192,24 @@
     F: Fn(Rc<Host>, Request<Incoming>) -> R + Copy + 'static,
     R: Future<Output = Response<Body>> + 'static,
 {
-    let all = each(&listener, PAUSE, |stream, _| {
-        tokio::task::spawn_local(connection(host.clone(), stream, handler));
+    let all = accept_each(&listener, ACCEPT_PAUSE, |stream, _| {
+        tokio::task::spawn_local(serve_connection(host.clone(), stream, handler));
     });
     tokio::select! {
         () = all => {}
-        () = host.stop.closing() => {}
+        () = host.shutdown.wait_for_close() => {}
     }
 }
 
-/// Hands each connection that `listener` accepts to `take`, with a pause after a failure.
-pub(super) async fn each(
+/// Passes each connection that `listener` accepts to `handle`, with a pause after a failure.
+pub(super) async fn accept_each(
     listener: &TcpListener,
     pause: Duration,
-    take: impl Fn(TcpStream, SocketAddr),
+    handle: impl Fn(TcpStream, SocketAddr),
 ) {
     loop {
         match listener.accept().await {
-            Ok((stream, address)) => take(stream, address),
+            Ok((stream, address)) => handle(stream, address),
             Err(error) => {
                 spdlog::warn!("serve: cannot accept a connection: {error}");
                 tokio::time::sleep(pause).await;
@@ -216,37 +218,37 @@
     }
 }
 
-async fn connection<F, R>(host: Rc<Host>, stream: TcpStream, handler: F)
+async fn serve_connection<F, R>(host: Rc<Host>, stream: TcpStream, handler: F)
 where
     F: Fn(Rc<Host>, Request<Incoming>) -> R + Copy + 'static,
     R: Future<Output = Response<Body>> + 'static,
 {
-    let _guard = shutdown::Guard::new(&host);
-    if let Err(error) = client::watch(&stream) {
-        spdlog::debug!("serve: a connection ended at once: {error}");
+    let _guard = shutdown::ConnectionGuard::new(&host);
+    if let Err(error) = client::configure_socket(&stream) {
+        spdlog::debug!("serve: cannot configure the socket of a connection: {error}");
         return;
     }
-    let mut next = Some(Watched {
-        stream,
-        rest: Bytes::new(),
-        watch: Rc::new(Watch::new()),
+    let mut next = Some(TrackedStream {
+        tcp: stream,
+        unparsed: Bytes::new(),
+        state: Rc::new(ConnectionState::new()),
     });
-    while let Some(watched) = next.take() {
-        if watched.rest.has_remaining() || wait(&host, &watched).await {
-            // On the heap, so that it takes no memory while the connection waits.
-            next = Box::pin(serve(&host, watched, handler)).await;
+    while let Some(stream) = next.take() {
+        if stream.unparsed.has_remaining() || wait_readable(&host, &stream).await {
+            // Boxed, so that it takes no memory while the connection is idle.
+            next = Box::pin(serve_requests(&host, stream, handler)).await;
         }
     }
 }
 
-/// Waits until something comes; false if the connection is to end.
-async fn wait(host: &Host, watched: &Watched) -> bool {
+/// Waits until the stream is readable; returns false if the connection is to be closed.
+async fn wait_readable(host: &Host, stream: &TrackedStream) -> bool {
     loop {
         tokio::select! {
-            readable = watched.stream.readable() => return readable.is_ok(),
-            () = host.stop.closing() => return false,
-            () = tokio::time::sleep(LOOK) => {
-                if overdue(host, &watched.watch) != Overdue::No {
+            readable = stream.tcp.readable() => return readable.is_ok(),
+            () = host.shutdown.wait_for_close() => return false,
+            () = tokio::time::sleep(IDLE_CHECK_INTERVAL) => {
+                if exceeded_limit(host, &stream.state) != ExceededLimit::None {
                     return false;
                 }
             }
@@ -254,43 +256,48 @@
     }
 }
 
-/// Answers requests until nothing more has come; gives the connection back unless it has ended.
-async fn serve<F, R>(host: &Rc<Host>, watched: Watched, handler: F) -> Option<Watched>
+/// Answers requests until the connection is idle; returns the stream unless the connection has
+/// ended.
+async fn serve_requests<F, R>(
+    host: &Rc<Host>,
+    stream: TrackedStream,
+    handler: F,
+) -> Option<TrackedStream>
 where
     F: Fn(Rc<Host>, Request<Incoming>) -> R + Copy + 'static,
     R: Future<Output = Response<Body>> + 'static,
 {
-    let watch = watched.watch.clone();
-    let caller = watched.stream.peer_addr().ok().map(|address| address.ip());
+    let state = stream.state.clone();
+    let caller = stream.tcp.peer_addr().ok().map(|address| address.ip());
     let service = service_fn(|mut request: Request<Incoming>| {
         if let Some(caller) = caller {
             request.extensions_mut().insert(caller);
         }
-        watch.phase.set(Phase::Busy);
-        watch.unread.set(!request.body().is_end_stream());
-        let answering = Answering(watch.clone());
+        state.phase.set(Phase::Busy);
+        state.body_unread.set(!request.body().is_end_stream());
+        let guard = AnswerGuard(state.clone());
         let answer = Box::pin(handler(host.clone(), request));
         async move {
             let response = answer.await;
-            if response.extensions().get::<ReadWhole>().is_some() {
-                answering.0.unread.set(false);
+            if response.extensions().get::<BodyConsumed>().is_some() {
+                guard.0.body_unread.set(false);
             }
-            Ok::<_, Infallible>(response.map(|body| body::guarded(body, answering)))
+            Ok::<_, Infallible>(response.map(|body| body::with_guard(body, guard)))
         }
     });
     let limits = host.core.borrow().table.limits();
-    let head = limits.map_or(DEFAULT_HEAD, |limits| limits.head_bytes);
+    let head = limits.map_or(DEFAULT_HEAD_BYTES, |limits| limits.head_bytes);
     let mut builder = http1::Builder::new();
     builder
-        .max_buf_size(head.max(MIN_BUFFER))
+        .max_buf_size(head.max(MIN_BUFFER_BYTES))
         .auto_date_header(false);
-    let mut connection = builder.serve_connection(TokioIo::new(watched), service);
-    let mut check = tokio::time::interval_at((now() + CHECK).into(), CHECK);
-    let mut leaving = false;
+    let mut connection = builder.serve_connection(TokioIo::new(stream), service);
+    let mut check = tokio::time::interval_at((now() + CHECK_INTERVAL).into(), CHECK_INTERVAL);
+    let mut is_closing = false;
     loop {
         let work = poll_fn(|cx| match Pin::new(&mut connection).poll(cx) {
             Poll::Ready(end) => Poll::Ready(Some(end)),
-            Poll::Pending if watch.is_at_rest() && !leaving => Poll::Ready(None),
+            Poll::Pending if state.is_idle() && !is_closing => Poll::Ready(None),
             Poll::Pending => Poll::Pending,
         });
         tokio::select! {
@@ -299,53 +306,53 @@
                 None => break,
                 Some(end) => {
                     if let Err(error) = end {
-                        spdlog::debug!("serve: a connection ended: {error}");
+                        spdlog::debug!("serve: a connection failed: {error}");
                     }
                     return None;
                 }
             },
-            () = host.stop.closing(), if !leaving => {
-                leaving = true;
+            () = host.shutdown.wait_for_close(), if !is_closing => {
+                is_closing = true;
                 Pin::new(&mut connection).graceful_shutdown();
             }
-            _ = check.tick() => match overdue(host, &watch) {
-                Overdue::No => {}
-                Overdue::Idle if leaving => {}
-                Overdue::Idle => {
-                    leaving = true;
+            _ = check.tick() => match exceeded_limit(host, &state) {
+                ExceededLimit::None => {}
+                ExceededLimit::Idle if is_closing => {}
+                ExceededLimit::Idle => {
+                    is_closing = true;
                     Pin::new(&mut connection).graceful_shutdown();
                 }
-                Overdue::Caller => return None,
+                ExceededLimit::Caller => return None,
             }
         }
     }
     let parts = connection.into_parts();
-    let mut watched = parts.io.into_inner();
-    watched.rest = parts.read_buf;
-    Some(watched)
+    let mut stream = parts.io.into_inner();
+    stream.unparsed = parts.read_buf;
+    Some(stream)
 }
 
-/// Which of its bounds a connection has passed.
+/// The time limit that a connection has exceeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Overdue {
-    No,
-    /// It waited too long for a request.
+enum ExceededLimit {
+    None,
+    /// It was idle for too long.
     Idle,
-    /// The caller takes too long to send a head, or to take an answer.
+    /// The caller takes too long to send a request head or to receive a response.
     Caller,
 }
 
-fn overdue(host: &Host, watch: &Watch) -> Overdue {
+fn exceeded_limit(host: &Host, state: &ConnectionState) -> ExceededLimit {
     let Some(limits) = host.core.borrow().table.limits() else {
-        return Overdue::No;
+        return ExceededLimit::None;
     };
-    let stalled = watch.stalled.get();
-    if stalled.is_some_and(|since| now() > since + limits.idle_timeout) {
-        return Overdue::Caller;
+    let blocked_since = state.blocked_since.get();
+    if blocked_since.is_some_and(|since| now() > since + limits.idle_timeout) {
+        return ExceededLimit::Caller;
     }
-    match watch.phase.get() {
-        Phase::Idle(since) if now() > since + limits.idle_timeout => Overdue::Idle,
-        Phase::Head(since) if now() > since + limits.head_timeout => Overdue::Caller,
-        _ => Overdue::No,
+    match state.phase.get() {
+        Phase::Idle(since) if now() > since + limits.idle_timeout => ExceededLimit::Idle,
+        Phase::Head(since) if now() > since + limits.head_timeout => ExceededLimit::Caller,
+        _ => ExceededLimit::None,
     }
 }
--- a/src/host/shutdown.rs
+++ b/src/host/shutdown.rs
@@ -1,9 +1,9 @@
-//! Stopping without cutting a request.
+//! Graceful shutdown.
 //!
-//! On SIGTERM a host tells the others and is named in no look-up any more. Callers that keep its address
-//! are served for a while, each answer ending its connection; then idle connections are closed, and the
-//! process ends with the last connection: one on which a request has just arrived counts like one
-//! whose request is being answered.
+//! On SIGTERM a host notifies the others, which stop listing it in look-ups. Callers that still
+//! have its address are served for a while, and each response closes its connection. Then idle
+//! connections are closed, and the process ends with the last connection: one on which a request
+//! has just arrived counts like one whose request is being answered.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,89 +15,92 @@
 use super::log::Event;
 use super::{datagram, join, Host};
 
-/// The part of the time between SIGTERM and the end in which callers that keep the address are served.
-const SERVE: f64 = 0.45;
-/// The part after which the process ends in any case.
-const END: f64 = 0.95;
-/// How often it is checked whether the last connection is closed.
-const CHECK: Duration = Duration::from_millis(50);
+/// Fraction of the grace period during which callers that still have the address are served.
+const SERVE_FRACTION: f64 = 0.45;
+/// Fraction of the grace period after which the process ends in any case.
+const END_FRACTION: f64 = 0.95;
+/// Interval at which the number of open connections is checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How far stopping has gone.
-pub(crate) struct Stop {
-    leaving: Cell<bool>,
-    closing: Cell<bool>,
-    closed: Notify,
+/// Progress of the shutdown.
+pub(crate) struct Shutdown {
+    is_leaving: Cell<bool>,
+    is_closing: Cell<bool>,
+    close_signal: Notify,
     connections: Cell<usize>,
 }
 
-/// A caller's connection, open as long as this lives.
-pub(crate) struct Guard(Rc<Host>);
+/// Counts a caller's connection as open until it is dropped.
+pub(crate) struct ConnectionGuard(Rc<Host>);
 
-impl Guard {
+impl ConnectionGuard {
     pub(crate) fn new(host: &Rc<Host>) -> Self {
-        let connections = &host.stop.connections;
+        let connections = &host.shutdown.connections;
         connections.set(connections.get() + 1);
         Self(host.clone())
     }
 }
 
-impl Drop for Guard {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        let connections = &self.0.stop.connections;
+        let connections = &self.0.shutdown.connections;
         connections.set(connections.get().saturating_sub(1));
     }
 }
 
-impl Stop {
+impl Shutdown {
     pub(crate) fn new() -> Self {
         Self {
-            leaving: Cell::new(false),
-            closing: Cell::new(false),
-            closed: Notify::new(),
+            is_leaving: Cell::new(false),
+            is_closing: Cell::new(false),
+            close_signal: Notify::new(),
             connections: Cell::new(0),
         }
     }
 
-    /// Whether answers end their connections.
+    /// Whether responses close their connections.
     pub(crate) fn is_leaving(&self) -> bool {
-        self.leaving.get()
+        self.is_leaving.get()
     }
 
     /// Waits until idle connections are to be closed.
-    pub(crate) async fn closing(&self) {
-        while !self.closing.get() {
-            self.closed.notified().await;
+    pub(crate) async fn wait_for_close(&self) {
+        while !self.is_closing.get() {
+            self.close_signal.notified().await;
         }
     }
 }
 
-/// Waits for SIGTERM and stops.
+/// Waits for SIGTERM and shuts down.
 pub(crate) async fn run(host: &Rc<Host>) {
     let mut terminate = match signal(SignalKind::terminate()) {
         Ok(terminate) => terminate,
         Err(error) => {
-            spdlog::error!("stop: no notice of SIGTERM, it will end the process at once: {error}");
+            spdlog::error!(
+                "shutdown: cannot handle SIGTERM, which will end the process at once: {error}"
+            );
             return std::future::pending().await;
         }
     };
     terminate.recv().await;
-    spdlog::info!("stop: told to end", kv: { event = Event::Leaving.as_str() });
-    let begun = super::now();
-    host.stop.leaving.set(true);
+    spdlog::info!("shutdown: received SIGTERM", kv: { event = Event::Leaving.as_str() });
+    let started_at = super::now();
+    host.shutdown.is_leaving.set(true);
     host.core.borrow_mut().presence.leave();
-    datagram::tell_leaving(host).await;
+    datagram::send_leaving(host).await;
     let grace = host.settings.bounds.grace;
     tokio::join!(
         join::unregister(host),
-        tokio::time::sleep(grace.mul_f64(SERVE))
+        tokio::time::sleep(grace.mul_f64(SERVE_FRACTION))
     );
-    host.stop.closing.set(true);
-    host.stop.closed.notify_waiters();
-    while host.stop.connections.get() > 0 && begun.elapsed() < grace.mul_f64(END) {
-        tokio::time::sleep(CHECK).await;
+    host.shutdown.is_closing.set(true);
+    host.shutdown.close_signal.notify_waiters();
+    while host.shutdown.connections.get() > 0 && started_at.elapsed() < grace.mul_f64(END_FRACTION)
+    {
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
-    spdlog::info!("stop: ends", kv: {
+    spdlog::info!("shutdown: the process ends", kv: {
         event = Event::Left.as_str(),
-        connections = host.stop.connections.get()
+        connections = host.shutdown.connections.get()
     });
 }
--- a/src/host/store.rs
+++ b/src/host/store.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's store.
+//! Client for the platform's store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,21 +8,22 @@
 use http_body_util::BodyExt;
 use tokio::net::TcpStream;
 
-use super::body::whole;
+use super::body::full;
 use super::client::{self, Connection};
 use super::log::Event;
 use super::Host;
 use crate::port::{Call, Malformed, Reply};
 
-/// How long the store may take for a call beside what it was asked to wait.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// How long a connection to the store may take to be established.
-const CONNECT: Duration = Duration::from_secs(1);
+/// Timeout of a call, in addition to the time that a watch asks the store to wait.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// Connect timeout.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Faults of objects that are remembered, so that each is logged once: many more than a store has in practice.
-const UNREAD: usize = 1024;
+/// Faults of objects that are remembered so that each is logged once: many more than a store has in
+/// practice.
+const MAX_LOGGED_FAULTS: usize = 1024;
 
-/// Why a call has no answer.
+/// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Error {
     #[error(transparent)]
@@ -33,44 +34,44 @@
     Timeout,
     #[error("{0}")]
     Malformed(#[from] Malformed),
-    #[error("it has too much to do or is away")]
+    #[error("the store is overloaded or unavailable")]
     Busy,
-    #[error("an answer that does not fit the call")]
+    #[error("the answer does not match the call")]
     Unexpected,
 }
 
-/// A connection to the store that is opened when it is needed.
+/// A client for the store that connects on demand.
 pub(crate) struct Client {
     host: Rc<Host>,
-    kept: Option<TcpStream>,
-    /// Whether an object of the last answer could not be read.
-    pub(crate) left_out: bool,
+    idle: Option<TcpStream>,
+    /// Whether an object in the last answer could not be decoded.
+    pub(crate) has_skipped: bool,
 }
 
 impl Client {
     pub(crate) fn new(host: &Rc<Host>) -> Self {
         Self {
             host: host.clone(),
-            kept: None,
-            left_out: false,
+            idle: None,
+            has_skipped: false,
         }
     }
 
-    /// Makes a call. A connection on which anything went wrong is not used again.
+    /// Makes a call. A connection on which anything failed is not reused.
     pub(crate) async fn call(&mut self, call: &Call) -> Result<Reply, Error> {
         let wait = match call {
             Call::Watch { wait, .. } => *wait,
             _ => Duration::ZERO,
         };
-        let kept = self.kept.take();
-        let exchange = self.exchange(kept, call);
-        let answered = tokio::time::timeout(PATIENCE + wait, exchange).await;
-        let (kept, status, bytes) = answered.map_err(|_| Error::Timeout)??;
-        self.kept = kept;
-        let (reply, unread) = (self.host.platform.store.decode)(call, status, &bytes)?;
-        self.left_out = !unread.is_empty();
-        for malformed in unread {
-            self.leave_out(&malformed);
+        let idle = self.idle.take();
+        let exchange = self.exchange(idle, call);
+        let answered = tokio::time::timeout(CALL_TIMEOUT + wait, exchange).await;
+        let (idle, status, bytes) = answered.map_err(|_| Error::Timeout)??;
+        self.idle = idle;
+        let (reply, skipped) = (self.host.platform.store.decode)(call, status, &bytes)?;
+        self.has_skipped = !skipped.is_empty();
+        for malformed in skipped {
+            self.log_skipped(&malformed);
         }
         match reply {
             Reply::Busy => Err(Error::Busy),
@@ -78,34 +79,34 @@
         }
     }
 
-    /// Logs an object that can't be read, once for each fault of it.
-    fn leave_out(&self, malformed: &Malformed) {
-        let told = &mut *self.host.unread.borrow_mut();
-        if told.len() >= UNREAD {
-            told.clear();
+    /// Logs an object that can't be decoded, once for each fault.
+    fn log_skipped(&self, malformed: &Malformed) {
+        let logged_faults = &mut *self.host.logged_store_faults.borrow_mut();
+        if logged_faults.len() >= MAX_LOGGED_FAULTS {
+            logged_faults.clear();
         }
         let error = malformed.to_string();
-        if told.contains(&error) {
+        if logged_faults.contains(&error) {
             return;
         }
-        spdlog::warn!("store: an object is left out", kv: {
-            event = Event::Unread.as_str(),
+        spdlog::warn!("store: skipped an object that cannot be decoded", kv: {
+            event = Event::UnreadableObject.as_str(),
             error = error.as_str()
         });
-        told.insert(error);
+        logged_faults.insert(error);
     }
 
     async fn exchange(
         &self,
-        kept: Option<TcpStream>,
+        idle: Option<TcpStream>,
         call: &Call,
     ) -> Result<(Option<TcpStream>, StatusCode, Bytes), Error> {
-        let stream = match kept.filter(client::is_quiet) {
+        let stream = match idle.filter(client::is_reusable) {
             Some(stream) => stream,
-            None => client::connect(self.host.settings.store, CONNECT).await?,
+            None => client::connect(self.host.settings.store, CONNECT_TIMEOUT).await?,
         };
         let mut connection = Connection::new(stream).await?;
-        let request = (self.host.platform.store.encode)(call)?.map(whole);
+        let request = (self.host.platform.store.encode)(call)?.map(full);
         let Ok(response) = connection.send(request).await else {
             return Err(client::Error::Unanswered.into());
         };
--- a/src/host/sync.rs
+++ b/src/host/sync.rs
@@ -1,4 +1,5 @@
-//! How a host keeps up with the platform's store: by watching it, or by following a host that does.
+//! Keeps the copy of the platform's store current, by watching the store or by following the feed
+//! of another host that does.
 
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -9,90 +10,92 @@
 use tokio::task::AbortHandle;
 
 use super::feed;
-use super::refresh::{self, Inquiry};
 use super::log::{self, Event};
+use super::refresh::{self, Refresher};
 use super::store::{Client, Error};
-use super::watcher::{Reach, Steady, WATCHED};
+use super::watcher::{Debounce, StoreProbe, WATCHED_KINDS};
 use super::{datagram, join, now, proof, Host};
 use crate::control::presence::{Record, Sight};
 use crate::control::replica::Update;
 use crate::port::{Age, Call, Entry, Kind, Reply};
 
-/// How long a watch waits for a change: somewhat less than the history that the store keeps, so that
-/// a watch that is cut can mostly be taken up again. It varies, so that of all watches one is
-/// renewed every second or so, and a store that is away is noticed.
-const WAIT: Range<f64> = 9.0..15.0;
-/// Pause after changes, in which more of them gather: each call to the store has its price.
-const GATHER: Duration = Duration::from_millis(300);
-/// First and longest pause after a failed call.
-const PAUSE: Duration = Duration::from_millis(150);
-const LONGEST_PAUSE: Duration = Duration::from_millis(1200);
-/// How often it is decided whether to watch the store and whom to follow.
-const DECIDE: Duration = Duration::from_millis(100);
+/// How long a watch waits for a change, in seconds: somewhat less than the history that the store
+/// keeps, so that an interrupted watch can mostly be resumed. Randomized, so that across all hosts
+/// a watch is renewed about every second and an unreachable store is noticed.
+const WATCH_WAIT_S: Range<f64> = 9.0..15.0;
+/// Pause after a change, so that further changes are collected into one call: each call to the
+/// store is charged.
+const BATCH_DELAY: Duration = Duration::from_millis(300);
+/// Shortest and longest backoff after a failed call.
+const MIN_BACKOFF: Duration = Duration::from_millis(150);
+const MAX_BACKOFF: Duration = Duration::from_millis(1200);
+/// How often the host re-evaluates whether to watch the store and which feed to follow.
+const DECISION_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a feed that failed is passed over: until a host that died is known to be dead.
-const FAILED: Duration = Duration::from_secs(3);
+/// How long a failed feed is skipped: until heartbeats show whether its host has died.
+const FAILED_FEED_SKIP: Duration = Duration::from_secs(3);
 
-/// Pauses that grow from failure to failure.
-pub(super) struct Pause {
+/// Exponential backoff with jitter.
+pub(super) struct Backoff {
     next: Duration,
 }
 
-impl Pause {
+impl Backoff {
     pub(super) fn new() -> Self {
-        Self { next: PAUSE }
+        Self { next: MIN_BACKOFF }
     }
 
     pub(super) async fn wait(&mut self, host: &Host) {
-        let part = host.core.borrow_mut().rng.random_range(0.5..1.0);
-        tokio::time::sleep(self.next.mul_f64(part)).await;
-        self.next = (self.next * 2).min(LONGEST_PAUSE);
+        let jitter = host.core.borrow_mut().rng.random_range(0.5..1.0);
+        tokio::time::sleep(self.next.mul_f64(jitter)).await;
+        self.next = (self.next * 2).min(MAX_BACKOFF);
     }
 }
 
-/// Keeps up with the store from now on.
+/// Starts the tasks that keep the copy of the store current.
 pub(crate) fn start(host: &Rc<Host>) {
     tokio::task::spawn_local(join::run(host.clone()));
-    tokio::task::spawn_local(decide(host.clone()));
-    tokio::task::spawn_local(sweep(host.clone()));
+    tokio::task::spawn_local(run_source_selection(host.clone()));
+    tokio::task::spawn_local(run_sweep(host.clone()));
 }
 
-/// Whom a host follows.
+/// The feed that this host follows.
 struct Following {
     address: SocketAddr,
     task: AbortHandle,
 }
 
-/// Watches the store if this host is to, follows another one if not or if the store is lost.
-async fn decide(host: Rc<Host>) {
+/// Watches the store if this host is one of its watchers. Otherwise, or while the store is
+/// unreachable, follows another host.
+async fn run_source_selection(host: Rc<Host>) {
     let mut watchers: Vec<AbortHandle> = Vec::new();
     let mut following: Option<Following> = None;
-    let reach = Reach::default();
-    let mut steady = Steady::default();
-    let mut interval = tokio::time::interval(DECIDE);
+    let store_probe = StoreProbe::default();
+    let mut debounce = Debounce::default();
+    let mut interval = tokio::time::interval(DECISION_INTERVAL);
     loop {
         tokio::select! {
             _ = interval.tick() => {}
-            () = host.watching.reached.notified() => {}
+            () = host.watch_state.reached.notified() => {}
         }
         let now = now();
         host.core.borrow_mut().presence.watch_store(now);
-        let first = host.core.borrow().presence.is_watcher(now);
-        let wanted = host.joined.get() && (first || reach.is_fresh(now));
-        if host.joined.get() && !wanted {
-            reach.look(&host, now);
+        let is_watcher = host.core.borrow().presence.is_watcher(now);
+        let should_watch = host.has_joined.get() && (is_watcher || store_probe.has_reached(now));
+        if host.has_joined.get() && !should_watch {
+            store_probe.probe_if_due(&host, now);
         }
-        let begin = if reach.is_fresh(now) {
-            // The store has just answered this host, while nobody else was known to see it.
+        let start_delay = if store_probe.has_reached(now) {
+            // The store has just answered this host while no other host was known to reach it.
             Duration::ZERO
         } else {
             host.core.borrow().presence.watch_delay(now)
         };
-        let watch = steady.turn(now, wanted, begin);
-        if watch && watchers.is_empty() {
-            log::watching(true);
-            host.watching.begin(now);
-            watchers = WATCHED
+        let is_watching = debounce.update(now, should_watch, start_delay);
+        if is_watching && watchers.is_empty() {
+            log::watching_changed(true);
+            host.watch_state.start(now);
+            watchers = WATCHED_KINDS
                 .iter()
                 .map(|kind| {
                     tokio::task::spawn_local(watch_kind(host.clone(), *kind)).abort_handle()
@@ -100,148 +103,157 @@
                 .collect();
             watchers.push(tokio::task::spawn_local(refresh::run(host.clone())).abort_handle());
         }
-        if !watch && !watchers.is_empty() {
-            log::watching(false);
+        if !is_watching && !watchers.is_empty() {
+            log::watching_changed(false);
             watchers.drain(..).for_each(|task| task.abort());
-            host.watching.end();
+            host.watch_state.stop();
         }
-        let sees = host.watching.sees(now);
-        let wanted = if sees { None } else { source(&host, now) };
-        let over = following
-            .as_ref()
-            .is_some_and(|kept| kept.task.is_finished() || Some(kept.address) != wanted);
-        if over {
-            if let Some(kept) = following.take() {
-                kept.task.abort();
+        let is_current = host.watch_state.is_current(now);
+        let wanted_feed = if is_current {
+            None
+        } else {
+            choose_feed(&host, now)
+        };
+        let is_obsolete = following.as_ref().is_some_and(|current| {
+            current.task.is_finished() || Some(current.address) != wanted_feed
+        });
+        if is_obsolete {
+            if let Some(current) = following.take() {
+                current.task.abort();
             }
-            host.followed.set(None);
+            host.source_sight.set(None);
         }
-        if let (None, Some(address)) = (&following, wanted) {
+        if let (None, Some(address)) = (&following, wanted_feed) {
             following = Some(Following {
                 address,
-                task: tokio::task::spawn_local(follow(host.clone(), address)).abort_handle(),
+                task: tokio::task::spawn_local(follow_feed(host.clone(), address)).abort_handle(),
             });
         }
-        note_sight(&host).await;
+        update_sight(&host).await;
     }
 }
 
-/// The feed to follow: that of the host that sees most, or a seed if the store did not tell of any host.
-fn source(host: &Host, now: Instant) -> Option<SocketAddr> {
+/// Chooses the feed to follow: that of the host with the best view of the store, or a seed if no
+/// other host is known.
+fn choose_feed(host: &Host, now: Instant) -> Option<SocketAddr> {
     let core = host.core.borrow();
-    let failed = host.failed.borrow();
-    let skip = |feed: SocketAddr| {
-        let at = failed.get(&feed);
-        at.is_some_and(|at| now.saturating_duration_since(*at) < FAILED)
+    let failed_feeds = host.failed_feeds.borrow();
+    let has_failed = |feed: SocketAddr| {
+        let failed_at = failed_feeds.get(&feed);
+        failed_at.is_some_and(|at| now.saturating_duration_since(*at) < FAILED_FEED_SKIP)
     };
-    let only_near = host.begin.is_reading(now);
+    let only_near = host.startup.is_reading(now);
     let skip_host =
-        |record: &Record| skip(record.feed) || (only_near && !core.presence.is_near(record));
+        |record: &Record| has_failed(record.feed) || (only_near && !core.presence.is_near(record));
     if let Some((record, _)) = core.presence.source(now, skip_host) {
         return Some(record.feed);
     }
-    if !core.presence.is_alone(now) || !host.joined.get() || core.presence.sight() > Sight::Nothing
+    if !core.presence.is_alone(now)
+        || !host.has_joined.get()
+        || core.presence.sight() > Sight::Nothing
     {
         return None;
     }
     let mut seeds = host.settings.seeds.iter().copied();
-    seeds.find(|seed| *seed != host.settings.feed && !skip(*seed))
+    seeds.find(|seed| *seed != host.settings.feed && !has_failed(*seed))
 }
 
-async fn follow(host: Rc<Host>, address: SocketAddr) {
-    let broken = feed::follow(&host, address).await;
-    spdlog::info!("sync: a feed has ended", kv: {
-        event = Event::Unfollowed.as_str(),
+async fn follow_feed(host: Rc<Host>, address: SocketAddr) {
+    let error = feed::follow(&host, address).await;
+    spdlog::info!("sync: the feed of another host has ended", kv: {
+        event = Event::FeedEnded.as_str(),
         source = address.to_string().as_str(),
-        error = broken.to_string().as_str()
+        error = error.to_string().as_str()
     });
     let now = now();
-    let is_mute = broken.is_mute();
+    let is_timeout = error.is_timeout();
     {
-        let mut failed = host.failed.borrow_mut();
-        failed.retain(|_, at| now.saturating_duration_since(*at) < FAILED);
-        failed.insert(address, now);
+        let mut failed_feeds = host.failed_feeds.borrow_mut();
+        failed_feeds.retain(|_, at| now.saturating_duration_since(*at) < FAILED_FEED_SKIP);
+        failed_feeds.insert(address, now);
     }
-    if is_mute {
+    if is_timeout {
         host.core.borrow_mut().presence.doubt(address);
-        // One that has no copy yet would read all targets.
-        if host.knows_store() {
-            tokio::task::spawn_local(look_for_itself(host));
+        // Without a copy this would read all targets.
+        if host.has_full_copy() {
+            tokio::task::spawn_local(refresh_once(host));
         }
     }
 }
 
-/// Asks the store once for what a source that fell silent may not have told. It may take longer to find another one than a change
-/// may take, as hosts that lost power seem alive for a while.
-async fn look_for_itself(host: Rc<Host>) {
-    let result = Inquiry::new(&host).ask().await;
-    log::looked(&result);
+/// Queries the store once for changes that a feed that timed out may not have delivered. Hosts that
+/// lost power seem alive for a while, so finding another feed may take longer than a change may
+/// take to be in force.
+async fn refresh_once(host: Rc<Host>) {
+    let result = Refresher::new(&host).refresh().await;
+    log::store_probed(&result);
 }
 
-/// Sets what this host knows of the store, and tells others if that is news.
-pub(super) async fn note_sight(host: &Rc<Host>) {
-    let known = host.knows_store();
-    let sees = host.watching.sees(now());
-    let relayed = host.followed.get() == Some(Sight::Store) || host.begin.is_fresh(now());
-    let news = {
+/// Updates this host's view of the store, and publishes it to other hosts if it has changed.
+pub(super) async fn update_sight(host: &Rc<Host>) {
+    let has_copy = host.has_full_copy();
+    let is_current = host.watch_state.is_current(now());
+    let is_relayed = host.source_sight.get() == Some(Sight::Store) || host.startup.is_fresh(now());
+    let changed_from = {
         let core = &mut *host.core.borrow_mut();
         let is_proved = core.is_proved(proof::moment());
-        let sight = match (known, sees && is_proved, relayed && is_proved) {
+        let sight = match (has_copy, is_current && is_proved, is_relayed && is_proved) {
             (false, ..) => Sight::Nothing,
             (true, true, _) => Sight::Store,
             (true, false, true) => Sight::Relayed,
             (true, false, false) => Sight::Stale,
         };
         let before = core.presence.sight();
-        let news = core.presence.see(sight).then_some(before);
-        if news.is_some() {
-            spdlog::info!("sync: the store is seen otherwise", kv: {
+        let changed_from = core.presence.see(sight).then_some(before);
+        if changed_from.is_some() {
+            spdlog::info!("sync: the view of the store has changed", kv: {
                 event = Event::Sight.as_str(),
                 before = format!("{before:?}").as_str(),
                 sight = format!("{sight:?}").as_str()
             });
         }
-        news
+        changed_from
     };
-    if let Some(before) = news {
-        feed::tell_sight(host);
-        datagram::tell_sight(host, before).await;
+    if let Some(before) = changed_from {
+        feed::publish_sight(host);
+        datagram::send_sight(host, before).await;
     }
 }
 
-/// Watches one kind for ever.
+/// Watches one kind of objects indefinitely.
 ///
-/// What is known is brought up to date by its changes: a target that said that it leaves and then left is only missing in a
-/// list, as one that may return.
+/// The copy is updated by changes rather than replaced by a list: a change shows that a target
+/// announced its shutdown before it left, whereas in a list the target is only missing and could
+/// return.
 async fn watch_kind(host: Rc<Host>, kind: Kind) {
     let mut client = Client::new(&host);
-    let mut pause = Pause::new();
-    let mut lost = false;
+    let mut pause = Backoff::new();
+    let mut is_failing = false;
     loop {
-        if !host.watching.answers.get() {
-            // A store that is slow may yet answer a watch.
+        if !host.watch_state.is_answering.get() {
+            // A slow store may still answer a watch.
             tokio::select! {
                 () = pause.wait(&host) => {}
-                () = host.watching.renewed(kind) => {}
+                () = host.watch_state.wait_for_renewal(kind) => {}
             }
         }
         let result = tokio::select! {
-            result = wait(&host, &mut client, kind) => result,
-            () = host.watching.renewed(kind) => {
+            result = watch_or_catch_up(&host, &mut client, kind) => result,
+            () = host.watch_state.wait_for_renewal(kind) => {
                 client = Client::new(&host);
                 continue;
             }
         };
         match result {
             Ok(()) => {
-                if std::mem::take(&mut lost) {
-                    log::kind(kind, None);
+                if std::mem::take(&mut is_failing) {
+                    log::kind_changed(kind, None);
                 }
-                pause = Pause::new();
+                pause = Backoff::new();
             }
             Err(error) => {
-                if !std::mem::replace(&mut lost, true) {
-                    log::kind(kind, Some(&error));
+                if !std::mem::replace(&mut is_failing, true) {
+                    log::kind_changed(kind, Some(&error));
                 }
                 pause.wait(&host).await;
             }
@@ -249,61 +261,61 @@
     }
 }
 
-/// Waits for changes of a kind, or reads all of it if they can't be had.
-async fn wait(host: &Rc<Host>, client: &mut Client, kind: Kind) -> Result<(), Error> {
+/// Waits for changes of a kind, or reads all objects if the changes are not available.
+async fn watch_or_catch_up(host: &Rc<Host>, client: &mut Client, kind: Kind) -> Result<(), Error> {
     let known = host.core.borrow().replica.revision(kind);
     if let Some(revision) = known {
-        let wait = host.core.borrow_mut().rng.random_range(WAIT);
+        let wait = host.core.borrow_mut().rng.random_range(WATCH_WAIT_S);
         let wait = Duration::from_secs_f64(wait);
-        if watch(host, client, kind, revision, wait).await? != News::Unknown {
+        if watch_once(host, client, kind, revision, wait).await? != WatchResult::Unavailable {
             return Ok(());
         }
     }
-    let _turn = host.watching.turn(kind).await;
+    let _lock = host.watch_state.lock_kind(kind).await;
     refresh::catch_up(host, client, kind).await?;
     Ok(())
 }
 
-/// Reads all objects of a kind; gives the store's revision.
+/// Reads all objects of a kind into the copy; returns the store's revision.
 pub(super) async fn list(
     host: &Rc<Host>,
     client: &mut Client,
     kind: Kind,
     age: Age,
 ) -> Result<u64, Error> {
-    let asked = proof::moment();
-    let (entries, revision) = read(client, kind, age).await?;
-    let is_whole = !client.left_out;
+    let asked_at = proof::moment();
+    let (entries, revision) = read_pages(client, kind, age).await?;
+    let is_complete = !client.has_skipped;
     if kind == Kind::Config {
-        host.watching.config_unread.set(!is_whole);
+        host.watch_state.is_config_unreadable.set(!is_complete);
     }
     let outage = host.core.borrow().presence.outage(now());
-    let whole = Update {
+    let update = Update {
         kind,
         from: None,
         to: revision,
         entries,
         outage,
     };
-    // A whole list fits onto anything.
-    let _ = host.take(whole);
-    if kind == Kind::Config && age == Age::Latest && is_whole {
-        proof::shown(host, asked);
+    // A complete list can be applied to any state.
+    let _ = host.apply_update(update);
+    if kind == Kind::Config && age == Age::Latest && is_complete {
+        proof::note_query(host, asked_at);
     }
     Ok(revision)
 }
 
-/// Reads all pages of a kind; also gives the revision to watch from, the earliest of all pages: what may be old need not be
-/// equally old on all of them.
-pub(super) async fn read(
+/// Reads all pages of a kind. Also returns the revision to watch from, the earliest of all pages:
+/// stale pages may be of different ages.
+pub(super) async fn read_pages(
     client: &mut Client,
     kind: Kind,
     age: Age,
 ) -> Result<(Vec<Entry>, u64), Error> {
-    let mut all: Vec<Entry> = Vec::new();
+    let mut all_entries: Vec<Entry> = Vec::new();
     let mut earliest = u64::MAX;
     loop {
-        let after = all.last().map(|entry| entry.name.clone());
+        let after = all_entries.last().map(|entry| entry.name.clone());
         let Reply::Page {
             entries,
             more,
@@ -312,36 +324,36 @@
         else {
             return Err(Error::Unexpected);
         };
-        // Changes after a page was read are watched for, on whichever page they fall.
+        // Watches from the earliest revision, so that a change is seen whichever page it falls on.
         earliest = earliest.min(revision);
-        let last = entries.is_empty() || !more;
-        all.extend(entries);
-        if last {
-            return Ok((all, earliest));
+        let is_last = entries.is_empty() || !more;
+        all_entries.extend(entries);
+        if is_last {
+            return Ok((all_entries, earliest));
         }
     }
 }
 
-/// What a question for changes has brought.
+/// Result of a query for changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum News {
-    /// Nothing has changed.
-    None,
-    /// What has changed is taken in.
-    Some,
-    /// The store has forgotten what has changed.
-    Unknown,
+pub(super) enum WatchResult {
+    /// There were no changes.
+    Unchanged,
+    /// Changes were applied to the copy.
+    Applied,
+    /// The changes are not available, so all objects have to be read.
+    Unavailable,
 }
 
-/// Asks for changes, and waits for them for a while.
-pub(super) async fn watch(
+/// Asks the store for changes since `revision`, waiting up to `wait` for one.
+pub(super) async fn watch_once(
     host: &Rc<Host>,
     client: &mut Client,
     kind: Kind,
     revision: u64,
     wait: Duration,
-) -> Result<News, Error> {
-    let asked = proof::moment();
+) -> Result<WatchResult, Error> {
+    let asked_at = proof::moment();
     let call = Call::Watch {
         kind,
         revision,
@@ -349,12 +361,14 @@
     };
     let (entries, to) = match client.call(&call).await? {
         Reply::Changes { entries, revision } => (entries, revision),
-        Reply::Expired => return Ok(News::Unknown),
+        Reply::Expired => return Ok(WatchResult::Unavailable),
         _ => return Err(Error::Unexpected),
     };
-    let any = !entries.is_empty();
-    if kind == Kind::Config && (any || client.left_out) {
-        host.watching.config_unread.set(client.left_out);
+    let has_changes = !entries.is_empty();
+    if kind == Kind::Config && (has_changes || client.has_skipped) {
+        host.watch_state
+            .is_config_unreadable
+            .set(client.has_skipped);
     }
     let outage = host.core.borrow().presence.outage(now());
     let update = Update {
@@ -364,23 +378,23 @@
         entries,
         outage,
     };
-    if host.take(update).is_err() {
-        return Ok(News::Unknown);
+    if host.apply_update(update).is_err() {
+        return Ok(WatchResult::Unavailable);
     }
-    if kind == Kind::Config && !host.watching.config_unread.get() {
-        proof::shown(host, asked);
+    if kind == Kind::Config && !host.watch_state.is_config_unreadable.get() {
+        proof::note_query(host, asked_at);
     }
-    if !any {
-        return Ok(News::None);
+    if !has_changes {
+        return Ok(WatchResult::Unchanged);
     }
     if !wait.is_zero() {
-        tokio::time::sleep(GATHER).await;
+        tokio::time::sleep(BATCH_DELAY).await;
     }
-    Ok(News::Some)
+    Ok(WatchResult::Applied)
 }
 
-/// Sees to what time alone changes.
-async fn sweep(host: Rc<Host>) {
+/// Expires idle connections and targets whose time has run out.
+async fn run_sweep(host: Rc<Host>) {
     const INTERVAL: Duration = Duration::from_millis(250);
     let mut interval = tokio::time::interval(INTERVAL);
     loop {
@@ -388,7 +402,7 @@
         let now = now();
         host.pool.borrow_mut().sweep(now);
         for id in host.core.borrow_mut().fleet.expire(now) {
-            log::gone(&id);
+            log::target_gone(&id);
         }
     }
 }
--- a/src/host/throttle.rs
+++ b/src/host/throttle.rs
@@ -1,4 +1,5 @@
-//! Rates that targets name: what a request under way waits for and tells, and what hosts tell each other.
+//! Enforces the rate limits that targets announce: requests ask for permission to send, and hosts
+//! exchange the limits. A target's rate is shared out by a few hosts, its keepers.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -10,51 +11,52 @@
 use rand::seq::IteratorRandom;
 use tokio::sync::oneshot;
 
-use super::exchange::Grant as Held;
+use super::exchange::InFlight;
 use super::{datagram, log, now, Host};
 use crate::inventory::TargetKey;
 use crate::port::Answer;
 use crate::steer::fleet::Leave;
 use crate::steer::throttle::{Claim, Fit, Grant, News, Rate};
 
-/// How long a keeper of the own region may take to answer: some round trips between zones, and a busy processor.
-const NEAR: Duration = Duration::from_millis(60);
-/// How long one of another region may take: a round trip between regions beside that.
-const FAR: Duration = Duration::from_millis(250);
-/// Targets that are told of each time, drawn anew: a datagram's worth.
-const REPEATED: usize = 64;
+/// Timeout of a claim to a keeper in the same region: some round trips between zones, and a busy
+/// processor.
+const NEAR_TIMEOUT: Duration = Duration::from_millis(60);
+/// Timeout of a claim to a keeper in another region: a round trip between regions in addition.
+const FAR_TIMEOUT: Duration = Duration::from_millis(250);
+/// Rate limits that are repeated each time, drawn at random: as many as fit into a datagram.
+const RATES_PER_REPEAT: usize = 64;
 
 /// Claims that wait for an answer.
 #[derive(Debug, Default)]
-pub(crate) struct Claims {
-    waiting: RefCell<BTreeMap<u32, oneshot::Sender<()>>>,
+pub(crate) struct PendingClaims {
+    by_number: RefCell<BTreeMap<u32, oneshot::Sender<()>>>,
 }
 
-/// Whether a request may be sent to a target now; asks one of the target's keepers if need be.
-pub(crate) async fn permit(host: &Host, target: TargetKey, fit: Fit) -> bool {
-    let leave = {
+/// Whether a request may be sent to a target now; if necessary, asks one of the target's keepers.
+pub(crate) async fn request_permit(host: &Host, target: TargetKey, fit: Fit) -> bool {
+    let answer = {
         let core = &mut *host.core.borrow_mut();
         core.fleet.leave(now(), (target, fit), &mut core.rng)
     };
-    let (keeper, claim) = match leave {
+    let (keeper, claim) = match answer {
         Leave::Given => return true,
         Leave::Refused => return false,
         Leave::Ask(keeper, claim) => (keeper, claim),
     };
-    ask(host, &keeper, claim).await;
+    send_claim(host, &keeper, claim).await;
     let core = &mut *host.core.borrow_mut();
     core.fleet.take_leave(now(), target)
 }
 
-/// Whether a request may be sent to a target without asking anybody.
-pub(crate) fn has_leave(host: &Host, target: TargetKey, fit: Fit) -> bool {
+/// Whether a request may be sent to a target without asking a keeper.
+pub(crate) fn is_permitted(host: &Host, target: TargetKey, fit: Fit) -> bool {
     let core = &mut *host.core.borrow_mut();
-    let leave = core.fleet.leave(now(), (target, fit), &mut core.rng);
-    leave == Leave::Given
+    let answer = core.fleet.leave(now(), (target, fit), &mut core.rng);
+    answer == Leave::Given
 }
 
-/// Asks a keeper and waits for its answer, which is taken in as it comes.
-async fn ask(host: &Host, keeper: &Arc<str>, claim: Claim) {
+/// Sends a claim to a keeper and waits until its answer has been applied or the timeout has passed.
+async fn send_claim(host: &Host, keeper: &Arc<str>, claim: Claim) {
     let place = {
         let core = host.core.borrow();
         let record = core.presence.known(keeper);
@@ -68,13 +70,16 @@
         return;
     };
     let (sender, answered) = oneshot::channel();
-    host.claims.waiting.borrow_mut().insert(claim.0, sender);
-    datagram::claim(host, claim, address).await;
-    let patience = if is_near { NEAR } else { FAR };
-    let answer = tokio::time::timeout(patience, answered).await;
-    host.claims.waiting.borrow_mut().remove(&claim.0);
+    host.pending_claims
+        .by_number
+        .borrow_mut()
+        .insert(claim.0, sender);
+    datagram::send_claim(host, claim, address).await;
+    let timeout = if is_near { NEAR_TIMEOUT } else { FAR_TIMEOUT };
+    let answer = tokio::time::timeout(timeout, answered).await;
+    host.pending_claims.by_number.borrow_mut().remove(&claim.0);
     if answer.is_err() {
-        spdlog::debug!("throttle: {keeper} does not answer a claim");
+        spdlog::debug!("throttle: host {keeper} does not answer a claim");
         host.core
             .borrow_mut()
             .fleet
@@ -83,71 +88,72 @@
 }
 
 /// Answers another host's claim.
-pub(crate) async fn answer(host: &Host, sender: SocketAddr, claim: &Claim) {
+pub(crate) async fn answer_claim(host: &Host, sender: SocketAddr, claim: &Claim) {
     let grant = host.core.borrow_mut().fleet.grant(now(), claim);
-    datagram::grant(host, grant, sender).await;
+    datagram::send_grant(host, grant, sender).await;
 }
 
-/// Takes in a keeper's answer, also one that comes late.
-pub(crate) fn granted(host: &Host, sender: SocketAddr, grant: &Grant) {
+/// Applies a keeper's answer, even a late one.
+pub(crate) fn apply_grant(host: &Host, sender: SocketAddr, grant: &Grant) {
     let core = &mut *host.core.borrow_mut();
     let Some(keeper) = core.presence.at(sender) else {
         return;
     };
     core.fleet.granted(now(), &keeper.host, grant);
-    let waiting = host.claims.waiting.borrow_mut().remove(&grant.0);
+    let waiting = host.pending_claims.by_number.borrow_mut().remove(&grant.0);
     if let Some(waiting) = waiting {
-        // Whoever waited may have given up.
+        // The waiting request may have given up.
         let _ = waiting.send(());
     }
 }
 
-/// Takes in what a target's answer says of its rate, and tells all hosts if it begins or ends to name one.
-pub(crate) fn note(host: &Rc<Host>, held: &Held, told: &Answer) {
-    let rate = match &told.rate {
+/// Applies the rate limit in a target's answer, and informs all hosts if the target starts or stops
+/// announcing one.
+pub(crate) fn note_rate(host: &Rc<Host>, in_flight: &InFlight, answer: &Answer) {
+    let rate = match &answer.rate {
         Rate::Named(rate) => Some(*rate),
-        // What refuses a request may leave out what other answers say.
-        Rate::Absent if told.not_run => return,
+        // An answer that rejects a request may omit the rate that other answers have.
+        Rate::Absent if answer.not_run => return,
         Rate::Absent => None,
         Rate::Unreadable(text) => {
-            log::unreadable_rate(host, held.target, text);
+            log::unreadable_rate(host, in_flight.target, text);
             return;
         }
     };
     let news = {
         let fleet = &mut host.core.borrow_mut().fleet;
-        fleet.state(now(), held.target, held.begun, rate)
+        fleet.state(now(), in_flight.target, in_flight.started_at, rate)
     };
     let Some(news) = news else {
         return;
     };
-    if let Some(member) = host.core.borrow().fleet.member(held.target) {
-        log::rate(member.id(), rate, "answer");
+    if let Some(member) = host.core.borrow().fleet.member(in_flight.target) {
+        log::target_rate(member.id(), rate, "answer");
     }
     let host = host.clone();
     tokio::task::spawn_local(async move {
-        let peers = datagram::all(&host);
+        let peers = datagram::peer_addresses(&host);
         datagram::send_rates(&host, &[news], &peers).await;
     });
 }
 
-/// Takes in what another host knows.
-pub(crate) fn hear(host: &Host, news: &[News]) {
+/// Applies rate limits received from another host.
+pub(crate) fn apply_rates(host: &Host, news: &[News]) {
     let fleet = &mut host.core.borrow_mut().fleet;
     for news in news {
         if let Some(target) = fleet.hear(now(), news) {
-            log::rate(&target, news.1.map(f64::from), "host");
+            log::target_rate(&target, news.1.map(f64::from), "host");
         }
     }
 }
 
-/// Tells hosts which targets name rates.
-pub(crate) async fn tell(host: &Host, peers: &[SocketAddr]) {
+/// Sends the known rate limits to some hosts.
+pub(crate) async fn send_rates(host: &Host, peers: &[SocketAddr]) {
     let news: Vec<News> = {
         let core = &mut *host.core.borrow_mut();
         core.fleet.expire_rates(now());
         let all = core.fleet.news(now());
-        all.sample(&mut core.rng, REPEATED)
+        all.sample(&mut core.rng, RATES_PER_REPEAT)
     };
     if !news.is_empty() {
         datagram::send_rates(host, &news, peers).await;
--- a/src/host/watcher.rs
+++ b/src/host/watcher.rs
@@ -1,4 +1,5 @@
-//! Whether a host watches the store itself, and what it sees there.
+//! State of a host's watches on the store: whether it watches, and whether its copy is known to be
+//! current.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -9,100 +10,106 @@
 use rand::RngExt;
 use tokio::sync::{Mutex, MutexGuard, Notify};
 
-use super::feed::KINDS;
-use super::refresh::{Inquiry, TERM};
+use super::feed::SYNCED_KINDS;
+use super::refresh::{Refresher, CURRENT_FOR};
 use super::{log, Host};
 use crate::control::freshness::Evidence;
 use crate::port::Kind;
 
-/// How long it is decided so until a host leaves the watching to others.
-const END: Duration = Duration::from_millis(1500);
-/// The part of the time between two looks of a host within which its first one falls.
-const FIRST: f64 = 0.25;
-/// How long the pauses between two looks of a host are, in parts of the time that they are to be in the mean.
-const PAUSES: Range<f64> = 0.5..1.5;
-/// How long a host tries to watch a store that it reached so.
-const REACHED: Duration = Duration::from_secs(3);
+/// How long a host has to be no watcher before it stops watching.
+const STOP_DELAY: Duration = Duration::from_millis(1500);
+/// Part of the probe interval within which a host's first probe is placed at random.
+const FIRST_PROBE_SPREAD: f64 = 0.25;
+/// Random factor for the pause between two probes of a host, relative to the mean interval.
+const PROBE_PAUSE_FACTOR: Range<f64> = 0.5..1.5;
+/// How long a host tries to watch a store that one of its probes has reached.
+const REACHED_FOR: Duration = Duration::from_secs(3);
 
-/// Kinds of objects that are watched, beside those that are listed with each question.
-pub(super) const WATCHED: [Kind; 2] = [Kind::Config, Kind::Targets];
+/// Kinds of objects that are watched; the remaining kind is listed with each refresh.
+pub(super) const WATCHED_KINDS: [Kind; 2] = [Kind::Config, Kind::Targets];
 
-/// What a host that watches the store knows of its own watching.
+/// The state of this host's watches on the store.
 #[derive(Default)]
-pub(crate) struct Watching {
-    is_on: Cell<bool>,
+pub(crate) struct WatchState {
+    is_active: Cell<bool>,
     evidence: RefCell<Evidence>,
-    /// Whether the store answered the last question.
-    pub(super) answers: Cell<bool>,
-    /// A look at the store was answered.
+    /// Whether the store responded to the last poll.
+    pub(super) is_answering: Cell<bool>,
+    /// Signals that a probe of the store succeeded.
     pub(super) reached: Notify,
-    /// The last configuration could not be read.
-    pub(super) config_unread: Cell<bool>,
-    /// Held while a kind is brought up to date, so that it is not read twice at once.
-    turns: BTreeMap<Kind, Mutex<()>>,
-    /// Tells the watch of a kind to be asked anew, on another connection.
+    /// Whether the last configuration could not be decoded.
+    pub(super) is_config_unreadable: Cell<bool>,
+    /// Locked while a kind is being updated, so that it is not read twice at once.
+    locks: BTreeMap<Kind, Mutex<()>>,
+    /// Signals that the watch of a kind is to be restarted on a new connection.
     renewals: BTreeMap<Kind, Notify>,
 }
 
-impl Watching {
+impl WatchState {
     pub(super) fn new() -> Self {
         Self {
-            turns: WATCHED.map(|kind| (kind, Mutex::default())).into(),
-            renewals: WATCHED.map(|kind| (kind, Notify::new())).into(),
+            locks: WATCHED_KINDS.map(|kind| (kind, Mutex::default())).into(),
+            renewals: WATCHED_KINDS.map(|kind| (kind, Notify::new())).into(),
             ..Self::default()
         }
     }
 
-    /// Begins to watch; a look may just have shown that the copy is current.
-    pub(super) fn begin(&self, now: Instant) {
-        self.is_on.set(true);
-        self.answers.set(self.sees(now));
+    /// Records that the host watches the store. A probe may just have shown that the copy is
+    /// current.
+    pub(super) fn start(&self, now: Instant) {
+        self.is_active.set(true);
+        self.is_answering.set(self.is_current(now));
     }
 
-    /// Leaves the watching to others.
-    pub(super) fn end(&self) {
-        self.is_on.set(false);
-        self.answers.set(false);
-        self.forget();
+    /// Records that the host no longer watches the store.
+    pub(super) fn stop(&self) {
+        self.is_active.set(false);
+        self.is_answering.set(false);
+        self.clear_evidence();
     }
 
-    /// The copy of a kind is as new as the store was at `asked`.
-    pub(super) fn show(&self, kind: Kind, asked: Instant) {
-        self.evidence.borrow_mut().show(kind, asked);
+    /// Records that the copy of a kind is as recent as the store was at `asked_at`.
+    pub(super) fn mark_current(&self, kind: Kind, asked_at: Instant) {
+        self.evidence.borrow_mut().show(kind, asked_at);
     }
 
-    /// The store did not answer.
-    pub(super) fn forget(&self) {
+    /// Discards the evidence, as the store did not respond.
+    pub(super) fn clear_evidence(&self) {
         self.evidence.borrow_mut().clear();
     }
 
-    /// Whether the host watches the store and its copy is surely current, up to the time that questions take.
-    pub(super) fn sees(&self, now: Instant) -> bool {
-        self.is_on.get() && self.evidence.borrow().holds(now, &KINDS, TERM)
+    /// Whether the host watches the store and its copy is known to be current, up to the time that
+    /// polls take.
+    pub(super) fn is_current(&self, now: Instant) -> bool {
+        self.is_active.get()
+            && self
+                .evidence
+                .borrow()
+                .holds(now, &SYNCED_KINDS, CURRENT_FOR)
     }
 
-    /// Waits for the turn to bring a kind up to date.
-    pub(super) async fn turn(&self, kind: Kind) -> Option<MutexGuard<'_, ()>> {
-        match self.turns.get(&kind) {
-            Some(turn) => Some(turn.lock().await),
+    /// Locks a kind for an update; `None` for a kind that is not watched.
+    pub(super) async fn lock_kind(&self, kind: Kind) -> Option<MutexGuard<'_, ()>> {
+        match self.locks.get(&kind) {
+            Some(lock) => Some(lock.lock().await),
             None => None,
         }
     }
 
-    /// The watch of a kind is to be asked anew.
+    /// Restarts the watch of a kind.
     pub(super) fn renew(&self, kind: Kind) {
         if let Some(renewal) = self.renewals.get(&kind) {
             renewal.notify_waiters();
         }
     }
 
-    /// All watches are to be asked anew.
+    /// Restarts all watches.
     pub(super) fn renew_all(&self) {
         self.renewals.values().for_each(Notify::notify_waiters);
     }
 
-    /// Waits until the watch of a kind is to be asked anew.
-    pub(super) async fn renewed(&self, kind: Kind) {
+    /// Waits until the watch of a kind is to be restarted.
+    pub(super) async fn wait_for_renewal(&self, kind: Kind) {
         match self.renewals.get(&kind) {
             Some(renewal) => renewal.notified().await,
             None => std::future::pending().await,
@@ -110,77 +117,91 @@
     }
 }
 
-/// Whether a host that is not to watch the store could. While no host sees it, each looks now and
-/// then: those that are to watch it may all be cut off from it.
+/// Probes the store from a host that is not one of its watchers. While no host is known to reach
+/// the store, each host probes it now and then: the designated watchers may all be cut off from it.
 #[derive(Default)]
-pub(crate) struct Reach {
-    /// When to look next, while nobody is known to see the store.
-    next: Cell<Option<Instant>>,
-    reached: Rc<Cell<Option<Instant>>>,
+pub(crate) struct StoreProbe {
+    /// When to probe next, while no host is known to reach the store.
+    next_probe: Cell<Option<Instant>>,
+    reached_at: Rc<Cell<Option<Instant>>>,
 }
 
-impl Reach {
-    pub(crate) fn is_fresh(&self, now: Instant) -> bool {
-        let reached = self.reached.get();
-        reached.is_some_and(|at| now.saturating_duration_since(at) < REACHED)
+impl StoreProbe {
+    pub(crate) fn has_reached(&self, now: Instant) -> bool {
+        let reached_at = self.reached_at.get();
+        reached_at.is_some_and(|at| now.saturating_duration_since(at) < REACHED_FOR)
     }
 
-    /// Asks the store whether it answers, if no host is known to see it. A host that has just read it leaves that to
-    /// those that begin to watch it: else all of 76 hosts watched after a common start.
-    pub(crate) fn look(&self, host: &Rc<Host>, now: Instant) {
+    /// Probes the store if no host is known to reach it. A host that has just read the store leaves
+    /// that to the designated watchers: otherwise all of 76 hosts became watchers after a common
+    /// start.
+    pub(crate) fn probe_if_due(&self, host: &Rc<Host>, now: Instant) {
         let core = &mut *host.core.borrow_mut();
-        if host.begin.is_fresh(now) || core.presence.is_store_seen(now) {
-            self.next.set(None);
+        if host.startup.is_fresh(now) || core.presence.is_store_seen(now) {
+            self.next_probe.set(None);
             return;
         }
         let interval = core.presence.look_interval();
-        // All hosts lose the store at once, and are not to look at the same moment. Those that watched it may have lost it alone,
-        // and nobody hears of changes until another one has looked.
-        let first = now + interval.mul_f64(core.rng.random_range(0.0..FIRST));
-        let next = self.next.get().unwrap_or(first);
+        // All hosts lose the store at once and must not probe it at the same moment. But the former
+        // watchers may be the only ones cut off from it, and no host receives changes until another
+        // one has probed.
+        let first = now + interval.mul_f64(core.rng.random_range(0.0..FIRST_PROBE_SPREAD));
+        let next = self.next_probe.get().unwrap_or(first);
         if now < next {
-            self.next.set(Some(next));
+            self.next_probe.set(Some(next));
             return;
         }
-        // The first looks fall close together; later ones are spread again, so that the store's return is found soon.
-        let pause = interval.mul_f64(core.rng.random_range(PAUSES));
-        self.next.set(Some(now + pause));
-        let mut inquiry = Inquiry::new(host);
-        let reached = self.reached.clone();
+        // The first probes are close together; later ones are spread out again, so that the store's
+        // return is noticed soon.
+        let pause = interval.mul_f64(core.rng.random_range(PROBE_PAUSE_FACTOR));
+        self.next_probe.set(Some(now + pause));
+        let mut refresher = Refresher::new(host);
+        let reached_at = self.reached_at.clone();
         let host = host.clone();
         tokio::task::spawn_local(async move {
-            let result = inquiry.ask().await;
-            log::looked(&result);
+            let result = refresher.refresh().await;
+            log::store_probed(&result);
             if result.is_ok() {
-                reached.set(Some(super::now()));
-                host.watching.reached.notify_one();
+                reached_at.set(Some(super::now()));
+                host.watch_state.reached.notify_one();
             }
         });
     }
 }
 
-/// A decision that changes only after it was asked for some time without a break: each change costs calls to the store, and hosts
-/// see the beats of the others one after the other.
+/// Debounces the decision to watch the store: it changes only after the opposite was wanted for
+/// some time without interruption. Each change costs calls to the store, and hosts receive each
+/// other's heartbeats one after the other.
 #[derive(Default)]
-pub(crate) struct Steady {
-    on: bool,
-    /// Since when the other decision was asked for.
-    since: Option<Instant>,
+pub(crate) struct Debounce {
+    is_on: bool,
+    /// Since when the opposite decision has been wanted.
+    opposite_since: Option<Instant>,
 }
 
-impl Steady {
-    /// Whether to watch the store; a host begins to do so after `begin`.
-    pub(crate) fn turn(&mut self, now: Instant, wanted: bool, begin: Duration) -> bool {
-        if wanted == self.on {
-            self.since = None;
-            return self.on;
+impl Debounce {
+    /// Returns whether to watch the store. The host starts to watch after `start_delay` and stops
+    /// after [`STOP_DELAY`].
+    pub(crate) fn update(
+        &mut self,
+        now: Instant,
+        should_watch: bool,
+        start_delay: Duration,
+    ) -> bool {
+        if should_watch == self.is_on {
+            self.opposite_since = None;
+            return self.is_on;
         }
-        let since = *self.since.get_or_insert(now);
-        let enough = if wanted { begin } else { END };
-        if now.saturating_duration_since(since) >= enough {
-            self.on = wanted;
-            self.since = None;
+        let since = *self.opposite_since.get_or_insert(now);
+        let delay = if should_watch {
+            start_delay
+        } else {
+            STOP_DELAY
+        };
+        if now.saturating_duration_since(since) >= delay {
+            self.is_on = should_watch;
+            self.opposite_since = None;
         }
-        self.on
+        self.is_on
     }
 }
