--- a/src/bin/ragwortfold/explain.rs
+++ b/src/bin/ragwortfold/explain.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-use ragwortfold::explain::{Error as Unreadable, Story};
+use ragwortfold::explain::{Error as Unreadable, Explanation};
 
 use crate::{print, Error};
 
@@ -23,7 +23,7 @@
     for path in &config.logs {
         let place: Arc<str> = path.to_string_lossy().into();
         let file = File::open(path).map_err(|source| Unreadable {
-            place: place.clone(),
+            log_name: place.clone(),
             source,
         })?;
         logs.push((place, Box::new(BufReader::new(file))));
@@ -31,7 +31,7 @@
     if logs.is_empty() {
         logs.push(("standard input".into(), Box::new(io::stdin().lock())));
     }
-    let story = Story::new(&config.id, logs)?;
+    let story = Explanation::new(&config.id, logs)?;
     if story.is_empty() {
         return Err(Error::Untold(config.id.as_str().into()));
     }
--- a/src/entry/health.rs
+++ b/src/entry/health.rs
@@ -17,7 +17,7 @@
 use super::verdict::to_state;
 use super::Error;
 use crate::catalog::{Catalog, State, Target, TargetKey};
-use crate::literal::Literal;
+use crate::literal::LiteralResolver;
 use crate::steer::group::{self, Health};
 
 /// Time between two questions to one target.
@@ -60,7 +60,7 @@
         .timeout_global(Some(TIME))
         .max_idle_connections_per_host(1)
         .build();
-    let agent = Agent::with_parts(config, TcpConnector::default(), Literal::default());
+    let agent = Agent::with_parts(config, TcpConnector::default(), LiteralResolver::default());
     while !stop.load(Ordering::Relaxed) {
         let started = Instant::now();
         let catalog = published.get().catalog.clone();
--- a/src/entry/target.rs
+++ b/src/entry/target.rs
@@ -12,7 +12,7 @@
 use super::body::Stream;
 use super::head::{self, Header};
 use super::stage::{self, Stage};
-use crate::literal::Literal;
+use crate::literal::LiteralResolver;
 use crate::steer::throttle::Rate;
 
 /// Idle connections kept to each target.
@@ -238,7 +238,7 @@
     let connector = stage::Dial
         .chain(TcpConnector::default())
         .chain(stage::Watch);
-    Agent::with_parts(config, connector, Literal::default())
+    Agent::with_parts(config, connector, LiteralResolver::default())
 }
 
 fn request(ask: &Ask<'_>, length: Option<u64>) -> Result<http::Request<()>, ureq::Error> {
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -1,7 +1,8 @@
-//! One request's story, from the logs of several hosts.
+//! Explains one request from the logs of several hosts.
 //!
-//! Beside the lines that name the request these are the ones that tell what its host believed then: of the
-//! targets that it tried or could have tried, of the configuration, the store and the host itself.
+//! Besides the lines about the request itself these are the lines that show its host's state at the
+//! time: the targets that the request tried or could have tried, the configuration, the store and
+//! the host itself.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
@@ -11,25 +12,26 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// How long before a request what was noted may bear on it, in milliseconds: some times as long as a
-/// target that was taken out stays so, or a change takes to be in force.
-const BEFORE: i64 = 15_000;
-/// How long after its end, in milliseconds: a change that came too late for it.
-const AFTER: i64 = 3_000;
-/// The fields that a line about a request names its targets in.
-const NAMING: [&str; 3] = ["tries", "choices", "target"];
+/// How long before a request lines are relevant, in milliseconds: several times as long as a target
+/// stays ejected, or a change takes to be in force.
+const BEFORE_MS: i64 = 15_000;
+/// How long after the end of a request lines are relevant, in milliseconds: shows a change that
+/// came too late for it.
+const AFTER_MS: i64 = 3_000;
+/// The fields in which a line about a request names targets.
+const TARGET_FIELDS: [&str; 3] = ["tries", "choices", "target"];
 
 /// A log that can't be read.
 #[derive(Debug, thiserror::Error)]
-#[error("{place}: {source}")]
+#[error("{log_name}: {source}")]
 pub struct Error {
-    /// Which one.
-    pub place: Arc<str>,
-    /// Why.
+    /// The log's name.
+    pub log_name: Arc<str>,
+    /// The I/O error.
     pub source: io::Error,
 }
 
-/// A line as hosts write it; others are passed over.
+/// A line as hosts write it; other lines are skipped.
 #[derive(Deserialize)]
 struct Record {
     timestamp: i64,
@@ -43,52 +45,52 @@
 struct Line {
     /// Milliseconds since the Unix epoch, by the host's clock.
     time: i64,
-    /// Which host's, as far as the log tells.
+    /// The host that wrote the line: the prefix added by a log collector, else the name of the log.
     source: Arc<str>,
     text: Arc<str>,
     fields: BTreeMap<Arc<str>, Value>,
 }
 
 impl Line {
-    /// Reads a line; what stands before its JSON, as collectors of logs add it, names its source.
-    fn new(place: &Arc<str>, text: &str) -> Option<Self> {
+    /// Parses a line. Text in front of the JSON, as log collectors add it, names the source.
+    fn new(log_name: &Arc<str>, text: &str) -> Option<Self> {
         let start = text.find('{')?;
         let record: Record = serde_json::from_str(&text[start..]).ok()?;
         let prefix = text[..start].split_whitespace().last();
         Some(Self {
             time: record.timestamp,
-            source: prefix.map_or_else(|| place.clone(), Arc::from),
+            source: prefix.map_or_else(|| log_name.clone(), Arc::from),
             text: record.payload,
             fields: record.kv,
         })
     }
 
-    fn text(&self, field: &str) -> &str {
-        let value = self.fields.get(field).and_then(Value::as_str);
+    fn field(&self, name: &str) -> &str {
+        let value = self.fields.get(name).and_then(Value::as_str);
         value.unwrap_or_default()
     }
 
     fn is_request(&self) -> bool {
-        self.text("event").starts_with("request.")
+        self.field("event").starts_with("request.")
     }
 
-    /// What the fields that name targets say, word by word.
-    fn words(&self) -> impl Iterator<Item = &str> {
-        let named = NAMING.iter().map(|field| self.text(field));
+    /// The words in the fields that name targets.
+    fn target_words(&self) -> impl Iterator<Item = &str> {
+        let named = TARGET_FIELDS.iter().map(|field| self.field(field));
         named.flat_map(|text| text.split([' ', ',', ';']).filter(|word| !word.is_empty()))
     }
 
-    /// Whether it tells what a host believes beside single targets.
-    fn is_state(&self) -> bool {
-        let event = self.text("event");
-        let kinds = ["configuration.", "zones.", "store.", "host.", "settings."];
-        kinds.iter().any(|kind| event.starts_with(kind))
+    /// Whether the line is about the state of the host rather than a single target.
+    fn is_host_state(&self) -> bool {
+        let event = self.field("event");
+        let prefixes = ["configuration.", "zones.", "store.", "host.", "settings."];
+        prefixes.iter().any(|prefix| event.starts_with(prefix))
     }
 }
 
 impl Display for Line {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        let event = self.text("event");
+        let event = self.field("event");
         write!(f, "{} {} {event}: {}", self.time, self.source, self.text)?;
         let fields = self.fields.iter().filter(|(name, _)| &***name != "event");
         for (name, value) in fields {
@@ -102,35 +104,31 @@
     }
 }
 
-/// What logs tell of one request.
+/// The log lines relevant to one request.
 #[derive(Clone, Debug)]
-pub struct Story {
+pub struct Explanation {
     lines: Vec<Line>,
     reason: Option<Arc<str>>,
 }
 
-impl Story {
+impl Explanation {
     /// Reads logs, each with its name, for the request `id`.
-    ///
-    /// # Errors
-    ///
-    /// A log that can't be read.
     pub fn new(
         id: &str,
         logs: impl IntoIterator<Item = (Arc<str>, Box<dyn BufRead>)>,
     ) -> Result<Self, Error> {
         let mut own: Vec<Line> = Vec::new();
         let mut others: Vec<Line> = Vec::new();
-        for (place, log) in logs {
+        for (log_name, log) in logs {
             for text in log.split(b'\n') {
                 let text = text.map_err(|source| Error {
-                    place: place.clone(),
+                    log_name: log_name.clone(),
                     source,
                 })?;
-                let Some(line) = Line::new(&place, &String::from_utf8_lossy(&text)) else {
+                let Some(line) = Line::new(&log_name, &String::from_utf8_lossy(&text)) else {
                     continue;
                 };
-                if line.text("id") == id {
+                if line.field("id") == id {
                     own.push(line);
                 } else if !line.is_request() {
                     others.push(line);
@@ -139,9 +137,9 @@
         }
         own.sort_by_key(|line| line.time);
         let mut lines = own.clone();
-        lines.extend(others.into_iter().filter(|line| bears(line, &own)));
+        lines.extend(others.into_iter().filter(|line| is_relevant(line, &own)));
         lines.sort_by_key(|line| line.time);
-        let reason = own.iter().rev().map(|line| line.text("reason"));
+        let reason = own.iter().rev().map(|line| line.field("reason"));
         let reason = reason.filter(|reason| !reason.is_empty()).map(Arc::from);
         Ok(Self {
             reason: reason.into_iter().next(),
@@ -149,55 +147,55 @@
         })
     }
 
-    /// Whether no log names the request.
+    /// Whether no log mentions the request.
     pub fn is_empty(&self) -> bool {
         self.lines.is_empty()
     }
 }
 
-/// Whether a line bears on a request that `own` lines are about.
-fn bears(line: &Line, own: &[Line]) -> bool {
+/// Whether a line is relevant to the request that the `own` lines are about.
+fn is_relevant(line: &Line, own: &[Line]) -> bool {
     own.iter().any(|about| {
         let took = about.fields.get("total_ms").and_then(Value::as_i64);
-        let begun = about.time - took.unwrap_or_default();
-        let near = begun - BEFORE <= line.time && line.time <= about.time + AFTER;
-        let same = line.source == about.source;
-        let target = line.text("target");
-        let named = || !target.is_empty() && about.words().any(|word| word == target);
-        near && same && (line.is_state() || named())
+        let started = about.time - took.unwrap_or_default();
+        let is_near = started - BEFORE_MS <= line.time && line.time <= about.time + AFTER_MS;
+        let is_same_host = line.source == about.source;
+        let target = line.field("target");
+        let is_named = || !target.is_empty() && about.target_words().any(|word| word == target);
+        is_near && is_same_host && (line.is_host_state() || is_named())
     })
 }
 
-/// What the reason in a line about a request means.
-fn meaning(reason: &str) -> &'static str {
+/// Explains the reason in a line about a request.
+fn describe_reason(reason: &str) -> &'static str {
     match reason {
         "answered" => "a target answered, and the caller got its answer",
-        "may-have-run" => "it may have run and must not run twice, so nobody else was asked",
+        "may-have-run" => "it may have run and must not run twice, so no other target was tried",
         "no-target" => {
-            "no target could take new requests: drained, gone, evacuated, taken out or cold"
+            "no target could take new requests: draining, gone, evacuated, ejected or cold"
         }
-        "full" => "its targets were loaded as far as their queues are worth waiting in",
+        "full" => "its targets were loaded so far that waiting in their queues was not worthwhile",
         "attempts" => "it was sent as often as its route allows",
-        "time" => "its time, or its route's, was over",
-        "budget" => "the repeats of the window were used up",
-        "body" => "its body was too long to be kept for another target",
-        "caller-left" => "its caller left, or its time was over there, before it had an answer",
-        "no-route" => "no route of the configuration in force has its name and path",
-        "no-configuration" => "the host knew no configuration yet",
+        "time" => "its deadline, or its route's timeout, had passed",
+        "budget" => "the retry budget was used up",
+        "body" => "its body was too long to be buffered for another target",
+        "caller-left" => "its caller disconnected, perhaps because its own timeout had passed, before it had an answer",
+        "no-route" => "no route of the configuration in force matches its host name and path",
+        "no-configuration" => "the host had no configuration yet",
         "body-too-long" => "its body is longer than the configuration allows",
-        "body-too-slow" => "its body did not arrive in its time",
-        "body-broke-off" => "its caller broke off",
+        "body-too-slow" => "its body did not arrive before its deadline",
+        "body-broke-off" => "its caller disconnected while sending the body",
         _ => "no explanation is known for this reason",
     }
 }
 
-impl Display for Story {
+impl Display for Explanation {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         for line in &self.lines {
             writeln!(f, "{line}")?;
         }
         match &self.reason {
-            Some(reason) => writeln!(f, "=> {reason}: {}", meaning(reason)),
+            Some(reason) => writeln!(f, "=> {reason}: {}", describe_reason(reason)),
             None => Ok(()),
         }
     }
--- a/src/host/core.rs
+++ b/src/host/core.rs
@@ -23,8 +23,8 @@
 /// How long targets that are missing after a store outage may take to register again.
 const LAPSE_GRACE: Duration = Duration::from_secs(2);
 
-/// Silence after which another host counts as gone and its registration is removed, if no
-/// withdrawal time is configured after which it refuses keys.
+/// Silence after which another host certainly serves no callers any more, if no withdrawal time is
+/// configured after which it refuses keys: its registration is removed by then.
 const DEFAULT_GONE_AFTER: Duration = presence::FORGET;
 
 /// The state of a host.
@@ -138,8 +138,13 @@
                 (Some(Value::Target(registration)), _) => self.register_target(now, registration),
                 (None, Kind::Targets) => {
                     let service = self.fleet.service_of(&entry.name);
-                    let lapses = service.is_some_and(|service| lapsing_services.contains(service));
-                    self.withdraw_target(now, &entry.name, lapses || outage == Outage::Long);
+                    let may_have_expired =
+                        service.is_some_and(|service| lapsing_services.contains(service));
+                    self.withdraw_target(
+                        now,
+                        &entry.name,
+                        may_have_expired || outage == Outage::Long,
+                    );
                 }
                 _ => {}
             }
@@ -207,10 +212,10 @@
         self.fleet.register(now, registration.clone());
     }
 
-    /// Handles a target that is missing in the store. `lapses`: its registration may have expired
-    /// during a store outage.
-    fn withdraw_target(&mut self, now: Instant, id: &str, lapses: bool) {
-        if lapses {
+    /// Handles a target that is missing in the store. With `may_have_expired`, its registration may
+    /// only have run out during a store outage.
+    fn withdraw_target(&mut self, now: Instant, id: &str, may_have_expired: bool) {
+        if may_have_expired {
             spdlog::info!("core: a target is missing after a store outage", kv: {
                 event = Event::Missing.as_str(),
                 target = id
@@ -229,8 +234,8 @@
             event = Event::ZonesEvacuated.as_str(),
             zones = names.join(" ").as_str()
         });
-        let cold = self.max_cold_time();
-        self.fleet.evacuate(now, zones, cold);
+        let max_cold_time = self.max_cold_time();
+        self.fleet.evacuate(now, zones, max_cold_time);
     }
 
     /// Replaces the known hosts with the complete list of registrations.
@@ -312,12 +317,12 @@
         for (deficit, part) in deficits.iter_mut().zip(&route.parts) {
             *deficit += part.weight / total;
         }
-        let (most, _) = deficits
+        let (furthest, _) = deficits
             .iter()
             .enumerate()
             .max_by(|(_, one), (_, other)| one.total_cmp(other))?;
-        deficits[most] -= 1.0;
-        Some(route.parts[most].service.clone())
+        deficits[furthest] -= 1.0;
+        Some(route.parts[furthest].service.clone())
     }
 }
 
--- a/src/host/exchange.rs
+++ b/src/host/exchange.rs
@@ -190,15 +190,15 @@
         ..
     } = active;
     let mut body = Some(body);
-    let mut failed = None;
-    let mut unknown = false;
-    let once = exchange.route.repeat == Repeat::Never;
+    let mut failed_response = None;
+    let mut may_have_run = false;
+    let must_run_once = exchange.route.repeat == Repeat::Never;
     let mut permit = None;
     let mut sent = 0;
     trace.stop_reason = loop {
         if ask.tried.is_empty() {
             match quarantine::wait_for_permit(host, exchange).await {
-                Ok(given) => permit = given,
+                Ok(granted) => permit = granted,
                 Err(pause) => break StopReason::Quarantined(pause),
             }
             if permit.is_some() {
@@ -244,15 +244,15 @@
         ask.tried.push(target);
         match outcome {
             Outcome::Answered(response) => return response,
-            Outcome::Failed(response) => failed = Some(response),
+            Outcome::Failed(response) => failed_response = Some(response),
             Outcome::NotRun => {}
-            Outcome::Unknown => unknown = true,
+            Outcome::Unknown => may_have_run = true,
             Outcome::TimedOut => {
-                unknown = true;
+                may_have_run = true;
                 break StopReason::Time;
             }
         }
-        if once && (unknown || failed.is_some()) {
+        if must_run_once && (may_have_run || failed_response.is_some()) {
             break StopReason::MayHaveRun;
         }
         let stop = if was_sent {
@@ -266,9 +266,9 @@
         }
     };
     drop(permit);
-    match failed {
+    match failed_response {
         Some(response) => response,
-        None if !unknown => {
+        None if !may_have_run => {
             exchange.admitted.refund(host);
             let delay = retry_after(host, exchange, ask, trace.stop_reason);
             answer::not_run_retry_after(host, "no target has room\n", delay)
@@ -303,13 +303,13 @@
     ask: &Ask<'_>,
     sent: usize,
 ) -> Option<StopReason> {
-    let left = exchange.deadline.saturating_duration_since(now());
+    let time_left = exchange.deadline.saturating_duration_since(now());
     if !host.core.borrow().quarantine.is_free(exchange.fingerprint) {
         // Another attempt could crash one more target.
         Some(StopReason::Suspected)
     } else if sent >= exchange.route.attempts as usize {
         Some(StopReason::Attempts)
-    } else if left < MIN_ATTEMPT_TIME {
+    } else if time_left < MIN_ATTEMPT_TIME {
         Some(StopReason::Time)
     } else if exchange.buffered == Buffered::Prefix {
         Some(StopReason::Body)
@@ -365,16 +365,16 @@
 
 /// Hash of the affinity key, or of the request's ID if it has no affinity key.
 fn affinity_hash(exchange: &Exchange) -> u64 {
-    let text = affinity_key(exchange).or(exchange.head.id.as_ref());
-    text.map_or(0, |text| xxh3_64(text.as_bytes()))
+    let key = affinity_key(exchange).or(exchange.head.id.as_ref());
+    key.map_or(0, |key| xxh3_64(key.as_bytes()))
 }
 
 /// Hash of the affinity key and the service, so that the same key at two services counts as two
 /// objects.
 fn affinity_object(exchange: &Exchange, service: &str) -> Option<u64> {
-    let text = affinity_key(exchange)?;
+    let key = affinity_key(exchange)?;
     Some(xxh3_64_with_seed(
-        text.as_bytes(),
+        key.as_bytes(),
         xxh3_64(service.as_bytes()),
     ))
 }
@@ -416,8 +416,15 @@
         spdlog::error!("exchange: target ID {id} is not a valid header value");
         return Err(Outcome::NotRun);
     };
-    let left = exchange.deadline.saturating_duration_since(now());
-    match open_connection(host, in_flight.target, address, left.min(CONNECT_TIMEOUT)).await {
+    let time_left = exchange.deadline.saturating_duration_since(now());
+    match open_connection(
+        host,
+        in_flight.target,
+        address,
+        time_left.min(CONNECT_TIMEOUT),
+    )
+    .await
+    {
         Ok(connection) => Ok((connection, id)),
         Err(error) => {
             spdlog::debug!("exchange: cannot connect to target at {address}: {error}");
@@ -476,14 +483,14 @@
             }
             Err(_) => {}
         }
-        let silent = host.core.borrow().fleet.is_silent(now(), in_flight.target);
-        if silent {
+        let is_silent = host.core.borrow().fleet.is_silent(now(), in_flight.target);
+        if is_silent {
             in_flight.end = End::Silent;
         }
         if now() >= exchange.deadline {
             return Err(Outcome::TimedOut);
         }
-        if silent && can_retry(host, exchange, ask, in_flight.sent_before) {
+        if is_silent && can_retry(host, exchange, ask, in_flight.sent_before) {
             return Err(Outcome::Unknown);
         }
         in_flight.end = End::Cancelled;
@@ -559,9 +566,9 @@
     throttle::note_rate(host, in_flight, &target_answer);
     let read = connection.read(read_body(exchange, incoming));
     let Some(payload) = read.await else {
-        let late = now() >= exchange.deadline;
-        in_flight.end = if late { End::Cancelled } else { End::Broken };
-        return if late {
+        let is_late = now() >= exchange.deadline;
+        in_flight.end = if is_late { End::Cancelled } else { End::Broken };
+        return if is_late {
             Outcome::TimedOut
         } else {
             Outcome::Unknown
@@ -596,8 +603,12 @@
         return Outcome::NotRun;
     }
     let status = response.status();
-    let failed = status.is_server_error();
-    in_flight.end = if failed { End::Failed } else { End::Answered };
+    let is_failed = status.is_server_error();
+    in_flight.end = if is_failed {
+        End::Failed
+    } else {
+        End::Answered
+    };
     let not_run_statuses = [
         StatusCode::REQUEST_TIMEOUT,
         StatusCode::MISDIRECTED_REQUEST,
@@ -609,7 +620,7 @@
         // not say.
         return Outcome::Unknown;
     }
-    if failed {
+    if is_failed {
         Outcome::Failed(response)
     } else {
         Outcome::Answered(response)
--- a/src/host/watcher.rs
+++ b/src/host/watcher.rs
@@ -16,7 +16,7 @@
 use crate::control::freshness::Evidence;
 use crate::port::Kind;
 
-/// How long a host has to be no watcher before it stops watching.
+/// How long a host must not be a designated watcher before it stops watching.
 const STOP_DELAY: Duration = Duration::from_millis(1500);
 /// Part of the probe interval within which a host's first probe is placed at random.
 const FIRST_PROBE_SPREAD: f64 = 0.25;
@@ -133,8 +133,8 @@
     }
 
     /// Probes the store if no host is known to reach it. A host that has just read the store leaves
-    /// that to the designated watchers: otherwise all of 76 hosts became watchers after a common
-    /// start.
+    /// that to the designated watchers: without this, all of 76 hosts became watchers after a
+    /// common start.
     pub(crate) fn probe_if_due(&self, host: &Rc<Host>, now: Instant) {
         let core = &mut *host.core.borrow_mut();
         if host.startup.is_fresh(now) || core.presence.is_store_seen(now) {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! Global traffic steering for small operators.
 //!
-//! The daemon `ragwortfold entry` and its command line are thin; what they do is in this library.
-//! Decisions ([`steer`], [`control`]) are plain structs without I/O or a clock of their own, so that
-//! other programs can embed them.
+//! The daemon `ragwortfold entry` and the command-line tool are thin wrappers around this library.
+//! Decisions ([`steer`], [`control`]) are made by plain structs without I/O or a clock of their
+//! own, so that other programs can embed them.
 
 pub mod account;
 pub mod border;
--- a/src/literal.rs
+++ b/src/literal.rs
@@ -1,7 +1,7 @@
-//! A resolver for `ureq` of addresses that are given as IP:PORT.
+//! A resolver for `ureq` that parses addresses given as IP:PORT.
 //!
-//! The library's own resolver starts a thread for each call that has a time-out, also for an address
-//! that needs no look-up.
+//! The default resolver starts a thread for each call that has a timeout, even for an address that
+//! needs no look-up.
 
 use ureq::config::Config;
 use ureq::http::Uri;
@@ -9,11 +9,11 @@
 use ureq::unversioned::transport::NextTimeout;
 use ureq::Error;
 
-/// Reads the address where it is one, and asks the library's resolver where it is a name.
+/// Parses literal addresses; passes names on to the default resolver.
 #[derive(Debug, Default)]
-pub(crate) struct Literal(DefaultResolver);
+pub(crate) struct LiteralResolver(DefaultResolver);
 
-impl Resolver for Literal {
+impl Resolver for LiteralResolver {
     fn resolve(
         &self,
         uri: &Uri,
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -13,7 +13,7 @@
 use ureq::{Agent, Body};
 
 use crate::border::objects as border;
-use crate::literal::Literal;
+use crate::literal::LiteralResolver;
 
 pub use border::HostState;
 
@@ -208,7 +208,7 @@
         Self {
             url: url.trim_end_matches('/').into(),
             timeout: DEFAULT_TIMEOUT,
-            agent: Agent::with_parts(config, Dial::default(), Literal::default()),
+            agent: Agent::with_parts(config, Dial::default(), LiteralResolver::default()),
         }
     }
 
--- a/tests/events.rs
+++ b/tests/events.rs
@@ -1,4 +1,4 @@
-//! The table of log lines in the operations manual against the code that writes them.
+//! Checks the table of log events in the operations manual against the code that writes them.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,7 +9,7 @@
 
 type Fields = BTreeSet<String>;
 
-fn root() -> PathBuf {
+fn repository_root() -> PathBuf {
     env!("CARGO_MANIFEST_DIR").into()
 }
 
@@ -17,9 +17,9 @@
     std::fs::read_to_string(path).unwrap()
 }
 
-/// The events of the manual's table, each with its fields.
-fn documented() -> BTreeMap<String, Fields> {
-    let manual = read(&root().join("docs/OPERATIONS.md"));
+/// The events in the manual's table, each with its fields.
+fn documented_fields() -> BTreeMap<String, Fields> {
+    let manual = read(&repository_root().join("docs/OPERATIONS.md"));
     let table = manual.split("| `event` | Fields | When |").nth(1).unwrap();
     let rows = table
         .lines()
@@ -37,18 +37,18 @@
     .collect()
 }
 
-/// The fields of each statement that writes an event.
-fn written() -> BTreeSet<Fields> {
-    let folder = std::fs::read_dir(root().join("src/host")).unwrap();
+/// The fields of each statement that logs an event.
+fn logged_fields() -> BTreeSet<Fields> {
+    let files = std::fs::read_dir(repository_root().join("src/host")).unwrap();
     let mut all = BTreeSet::new();
-    for entry in folder {
+    for entry in files {
         let code = read(&entry.unwrap().path());
         for block in code.split("kv: {").skip(1) {
             let body = block.split("})").next().unwrap();
             let names = body.split([',', '\n']).filter_map(|part| {
                 let name = part.trim().split(" = ").next()?.trim();
-                let plain = |c: char| c.is_ascii_lowercase() || c == '_';
-                (!name.is_empty() && name.chars().all(plain)).then(|| name.to_owned())
+                let is_name_char = |c: char| c.is_ascii_lowercase() || c == '_';
+                (!name.is_empty() && name.chars().all(is_name_char)).then(|| name.to_owned())
             });
             let mut names: Fields = names.collect();
             assert!(names.remove("event"), "a line without an event: {body}");
@@ -60,13 +60,13 @@
 
 #[test]
 fn the_manual_names_all_events_and_no_others() {
-    let manual: BTreeSet<String> = documented().into_keys().collect();
+    let manual: BTreeSet<String> = documented_fields().into_keys().collect();
     let code: BTreeSet<String> = EVENTS.iter().map(|name| name.to_string()).collect();
     assert_eq!(manual, code);
 }
 
 #[test]
 fn the_manual_names_the_fields_that_are_written() {
-    let manual: BTreeSet<Fields> = documented().into_values().collect();
-    assert_eq!(manual, written());
+    let manual: BTreeSet<Fields> = documented_fields().into_values().collect();
+    assert_eq!(manual, logged_fields());
 }
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,29 +1,29 @@
-//! One request's story from logs.
+//! Explains single requests from log lines.
 
 #![allow(clippy::unwrap_used)]
 
 use std::io::{BufRead, Cursor};
 use std::sync::Arc;
 
-use ragwortfold::explain::Story;
+use ragwortfold::explain::Explanation;
 
-/// A log line at some milliseconds.
+/// A log line with a timestamp in milliseconds.
 fn line(time: i64, fields: &str) -> String {
     format!(r#"{{"level":"info","timestamp":{time},"payload":"text","kv":{{{fields}}},"tid":1}}"#)
 }
 
-fn story(id: &str, logs: &[(&str, &[String])]) -> String {
+fn explain(id: &str, logs: &[(&str, &[String])]) -> String {
     let logs = logs.iter().map(|(name, lines)| {
         let reader: Box<dyn BufRead> = Box::new(Cursor::new(lines.join("\n")));
         (Arc::<str>::from(*name), reader)
     });
-    Story::new(id, logs).unwrap().to_string()
+    Explanation::new(id, logs).unwrap().to_string()
 }
 
 const FAILED: &str = r#""event":"request.failed","id":"r1","reason":"may-have-run","tries":"i-1 broken after 81 ms","choices":"i-2 in n has 0.0 of 6 slots","total_ms":90"#;
 
 #[test]
-fn the_lines_of_a_request_and_of_its_targets_are_told_in_order() {
+fn the_lines_of_a_request_and_of_its_targets_are_printed_in_order() {
     let lines = [
         line(9_000, r#""event":"target.ejected","target":"i-1""#),
         line(10_000, FAILED),
@@ -38,7 +38,7 @@
             r#""event":"configuration.in-force","configuration":7"#,
         ),
     ];
-    let told = story("r1", &[("a.log", &lines)]);
+    let explanation = explain("r1", &[("a.log", &lines)]);
     let places: Vec<_> = [
         "8000 a.log",
         "9000 a.log",
@@ -46,21 +46,24 @@
         "10000 a.log",
         "=> may-have-run: ",
     ]
-    .map(|part| told.find(part))
+    .map(|part| explanation.find(part))
     .into();
     assert!(
         places.iter().all(Option::is_some) && places.is_sorted(),
-        "{told}"
+        "{explanation}"
+    );
+    assert!(
+        !explanation.contains("i-3") && !explanation.contains("r2"),
+        "{explanation}"
     );
-    assert!(!told.contains("i-3") && !told.contains("r2"), "{told}");
 }
 
 #[test]
-fn what_other_hosts_believed_does_not_bear_on_it() {
+fn lines_of_other_hosts_are_left_out() {
     let own = [line(10_000, FAILED)];
     let other = [line(9_900, r#""event":"target.ejected","target":"i-1""#)];
-    let told = story("r1", &[("a.log", &own), ("b.log", &other)]);
-    assert!(!told.contains("b.log"), "{told}");
+    let explanation = explain("r1", &[("a.log", &own), ("b.log", &other)]);
+    assert!(!explanation.contains("b.log"), "{explanation}");
 }
 
 #[test]
@@ -69,29 +72,32 @@
         line(10_000, r#""event":"target.ejected","target":"i-1""#),
         line(90_000, FAILED),
     ];
-    assert!(!story("r1", &[("a.log", &lines)]).contains("target.ejected"));
+    assert!(!explain("r1", &[("a.log", &lines)]).contains("target.ejected"));
 }
 
 #[test]
-fn each_attempt_at_each_host_is_told() {
+fn each_attempt_at_each_host_is_printed() {
     let first = [line(10_000, FAILED)];
     let second = [line(
         11_000,
         r#""event":"request.refused","id":"r1","reason":"full""#,
     )];
-    let told = story("r1", &[("b.log", &second), ("a.log", &first)]);
+    let explanation = explain("r1", &[("b.log", &second), ("a.log", &first)]);
     assert!(
-        told.find("10000 a.log") < told.find("11000 b.log"),
-        "{told}"
+        explanation.find("10000 a.log") < explanation.find("11000 b.log"),
+        "{explanation}"
     );
-    assert!(told.contains("=> full: "), "{told}");
+    assert!(explanation.contains("=> full: "), "{explanation}");
 }
 
 #[test]
 fn a_name_before_the_line_is_its_source() {
     let prefixed = format!("  10.0 host-7 {}", line(10_000, FAILED));
-    let told = story("r1", &[("all.log", &[prefixed])]);
-    assert!(told.starts_with("10000 host-7 request.failed"), "{told}");
+    let explanation = explain("r1", &[("all.log", &[prefixed])]);
+    assert!(
+        explanation.starts_with("10000 host-7 request.failed"),
+        "{explanation}"
+    );
 }
 
 #[test]
@@ -102,10 +108,10 @@
         "{}".to_owned(),
         line(1, FAILED),
     ];
-    assert!(story("r1", &[("a.log", &lines)]).starts_with("1 a.log"));
+    assert!(explain("r1", &[("a.log", &lines)]).starts_with("1 a.log"));
 }
 
 #[test]
-fn a_request_that_no_log_names_has_no_story() {
-    assert!(story("r9", &[("a.log", &[line(1, FAILED)])]).is_empty());
+fn a_request_in_no_log_has_no_explanation() {
+    assert!(explain("r9", &[("a.log", &[line(1, FAILED)])]).is_empty());
 }
--- a/tests/rate.rs
+++ b/tests/rate.rs
@@ -1,4 +1,5 @@
-//! Hosts that each keep to themselves send a target a multiple of the rate that it names.
+//! Several hosts together keep to the rate limit that a target announces. If each host enforced the
+//! limit alone, the target would get a multiple of it.
 
 #![allow(clippy::unwrap_used)]
 
@@ -16,11 +17,11 @@
     echo: "ragwortfold-request-id",
 };
 const ZONES: [(&str, &str); 2] = [("lima", "lima-a"), ("cusco", "cusco-a")];
-const HOSTS_A_ZONE: usize = 3;
-const TARGETS_A_ZONE: usize = 3;
+const HOSTS_PER_ZONE: usize = 3;
+const TARGETS_PER_ZONE: usize = 3;
 
-/// Zones of several hosts and targets that may name rates.
-fn world() -> (World, Vec<Target>) {
+/// Starts zones of several hosts and targets that may announce a rate limit.
+fn start_world() -> (World, Vec<Target>) {
     let lookups = json!({"class": "pass-lookup", "idempotent": true, "deadline_ms": 2000});
     let mut world = World::new()
         .without_services()
@@ -28,10 +29,10 @@
     let mut targets = Vec::new();
     for (region, zone) in ZONES {
         world = world.with_zone(region, zone);
-        for number in 0..HOSTS_A_ZONE {
+        for number in 0..HOSTS_PER_ZONE {
             world = world.with_host(zone, &format!("{zone}-{number}"));
         }
-        for number in 0..TARGETS_A_ZONE {
+        for number in 0..TARGETS_PER_ZONE {
             let target = Target::new(HEADERS).unwrap();
             let name = format!("look-{zone}-{number}");
             world = world.with_target_at(zone, "lookups", &name, target.address());
@@ -41,7 +42,7 @@
     (world.run(), targets)
 }
 
-fn load(world: &World, time: Duration) -> Vec<Call> {
+fn send_load(world: &World, time: Duration) -> Vec<Call> {
     let hosts: Vec<_> = world.hosts.values().collect();
     play(time, |number| {
         let host = hosts[number % hosts.len()];
@@ -51,10 +52,11 @@
     })
 }
 
-/// The targets that got most, those of the busier zone first: callers of one block prefer one of each zone.
-fn busiest(targets: &[Target]) -> Vec<&Target> {
+/// The targets sorted by zone and then by requests received, busiest first: callers in one address
+/// block prefer one target of each zone.
+fn sort_by_load(targets: &[Target]) -> Vec<&Target> {
     let mut zones: Vec<Vec<&Target>> = targets
-        .chunks(TARGETS_A_ZONE)
+        .chunks(TARGETS_PER_ZONE)
         .map(|zone| zone.iter().collect())
         .collect();
     for zone in &mut zones {
@@ -64,52 +66,53 @@
     zones.concat()
 }
 
-fn answered(calls: &[Call], from: Instant) -> (usize, usize) {
+fn count_answered(calls: &[Call], from: Instant) -> (usize, usize) {
     let calls = calls.iter().filter(|call| call.begun > from);
     let good = calls.clone().filter(|call| call.status == 200);
     (good.count(), calls.count())
 }
 
-/// Targets that name a rate get about that of all hosts together, and callers get what targets take.
-macro_rules! named {
+/// Targets that announce a rate limit get about that rate from all hosts together, and callers get
+/// as many answers as the targets can give.
+macro_rules! rate_limit_tests {
     ($($name:ident: $targets:expr, $named:expr => $rate:expr, $served:expr;)*) => {$(
         #[test]
         fn $name() {
-            let (world, targets) = world();
-            load(&world, Duration::from_secs(1));
-            let limited = &busiest(&targets)[..$targets];
+            let (world, targets) = start_world();
+            send_load(&world, Duration::from_secs(1));
+            let limited = &sort_by_load(&targets)[..$targets];
             limited.iter().for_each(|target| target.name(&[$named]));
             let begun = Instant::now();
-            let calls = load(&world, NAMED);
+            let calls = send_load(&world, NAMED);
             for target in limited {
                 target.judge($rate, begun).unwrap();
             }
-            let (good, all) = answered(&calls, begun + STABLE);
+            let (good, all) = count_answered(&calls, begun + STABLE);
             assert!(good as f64 >= all as f64 * $served, "{good} of {all}");
         }
     )*};
 }
 
-named! {
+rate_limit_tests! {
     hosts_of_a_zone_keep_to_the_rate_that_a_target_names: 1, "3.0" => 3.0, SERVED;
-    // What the zone does not take may not leave its region sooner than the cap on planned moves allows.
+    // What the zone can't take leaves its region no faster than the cap on planned moves allows.
     all_targets_of_a_zone_name_a_rate: 3, "4" => 4.0, USED * (12.0 + LOAD / 2.0) / LOAD;
     all_targets_name_a_rate: 6, "6" => 6.0, USED * 36.0 / LOAD;
 }
 
 #[test]
 fn a_target_that_names_no_rate_any_more_gets_its_part_again() {
-    let (world, targets) = world();
+    let (world, targets) = start_world();
     let span = Duration::from_secs(2);
-    load(&world, span);
-    let target = busiest(&targets)[0];
+    send_load(&world, span);
+    let target = sort_by_load(&targets)[0];
     let before = target.arrivals().len();
     target.name(&["2.0"]);
-    load(&world, NAMED);
+    send_load(&world, NAMED);
     target.name(&[]);
-    load(&world, span);
+    send_load(&world, span);
     let begun = Instant::now();
-    load(&world, span);
+    send_load(&world, span);
     let count = target.count(begun, span);
     assert!(count >= before / 2, "{count} after {before}");
 }
