--- a/src/host/datagram.rs
+++ b/src/host/datagram.rs
@@ -219,8 +219,8 @@
 }
 
 /// Sends rate limits announced by targets.
-pub(crate) async fn send_rates(host: &Host, news: &[News], peers: &[SocketAddr]) {
-    send(host, &Datagram::Rates(news.to_vec()), peers).await;
+pub(crate) async fn send_rates(host: &Host, rates: &[News], peers: &[SocketAddr]) {
+    send(host, &Datagram::Rates(rates.to_vec()), peers).await;
 }
 
 /// Asks a keeper of a rate-limited target for permission to send to it.
@@ -229,8 +229,8 @@
 }
 
 /// Responds to a claim.
-pub(crate) async fn send_grant(host: &Host, grant: Grant, asker: SocketAddr) {
-    send(host, &Datagram::Grant(grant), &[asker]).await;
+pub(crate) async fn send_grant(host: &Host, grant: Grant, claimant: SocketAddr) {
+    send(host, &Datagram::Grant(grant), &[claimant]).await;
 }
 
 /// Notifies all hosts that a target is cold.
@@ -284,8 +284,8 @@
         match ciborium::from_reader(&bytes[..length]) {
             Ok(Datagram::Beat(beat)) => receive_beat(&host, beat).await,
             Ok(Datagram::Pulse(pulse)) => {
-                let known = host.core.borrow_mut().presence.feel(now(), sender, pulse);
-                if !known {
+                let is_known = host.core.borrow_mut().presence.feel(now(), sender, pulse);
+                if !is_known {
                     send(&host, &Datagram::Ask, &[sender]).await;
                 }
             }
@@ -296,7 +296,7 @@
             }
             Ok(Datagram::Tallies(batch)) => apply_tallies(&host, sender, &batch),
             Ok(Datagram::Notes(notes)) => quarantine::apply_notes(&host, &notes),
-            Ok(Datagram::Rates(news)) => throttle::apply_rates(&host, &news),
+            Ok(Datagram::Rates(rates)) => throttle::apply_rates(&host, &rates),
             Ok(Datagram::Claim(claim)) => throttle::answer_claim(&host, sender, &claim).await,
             Ok(Datagram::Grant(grant)) => throttle::apply_grant(&host, sender, &grant),
             Err(error) => {
--- a/src/host/quarantine.rs
+++ b/src/host/quarantine.rs
@@ -53,7 +53,7 @@
 /// Records how an attempt ended and informs other hosts of changes.
 pub(crate) fn note_attempt_end(host: &Rc<Host>, exchange: &Exchange, in_flight: &InFlight) {
     let fingerprint = exchange.fingerprint;
-    let news = {
+    let updates = {
         let quarantine = &mut host.core.borrow_mut().quarantine;
         match in_flight.end {
             End::Answered => News {
@@ -69,14 +69,14 @@
             _ => return,
         }
     };
-    if let Some(note) = news.counters {
+    if let Some(note) = updates.counters {
         let counters = {
             let core = host.core.borrow();
             core.presence.counters(now(), fingerprint.0)
         };
         spawn_send(host, note, counters);
     }
-    if let Some(note) = news.all {
+    if let Some(note) = updates.all {
         broadcast(host, note);
     }
 }
--- a/src/host/serve.rs
+++ b/src/host/serve.rs
@@ -57,9 +57,9 @@
 struct ConnectionState {
     phase: Cell<Phase>,
     /// Whether everything written has been flushed to the socket.
-    flushed: Cell<bool>,
+    is_flushed: Cell<bool>,
     /// Whether a part of the last request's body may still arrive.
-    body_unread: Cell<bool>,
+    has_unread_body: Cell<bool>,
     /// Since when writes to the caller have been blocked.
     blocked_since: Cell<Option<Instant>>,
 }
@@ -68,8 +68,8 @@
     fn new() -> Self {
         Self {
             phase: Cell::new(Phase::Idle(now())),
-            flushed: Cell::new(true),
-            body_unread: Cell::new(false),
+            is_flushed: Cell::new(true),
+            has_unread_body: Cell::new(false),
             blocked_since: Cell::new(None),
         }
     }
@@ -77,8 +77,8 @@
     /// Whether the last response has been sent and no further bytes have been received. While the
     /// rest of a body may arrive, only hyper can tell its bytes from a new request.
     fn is_idle(&self) -> bool {
-        let idle = matches!(self.phase.get(), Phase::Idle(_));
-        idle && self.flushed.get() && !self.body_unread.get()
+        let is_waiting = matches!(self.phase.get(), Phase::Idle(_));
+        is_waiting && self.is_flushed.get() && !self.has_unread_body.get()
     }
 }
 
@@ -126,7 +126,7 @@
 
 impl TrackedStream {
     fn note_write<T>(&self, written: &Poll<io::Result<T>>) {
-        self.state.flushed.set(false);
+        self.state.is_flushed.set(false);
         let since = self.state.blocked_since.get().unwrap_or_else(now);
         let blocked_since = written.is_pending().then_some(since);
         self.state.blocked_since.set(blocked_since);
@@ -159,9 +159,9 @@
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let flushed = Pin::new(&mut self.tcp).poll_flush(cx);
-        self.state.flushed.set(flushed.is_ready());
-        flushed
+        let result = Pin::new(&mut self.tcp).poll_flush(cx);
+        self.state.is_flushed.set(result.is_ready());
+        result
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -274,25 +274,25 @@
             request.extensions_mut().insert(caller);
         }
         state.phase.set(Phase::Busy);
-        state.body_unread.set(!request.body().is_end_stream());
+        state.has_unread_body.set(!request.body().is_end_stream());
         let guard = AnswerGuard(state.clone());
         let answer = Box::pin(handler(host.clone(), request));
         async move {
             let response = answer.await;
             if response.extensions().get::<BodyConsumed>().is_some() {
-                guard.0.body_unread.set(false);
+                guard.0.has_unread_body.set(false);
             }
             Ok::<_, Infallible>(response.map(|body| body::with_guard(body, guard)))
         }
     });
     let limits = host.core.borrow().table.limits();
-    let head = limits.map_or(DEFAULT_HEAD_BYTES, |limits| limits.head_bytes);
+    let head_bytes = limits.map_or(DEFAULT_HEAD_BYTES, |limits| limits.head_bytes);
     let mut builder = http1::Builder::new();
     builder
-        .max_buf_size(head.max(MIN_BUFFER_BYTES))
+        .max_buf_size(head_bytes.max(MIN_BUFFER_BYTES))
         .auto_date_header(false);
     let mut connection = builder.serve_connection(TokioIo::new(stream), service);
-    let mut check = tokio::time::interval_at((now() + CHECK_INTERVAL).into(), CHECK_INTERVAL);
+    let mut check_timer = tokio::time::interval_at((now() + CHECK_INTERVAL).into(), CHECK_INTERVAL);
     let mut is_closing = false;
     loop {
         let work = poll_fn(|cx| match Pin::new(&mut connection).poll(cx) {
@@ -315,7 +315,7 @@
                 is_closing = true;
                 Pin::new(&mut connection).graceful_shutdown();
             }
-            _ = check.tick() => match exceeded_limit(host, &state) {
+            _ = check_timer.tick() => match exceeded_limit(host, &state) {
                 ExceededLimit::None => {}
                 ExceededLimit::Idle if is_closing => {}
                 ExceededLimit::Idle => {
--- a/src/host/sync.rs
+++ b/src/host/sync.rs
@@ -142,9 +142,10 @@
         let failed_at = failed_feeds.get(&feed);
         failed_at.is_some_and(|at| now.saturating_duration_since(*at) < FAILED_FEED_SKIP)
     };
-    let only_near = host.startup.is_reading(now);
-    let skip_host =
-        |record: &Record| has_failed(record.feed) || (only_near && !core.presence.is_near(record));
+    let only_same_region = host.startup.is_reading(now);
+    let skip_host = |record: &Record| {
+        has_failed(record.feed) || (only_same_region && !core.presence.is_near(record))
+    };
     if let Some((record, _)) = core.presence.source(now, skip_host) {
         return Some(record.feed);
     }
@@ -227,13 +228,13 @@
 /// return.
 async fn watch_kind(host: Rc<Host>, kind: Kind) {
     let mut client = Client::new(&host);
-    let mut pause = Backoff::new();
+    let mut backoff = Backoff::new();
     let mut is_failing = false;
     loop {
         if !host.watch_state.is_answering.get() {
             // A slow store may still answer a watch.
             tokio::select! {
-                () = pause.wait(&host) => {}
+                () = backoff.wait(&host) => {}
                 () = host.watch_state.wait_for_renewal(kind) => {}
             }
         }
@@ -249,13 +250,13 @@
                 if std::mem::take(&mut is_failing) {
                     log::kind_changed(kind, None);
                 }
-                pause = Backoff::new();
+                backoff = Backoff::new();
             }
             Err(error) => {
                 if !std::mem::replace(&mut is_failing, true) {
                     log::kind_changed(kind, Some(&error));
                 }
-                pause.wait(&host).await;
+                backoff.wait(&host).await;
             }
         }
     }
--- a/src/host/throttle.rs
+++ b/src/host/throttle.rs
@@ -57,12 +57,12 @@
 
 /// Sends a claim to a keeper and waits until its answer has been applied or the timeout has passed.
 async fn send_claim(host: &Host, keeper: &Arc<str>, claim: Claim) {
-    let place = {
+    let keeper_peer = {
         let core = host.core.borrow();
         let record = core.presence.known(keeper);
         record.map(|record| (record.peers, core.presence.is_near(record)))
     };
-    let Some((address, is_near)) = place else {
+    let Some((address, is_near)) = keeper_peer else {
         host.core
             .borrow_mut()
             .fleet
@@ -138,9 +138,9 @@
 }
 
 /// Applies rate limits received from another host.
-pub(crate) fn apply_rates(host: &Host, news: &[News]) {
+pub(crate) fn apply_rates(host: &Host, rates: &[News]) {
     let fleet = &mut host.core.borrow_mut().fleet;
-    for news in news {
+    for news in rates {
         if let Some(target) = fleet.hear(now(), news) {
             log::target_rate(&target, news.1.map(f64::from), "host");
         }
@@ -149,13 +149,13 @@
 
 /// Sends the known rate limits to some hosts.
 pub(crate) async fn send_rates(host: &Host, peers: &[SocketAddr]) {
-    let news: Vec<News> = {
+    let rates: Vec<News> = {
         let core = &mut *host.core.borrow_mut();
         core.fleet.expire_rates(now());
         let all = core.fleet.news(now());
         all.sample(&mut core.rng, RATES_PER_REPEAT)
     };
-    if !news.is_empty() {
-        datagram::send_rates(host, &news, peers).await;
+    if !rates.is_empty() {
+        datagram::send_rates(host, &rates, peers).await;
     }
 }
