--- a/src/host/join.rs
+++ b/src/host/join.rs
@@ -76,7 +76,7 @@
         // A failed removal is tried again after the next list; a conflict means that the host is
         // back.
         let result = client.call(&call).await.map_err(|error| error.to_string());
-        spdlog::info!("join: removing the registration of a silent host", kv: {
+        spdlog::info!("join: tried to remove the registration of a silent host", kv: {
             event = Event::HostRemoved.as_str(),
             call = format!("{call:?}").as_str(),
             result = format!("{result:?}").as_str()
--- a/src/host/lookup.rs
+++ b/src/host/lookup.rs
@@ -14,6 +14,7 @@
 /// shutting down serves requests until then, so it must be well under a third of the shutdown grace
 /// period.
 const MAX_ANSWER_TTL: Duration = Duration::from_millis(1500);
+
 /// Listens for look-ups and readiness checks.
 pub(crate) async fn listen(host: &Rc<Host>) -> Result<(), Error> {
     let addresses = [host.settings.lookup, host.settings.ready];
