--- /dev/null
+++ b/src/host/refresh.rs
@@ -0,0 +1,159 @@
+//! Polls the store to check whether this host's copy of it is current, and updates the copy if not.
+//!
+//! The list of evacuated availability zones is short, and the response contains the store's
+//! revision. A copy of another kind at this revision is complete; for a copy that is behind, the
+//! changes are queried. So changes are found even if a watch hangs, and a response never counts as
+//! evidence for more than it shows.
+
+use std::future::Future;
+use std::rc::Rc;
+use std::time::Duration;
+
+use super::log::Event;
+use super::store::{Client, Error};
+use super::sync::{self, WatchResult};
+use super::watcher::WATCHED_KINDS;
+use super::{proof, Host};
+use crate::control::freshness::{INTERVAL, PATIENCE};
+use crate::control::proof::Moment;
+use crate::port::{Age, Kind};
+
+/// Every how many polls a full refresh is made. The polls in between only check whether the store
+/// responds, which costs it a tenth.
+const REFRESH_EVERY: u32 = 3;
+/// How long the copy counts as current after a refresh: until the next refresh has its responses.
+pub(super) const CURRENT_FOR: Duration = Duration::from_millis(3000);
+
+/// Polls the store over a connection of its own.
+pub(super) struct Refresher {
+    host: Rc<Host>,
+    client: Client,
+}
+
+impl Refresher {
+    pub(super) fn new(host: &Rc<Host>) -> Self {
+        Self {
+            host: host.clone(),
+            client: Client::new(host),
+        }
+    }
+
+    /// Queries the store once, updates the copy and records that it is current.
+    pub(super) async fn refresh(&mut self) -> Result<(), Error> {
+        let asked_at = proof::moment();
+        let host = &self.host;
+        let list = sync::list(host, &mut self.client, Kind::Evacuations, Age::Latest);
+        let revision = with_timeout(list).await?;
+        mark_current(host, Kind::Evacuations, asked_at);
+        let [configs, targets] =
+            WATCHED_KINDS.map(|kind| refresh_kind(host, kind, asked_at, revision));
+        let (configs, targets) = tokio::join!(configs, targets);
+        configs.and(targets)
+    }
+
+    /// Checks whether the store responds at all; a stale response suffices.
+    async fn ping(&mut self) -> Result<(), Error> {
+        let list = sync::read_pages(&mut self.client, Kind::Evacuations, Age::Some);
+        with_timeout(list).await.map(|_| ())
+    }
+}
+
+async fn with_timeout<T>(call: impl Future<Output = Result<T, Error>>) -> Result<T, Error> {
+    let result = tokio::time::timeout(PATIENCE, call).await;
+    result.unwrap_or(Err(Error::Timeout))
+}
+
+/// Updates the copy of a kind at least to the store's revision. Uses a new connection, since a kept
+/// one may be dead, and sets no time limit, since there may be any number of changes to transfer.
+async fn refresh_kind(
+    host: &Rc<Host>,
+    kind: Kind,
+    asked_at: Moment,
+    revision: u64,
+) -> Result<(), Error> {
+    let is_behind = || host.core.borrow().replica.revision(kind) < Some(revision);
+    if is_behind() {
+        let _lock = host.watch_state.lock_kind(kind).await;
+        let client = &mut Client::new(host);
+        if is_behind() && catch_up(host, client, kind).await? == WatchResult::Applied {
+            // The watch missed these changes; its connection may be dead.
+            host.watch_state.renew(kind);
+        }
+        if is_behind() {
+            // The store acknowledged changes that it does not report to watches.
+            sync::list(host, client, kind, Age::Latest).await?;
+        }
+    }
+    mark_current(host, kind, asked_at);
+    Ok(())
+}
+
+/// Records that the copy of a kind lacks nothing that was acknowledged before `asked_at`.
+fn mark_current(host: &Host, kind: Kind, asked_at: Moment) {
+    host.watch_state.mark_current(kind, asked_at.steady());
+    host.core
+        .borrow_mut()
+        .confirmed_at
+        .insert(kind, asked_at.steady());
+    if kind == Kind::Config && !host.watch_state.is_config_unreadable.get() {
+        proof::note_query(host, asked_at);
+    }
+}
+
+/// Queries the changes of a kind, or all objects if the changes are not available.
+pub(super) async fn catch_up(
+    host: &Rc<Host>,
+    client: &mut Client,
+    kind: Kind,
+) -> Result<WatchResult, Error> {
+    let known = host.core.borrow().replica.revision(kind);
+    if let Some(revision) = known {
+        let changes = sync::watch_once(host, client, kind, revision, Duration::ZERO).await?;
+        if changes != WatchResult::Unavailable {
+            return Ok(changes);
+        }
+    }
+    sync::list(host, client, kind, Age::Latest).await?;
+    Ok(WatchResult::Applied)
+}
+
+/// Polls the store indefinitely, on a host that watches it. Starts at once, unless a probe of the
+/// store has just succeeded.
+pub(super) async fn run(host: Rc<Host>) {
+    let mut refresher = Refresher::new(&host);
+    if host.watch_state.is_answering.get() {
+        tokio::time::sleep(INTERVAL).await;
+    }
+    for number in (0..REFRESH_EVERY).cycle() {
+        // After an outage the store may have changed.
+        let is_refresh = number == 0 || !host.watch_state.is_answering.get();
+        let result = if is_refresh {
+            refresher.refresh().await
+        } else {
+            refresher.ping().await
+        };
+        note_result(&host, result).await;
+        tokio::time::sleep(INTERVAL).await;
+    }
+}
+
+/// Records whether the store responded to all queries.
+pub(super) async fn note_result(host: &Rc<Host>, result: Result<(), Error>) {
+    let answers = result.is_ok();
+    if !answers {
+        host.watch_state.clear_evidence();
+    }
+    if host.watch_state.is_answering.replace(answers) != answers {
+        let error = result.err().map(|error| error.to_string());
+        spdlog::info!("refresh: the reachability of the store has changed", kv: {
+            event = Event::StoreReachability.as_str(),
+            answers,
+            error = error.as_deref().unwrap_or_default()
+        });
+        if answers {
+            // Watches that were waiting when the store stopped responding may never be answered.
+            host.watch_state.renew_all();
+        }
+    }
+    sync::update_sight(host).await;
+}
