--- a/src/control/agent.rs
+++ b/src/control/agent.rs
@@ -20,8 +20,8 @@
 use super::summary::{self, Load, Message, Sample, Sender, Table, Taken};
 use super::wire::{Ask, Frame};
 use crate::catalog::{Catalog, HostKey, RegionKey, ServiceKey, ZoneKey};
-use crate::steer::quarantine::Note;
-use crate::steer::throttle::News;
+use crate::steer::quarantine::Notice;
+use crate::steer::throttle::RateUpdate;
 
 /// Time between looks at who fell silent.
 const LOOK: Duration = Duration::from_millis(100);
@@ -54,9 +54,9 @@
     /// Another plan is in force.
     Planned,
     /// A host told of requests that crash targets.
-    Notes(HostKey, Vec<Note>),
+    Notes(HostKey, Vec<Notice>),
     /// A host told of targets that name the rate that they take.
-    Rates(HostKey, Vec<News>),
+    Rates(HostKey, Vec<RateUpdate>),
 }
 
 /// When regular work is due next.
--- a/src/control/wire.rs
+++ b/src/control/wire.rs
@@ -8,8 +8,8 @@
 use super::membership::{Beat, Roster};
 use super::plan::{Record, Stamp};
 use super::summary::Message;
-use crate::steer::quarantine::Note;
-use crate::steer::throttle::News;
+use crate::steer::quarantine::Notice;
+use crate::steer::throttle::RateUpdate;
 
 /// One control message. The root, where there is one, is the host from which it spreads over a zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -32,10 +32,10 @@
     Ask(Ask),
     /// Of requests that crash targets. Who learns something new from it passes it on.
     #[serde(rename = "n")]
-    Notes(Vec<Note>),
+    Notes(Vec<Notice>),
     /// Of targets that name the rate that they take. Who learns something new from it passes it on.
     #[serde(rename = "r")]
-    Rates(Vec<News>),
+    Rates(Vec<RateUpdate>),
 }
 
 /// What is to be sent in full.
--- a/src/entry/body.rs
+++ b/src/entry/body.rs
@@ -3,7 +3,7 @@
 use std::io::{self, Cursor, Read};
 use std::sync::Arc;
 
-use crate::steer::fingerprint::PREFIX;
+use crate::steer::fingerprint::HASHED_BODY_BYTES;
 
 /// A request's body.
 pub(crate) enum Body {
@@ -54,7 +54,7 @@
         if length.is_some_and(|length| length > most) {
             return Err(Error::Oversize(most));
         }
-        let counted = hold.min(PREFIX as u64);
+        let counted = hold.min(HASHED_BODY_BYTES as u64);
         let mut part = Part {
             held: Vec::new(),
             counted: counted as usize,
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -21,7 +21,7 @@
 use crate::peer::frame::{Fetch, Message, Split as Share, Splits};
 use crate::peer::mesh::{Event, Mesh};
 use crate::steer::goal::{Standing, View};
-use crate::steer::quarantine::Note;
+use crate::steer::quarantine::Notice;
 use crate::steer::split::Split;
 use crate::steer::throttle;
 use crate::store::client::{Host, HostState};
@@ -45,9 +45,9 @@
     /// The splits of another host.
     pub(crate) splits: Option<Shares>,
     /// What hosts told of requests that crash targets.
-    pub(crate) notes: Vec<(HostKey, Note)>,
+    pub(crate) notes: Vec<(HostKey, Notice)>,
     /// What hosts told of targets that name the rate that they take.
-    pub(crate) rates: Vec<(HostKey, throttle::News)>,
+    pub(crate) rates: Vec<(HostKey, throttle::RateUpdate)>,
 }
 
 /// The links and the agent of one host.
@@ -321,8 +321,8 @@
     pub(crate) fn introduce(
         &self,
         hosts: &[HostKey],
-        notes: Vec<Note>,
-        rates: Vec<throttle::News>,
+        notes: Vec<Notice>,
+        rates: Vec<throttle::RateUpdate>,
     ) {
         if hosts.is_empty() {
             return;
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -36,8 +36,8 @@
 use crate::steer::fingerprint::Fingerprint;
 use crate::steer::group;
 use crate::steer::pass::{Back, Pass};
-use crate::steer::quarantine::Note;
-use crate::steer::throttle::{News, Rate};
+use crate::steer::quarantine::Notice;
+use crate::steer::throttle::{Rate, RateUpdate};
 use crate::steer::ticket::{Generation, Rotation};
 use crate::store::client::Host;
 
@@ -404,7 +404,7 @@
     }
 
     /// Takes in what other hosts know of targets' rates, and passes on what is new.
-    fn hear_rates(&mut self, now: Instant, rates: Vec<(HostKey, News)>) {
+    fn hear_rates(&mut self, now: Instant, rates: Vec<(HostKey, RateUpdate)>) {
         for (teller, news) in rates {
             if self.engine.hear_rate(now, &news) {
                 self.control.tell(Frame::Rates(vec![news]), Some(teller));
@@ -419,7 +419,7 @@
     }
 
     /// Takes in what other hosts tell of requests that crash targets, and passes on what is new.
-    fn hear_notes(&mut self, now: Instant, notes: Vec<(HostKey, Note)>) {
+    fn hear_notes(&mut self, now: Instant, notes: Vec<(HostKey, Notice)>) {
         for (teller, note) in notes {
             if self.engine.hear(now, &note) {
                 log_note(&note);
@@ -564,11 +564,11 @@
     }
 }
 
-fn log_note(note: &Note) {
+fn log_note(note: &Notice) {
     let fingerprint = note.fingerprint();
     match note {
-        Note::Broke(_) => {}
-        Note::Standing(standing) => match standing.refused {
+        Notice::Broken(_) => {}
+        Notice::Status(standing) => match standing.refused {
             None => spdlog::info!("core: requests {fingerprint} broke off at two targets and are sent one at a time"),
             Some(term) => spdlog::warn!(
                 "core: requests {fingerprint} crash the targets that run them and are refused; tried again in {} ms, {} trials in vain",
@@ -576,6 +576,6 @@
                 term.failures
             ),
         },
-        Note::Cleared(_) => spdlog::info!("core: a request {fingerprint} was answered; nothing is held against it"),
+        Notice::Cleared(_) => spdlog::info!("core: a request {fingerprint} was answered; nothing is held against it"),
     }
 }
--- a/src/host/admission.rs
+++ b/src/host/admission.rs
@@ -27,7 +27,7 @@
     pub(crate) fn give_back(&self, host: &Host) {
         let core = &mut *host.core.borrow_mut();
         if let (Some(ledger), Some(account)) = (&mut core.ledger, self.caller.account()) {
-            ledger.give_back(account);
+            ledger.refund(account);
         }
     }
 }
@@ -98,10 +98,10 @@
     let homes = account::homes(&route.homes, &account.homes)
         .map_err(|_| Refused::NoHome(account.name.clone()))?;
     if let Some(ledger) = &mut core.ledger {
-        if let Err(refusal) = ledger.take(now(), account) {
+        if let Err(refusal) = ledger.admit(now(), account) {
             // Not all at once: they would find room for as many as before.
             let part = core.rng.random_range(1.0..2.0);
-            let (left, rate) = ledger.left(account).unwrap_or_default();
+            let (left, rate) = ledger.remaining(account).unwrap_or_default();
             return Err(Refused::OverQuota {
                 account: account.name.clone(),
                 left,
--- a/src/host/beat.rs
+++ b/src/host/beat.rs
@@ -10,9 +10,9 @@
 use tokio::net::UdpSocket;
 
 use crate::control::presence::{Beat, Pulse, Sight, INTERVAL};
-use crate::steer::allowance::{Tally, Teller};
-use crate::steer::quarantine::Note;
-use crate::steer::throttle::{Claim, Grant, News};
+use crate::steer::allowance::{AccountUsage, Reporter};
+use crate::steer::quarantine::Notice;
+use crate::steer::throttle::{Claim, Grant, RateUpdate};
 
 use super::{now, quarantine, throttle, Error, Host};
 
@@ -48,10 +48,10 @@
     Tallies(Tallies),
     /// Of requests that crash targets.
     #[serde(rename = "n")]
-    Notes(Vec<Note>),
+    Notes(Vec<Notice>),
     /// Of targets that name the rate that they take.
     #[serde(rename = "r")]
-    Rates(Vec<News>),
+    Rates(Vec<RateUpdate>),
     /// The sender asks for leave to send to such a target.
     #[serde(rename = "l")]
     Claim(Claim),
@@ -69,7 +69,7 @@
     u64,
     /// Whether it tells all regions now.
     bool,
-    Vec<Tally>,
+    Vec<AccountUsage>,
 );
 
 /// Sends and takes heartbeats from now on.
@@ -129,8 +129,8 @@
             };
             (
                 ledger.age(now()),
-                ledger.interval(now()),
-                ledger.news(now()),
+                ledger.report_interval(now()),
+                ledger.next_reports(now()),
             )
         };
         let to_all = far.is_some();
@@ -143,7 +143,7 @@
 }
 
 /// Tells the hosts of the own region, or all others. What was asked of no account is told too: it shows that the host is there.
-async fn tell(host: &Host, age: Duration, to_all: bool, tallies: &[Tally], near: bool) {
+async fn tell(host: &Host, age: Duration, to_all: bool, tallies: &[AccountUsage], near: bool) {
     let (peers, incarnation) = {
         let core = host.core.borrow();
         let presence = &core.presence;
@@ -168,14 +168,14 @@
     let (Some(ledger), Some(peer)) = (&mut core.ledger, core.presence.at(sender)) else {
         return;
     };
-    let teller = Teller {
+    let teller = Reporter {
         host: &peer.host,
         region: core.presence.region(peer),
         incarnation: *incarnation,
         age: Duration::from_millis(*age_ms),
-        to_all: *to_all,
+        to_all_regions: *to_all,
     };
-    ledger.hear(now(), teller, tallies);
+    ledger.merge_report(now(), teller, tallies);
 }
 
 /// Introduces this host to all others.
@@ -199,14 +199,14 @@
 }
 
 /// Tells other hosts how requests stand that crash targets.
-pub(crate) async fn send_notes(host: &Host, notes: &[Note], peers: &[SocketAddr]) {
+pub(crate) async fn send_notes(host: &Host, notes: &[Notice], peers: &[SocketAddr]) {
     for part in notes.chunks(NOTES) {
         send(host, &Datagram::Notes(part.to_vec()), peers).await;
     }
 }
 
 /// Tells other hosts of targets that name the rate that they take.
-pub(crate) async fn send_rates(host: &Host, news: &[News], peers: &[SocketAddr]) {
+pub(crate) async fn send_rates(host: &Host, news: &[RateUpdate], peers: &[SocketAddr]) {
     send(host, &Datagram::Rates(news.to_vec()), peers).await;
 }
 
--- a/src/host/body.rs
+++ b/src/host/body.rs
@@ -7,7 +7,7 @@
 use http_body_util::{BodyExt, Full, StreamBody};
 use hyper::body::{Body as _, Frame, Incoming, SizeHint};
 
-use crate::steer::fingerprint::PREFIX;
+use crate::steer::fingerprint::HASHED_BODY_BYTES;
 
 /// Bodies up to this many bytes are kept whole, so that a request can be sent again and a
 /// broken answer is noticed before its first byte is passed on.
@@ -62,7 +62,7 @@
     pub(crate) fn content(&self) -> &[u8] {
         match self {
             Self::Whole(bytes) => bytes,
-            Self::Start(start, _) => &start[..PREFIX.min(start.len())],
+            Self::Start(start, _) => &start[..HASHED_BODY_BYTES.min(start.len())],
         }
     }
 }
@@ -113,7 +113,7 @@
         return Err(Broken::Length(most));
     }
     let enough = if announced > WHOLE as u64 {
-        PREFIX
+        HASHED_BODY_BYTES
     } else {
         WHOLE
     };
--- a/src/host/exchange.rs
+++ b/src/host/exchange.rs
@@ -283,7 +283,12 @@
 /// only what is used is taken.
 fn exhausted(host: &Host, exchange: &Exchange, ask: &Ask<'_>, sent: usize) -> Option<Stop> {
     let left = exchange.deadline.saturating_duration_since(now());
-    if !host.core.borrow().quarantine.is_free(exchange.fingerprint) {
+    if !host
+        .core
+        .borrow()
+        .quarantine
+        .may_retry(exchange.fingerprint)
+    {
         // One more target would crash.
         Some(Stop::Suspected)
     } else if sent >= exchange.route.attempts as usize {
--- a/src/host/log.rs
+++ b/src/host/log.rs
@@ -17,7 +17,7 @@
 use crate::inventory::TargetKey;
 use crate::port::Kind;
 use crate::steer::fleet::Turn;
-use crate::steer::quarantine::Note;
+use crate::steer::quarantine::Notice;
 
 /// Lines that may wait to be written: some seconds of the limits below.
 const QUEUE: NonZeroUsize = NonZeroUsize::MIN.saturating_add(511);
@@ -250,15 +250,15 @@
 }
 
 /// How a request stands has changed, or this host tries it again.
-pub(crate) fn standing(note: &Note) {
+pub(crate) fn standing(note: &Notice) {
     let event = match note {
-        Note::Broke(_) => return,
-        Note::Standing(standing) if standing.refused.is_none() => Event::Suspected,
-        Note::Standing(_) => Event::Quarantined,
-        Note::Cleared(_) => Event::Cleared,
+        Notice::Broken(_) => return,
+        Notice::Status(standing) if standing.refused.is_none() => Event::Suspected,
+        Notice::Status(_) => Event::Quarantined,
+        Notice::Cleared(_) => Event::Cleared,
     };
     let (targets, term) = match note {
-        Note::Standing(standing) => (standing.targets.len(), standing.refused),
+        Notice::Status(standing) => (standing.targets.len(), standing.refused),
         _ => (0, None),
     };
     spdlog::info!("a request's crashes of targets", kv: {
--- a/src/host/probe.rs
+++ b/src/host/probe.rs
@@ -16,7 +16,7 @@
 
 use super::{beat, body, client, exchange, log, now, throttle, Host};
 use crate::inventory::TargetKey;
-use crate::steer::throttle::Fit;
+use crate::steer::throttle::Assignment;
 
 /// Time between two questions of one host to a target, of which several hosts ask each: what it gets meanwhile
 /// and what is on its way has to stay below what a cold target bears in a second, also when one of the hosts has ended.
@@ -64,7 +64,7 @@
 
 async fn ask(host: Rc<Host>, question: Question) {
     // A question is one more request.
-    if !throttle::permit(&host, question.target, Fit::Own).await {
+    if !throttle::permit(&host, question.target, Assignment::Primary).await {
         return;
     }
     let answer = tokio::time::timeout(PATIENCE, question_target(&host, &question)).await;
--- a/src/host/quarantine.rs
+++ b/src/host/quarantine.rs
@@ -8,7 +8,7 @@
 use super::{beat, log, now, Host};
 use crate::steer::fingerprint::Fingerprint;
 use crate::steer::fleet::End;
-use crate::steer::quarantine::{News, Note, Verdict, UNSURE};
+use crate::steer::quarantine::{Notice, OutgoingNotices, Verdict, MAX_VERDICT_WAIT};
 
 /// Time between two looks of a request that waits for that.
 const LOOK: Duration = Duration::from_millis(20);
@@ -22,7 +22,7 @@
 impl Drop for Leave<'_> {
     fn drop(&mut self) {
         let core = &mut *self.host.core.borrow_mut();
-        core.quarantine.done(self.fingerprint);
+        core.quarantine.finish(self.fingerprint);
     }
 }
 
@@ -32,15 +32,15 @@
     exchange: &Exchange,
 ) -> Result<Option<Leave<'a>>, Duration> {
     let fingerprint = exchange.fingerprint;
-    let until = (now() + UNSURE).min(exchange.deadline);
+    let until = (now() + MAX_VERDICT_WAIT).min(exchange.deadline);
     loop {
-        let (verdict, told) = host.core.borrow_mut().quarantine.ask(now(), fingerprint);
+        let (verdict, told) = host.core.borrow_mut().quarantine.check(now(), fingerprint);
         if let Some(note) = told {
             tell_all(host, note);
         }
         match verdict {
-            Verdict::Free => return Ok(None),
-            Verdict::Alone => return Ok(Some(Leave { host, fingerprint })),
+            Verdict::Allowed => return Ok(None),
+            Verdict::Isolated => return Ok(Some(Leave { host, fingerprint })),
             Verdict::Wait if now() >= until => return Ok(None),
             Verdict::Wait => tokio::time::sleep(LOOK).await,
             Verdict::Refused(pause) => return Err(pause),
@@ -54,34 +54,34 @@
     let news = {
         let quarantine = &mut host.core.borrow_mut().quarantine;
         match grant.end {
-            End::Answered => News {
-                all: quarantine.answered(now(), fingerprint),
-                ..News::default()
+            End::Answered => OutgoingNotices {
+                to_all: quarantine.record_answer(now(), fingerprint),
+                ..OutgoingNotices::default()
             },
-            End::Broken => quarantine.broke(now(), fingerprint, grant.digest, grant.begun),
+            End::Broken => quarantine.record_break(now(), fingerprint, grant.digest, grant.begun),
             _ => return,
         }
     };
-    if let Some(note) = news.counters {
+    if let Some(note) = news.to_counters {
         let counters = {
             let core = host.core.borrow();
             core.presence.counters(now(), fingerprint.0)
         };
         send(host, note, counters);
     }
-    if let Some(note) = news.all {
+    if let Some(note) = news.to_all {
         tell_all(host, note);
     }
 }
 
 /// Takes in what another host tells.
-pub(crate) fn hear(host: &Rc<Host>, notes: &[Note]) {
+pub(crate) fn hear(host: &Rc<Host>, notes: &[Notice]) {
     for note in notes {
-        let heard = host.core.borrow_mut().quarantine.hear(now(), note);
+        let heard = host.core.borrow_mut().quarantine.merge(now(), note);
         if heard.is_new {
             log::standing(note);
         }
-        if let Some(note) = heard.all {
+        if let Some(note) = heard.to_all {
             tell_all(host, note);
         }
     }
@@ -89,20 +89,20 @@
 
 /// Tells a host which requests are suspected or refused.
 pub(crate) async fn tell_standings(host: &Host, peers: &[SocketAddr]) {
-    let notes: Vec<Note> = {
+    let notes: Vec<Notice> = {
         let core = host.core.borrow();
-        core.quarantine.standings(now()).collect()
+        core.quarantine.statuses(now()).collect()
     };
     beat::send_notes(host, &notes, peers).await;
 }
 
-fn tell_all(host: &Rc<Host>, note: Note) {
+fn tell_all(host: &Rc<Host>, note: Notice) {
     log::standing(&note);
     let peers = beat::all(host);
     send(host, note, peers);
 }
 
-fn send(host: &Rc<Host>, note: Note, peers: Vec<SocketAddr>) {
+fn send(host: &Rc<Host>, note: Notice, peers: Vec<SocketAddr>) {
     let host = host.clone();
     tokio::task::spawn_local(async move {
         beat::send_notes(&host, &[note], &peers).await;
--- a/src/host/throttle.rs
+++ b/src/host/throttle.rs
@@ -15,7 +15,7 @@
 use crate::inventory::TargetKey;
 use crate::port::Answer;
 use crate::steer::fleet::Leave;
-use crate::steer::throttle::{Claim, Fit, Grant, News, Rate};
+use crate::steer::throttle::{Assignment, Claim, Grant, Rate, RateUpdate};
 
 /// How long a keeper of the own region may take to answer: some round trips between zones, and a busy processor.
 const NEAR: Duration = Duration::from_millis(60);
@@ -31,7 +31,7 @@
 }
 
 /// Whether a request may be sent to a target now; asks one of the target's keepers if need be.
-pub(crate) async fn permit(host: &Host, target: TargetKey, fit: Fit) -> bool {
+pub(crate) async fn permit(host: &Host, target: TargetKey, fit: Assignment) -> bool {
     let leave = {
         let core = &mut *host.core.borrow_mut();
         core.fleet.leave(now(), (target, fit), &mut core.rng)
@@ -47,7 +47,7 @@
 }
 
 /// Whether a request may be sent to a target without asking anybody.
-pub(crate) fn has_leave(host: &Host, target: TargetKey, fit: Fit) -> bool {
+pub(crate) fn has_leave(host: &Host, target: TargetKey, fit: Assignment) -> bool {
     let core = &mut *host.core.borrow_mut();
     let leave = core.fleet.leave(now(), (target, fit), &mut core.rng);
     leave == Leave::Given
@@ -132,7 +132,7 @@
 }
 
 /// Takes in what another host knows.
-pub(crate) fn hear(host: &Host, news: &[News]) {
+pub(crate) fn hear(host: &Host, news: &[RateUpdate]) {
     let fleet = &mut host.core.borrow_mut().fleet;
     for news in news {
         if let Some(target) = fleet.hear(now(), news) {
@@ -143,7 +143,7 @@
 
 /// Tells hosts which targets name rates.
 pub(crate) async fn tell(host: &Host, peers: &[SocketAddr]) {
-    let news: Vec<News> = {
+    let news: Vec<RateUpdate> = {
         let core = &mut *host.core.borrow_mut();
         core.fleet.expire_rates(now());
         let all = core.fleet.news(now());
--- a/src/steer/engine.rs
+++ b/src/steer/engine.rs
@@ -20,7 +20,7 @@
 use super::hedge;
 use super::lookup::Snapshot;
 use super::pass::{Back, Pass, Quotas};
-use super::quarantine::{Note, Quarantine, UNSURE};
+use super::quarantine::{Notice, Quarantine, MAX_VERDICT_WAIT};
 use super::shift::{self, Caps, Kind as Kindred, Shift};
 use super::split::Split;
 use super::tally::Tally;
@@ -165,7 +165,7 @@
     /// Suspected requests that have leave to be sent.
     leaves: BTreeMap<Id, Fingerprint>,
     /// What other hosts are to be told of requests that crash targets.
-    notes: Vec<Note>,
+    notes: Vec<Notice>,
     /// This host, as the configuration names it.
     host: Arc<str>,
     /// The rates that targets of this zone name.
@@ -457,12 +457,12 @@
         }
         if ask.kind != Kind::First {
             // A repeat of a request that crashes targets would crash one more.
-            return match self.quarantine.is_free(ask.fingerprint) {
+            return match self.quarantine.may_retry(ask.fingerprint) {
                 true => self.place(now, ask, rng),
                 false => Some(Verdict::refused(Reason::Quarantined)),
             };
         }
-        self.permit(now, now + UNSURE, ask, rng)
+        self.permit(now, now + MAX_VERDICT_WAIT, ask, rng)
     }
 
     fn place(&mut self, now: Instant, ask: Ask, rng: &mut impl Rng) -> Option<Verdict> {
--- a/src/steer/engine/permit.rs
+++ b/src/steer/engine/permit.rs
@@ -8,7 +8,7 @@
 use crate::catalog::TargetKey;
 use crate::steer::attempt::Reason;
 use crate::steer::fingerprint::Fingerprint;
-use crate::steer::quarantine::{Heard, News, Note, Verdict as Leave};
+use crate::steer::quarantine::{MergeResult, Notice, OutgoingNotices, Verdict as Leave};
 
 impl Engine {
     /// Sends a first try on its way if it may be sent, as far as it is suspected to crash targets. What is not known at
@@ -20,7 +20,7 @@
         ask: Ask,
         rng: &mut impl Rng,
     ) -> Option<Verdict> {
-        let (leave, told) = self.quarantine.ask(now, ask.fingerprint);
+        let (leave, told) = self.quarantine.check(now, ask.fingerprint);
         self.notes.extend(told);
         match leave {
             Leave::Refused(retry_after) => Some(Verdict::Refused(Refusal {
@@ -31,8 +31,8 @@
                 self.unsure.push((until, ask));
                 None
             }
-            Leave::Alone => self.place_alone(now, ask, rng),
-            Leave::Wait | Leave::Free => self.place(now, ask, rng),
+            Leave::Isolated => self.place_alone(now, ask, rng),
+            Leave::Wait | Leave::Allowed => self.place(now, ask, rng),
         }
     }
 
@@ -45,7 +45,7 @@
             None | Some(Verdict::Target { .. }) => {
                 self.leaves.insert(id, fingerprint);
             }
-            Some(Verdict::Host(_) | Verdict::Refused(_)) => self.quarantine.done(fingerprint),
+            Some(Verdict::Host(_) | Verdict::Refused(_)) => self.quarantine.finish(fingerprint),
         }
         verdict
     }
@@ -53,7 +53,7 @@
     /// A request's tries at targets of this zone have ended, or it was refused.
     pub fn done(&mut self, id: Id) {
         if let Some(fingerprint) = self.leaves.remove(&id) {
-            self.quarantine.done(fingerprint);
+            self.quarantine.finish(fingerprint);
         }
     }
 
@@ -66,30 +66,38 @@
         begun: Instant,
     ) {
         let digest = self.digest(target);
-        let News { counters, all } = self.quarantine.broke(now, fingerprint, digest, begun);
+        let OutgoingNotices {
+            to_counters: counters,
+            to_all: all,
+        } = self
+            .quarantine
+            .record_break(now, fingerprint, digest, begun);
         self.notes.extend(counters.into_iter().chain(all));
     }
 
     /// A target has answered a request.
     pub fn answered(&mut self, now: Instant, fingerprint: Fingerprint) {
-        let told = self.quarantine.answered(now, fingerprint);
+        let told = self.quarantine.record_answer(now, fingerprint);
         self.notes.extend(told);
     }
 
     /// Takes in what another host tells of requests that crash targets; says whether that is new here.
-    pub fn hear(&mut self, now: Instant, note: &Note) -> bool {
-        let Heard { is_new, all } = self.quarantine.hear(now, note);
+    pub fn hear(&mut self, now: Instant, note: &Notice) -> bool {
+        let MergeResult {
+            is_new,
+            to_all: all,
+        } = self.quarantine.merge(now, note);
         self.notes.extend(all);
         is_new
     }
 
     /// Takes what other hosts are to be told of requests that crash targets.
-    pub fn notes(&mut self) -> Vec<Note> {
+    pub fn notes(&mut self) -> Vec<Notice> {
         std::mem::take(&mut self.notes)
     }
 
     /// How all suspected and refused requests stand, for a host that may not know of them.
-    pub fn standings(&self, now: Instant) -> Vec<Note> {
-        self.quarantine.standings(now).collect()
+    pub fn standings(&self, now: Instant) -> Vec<Notice> {
+        self.quarantine.statuses(now).collect()
     }
 }
--- a/src/steer/engine/rate.rs
+++ b/src/steer/engine/rate.rs
@@ -10,7 +10,7 @@
 
 use super::Engine;
 use crate::catalog::{State, TargetKey};
-use crate::steer::throttle::News;
+use crate::steer::throttle::RateUpdate;
 
 impl Engine {
     /// Takes in what a target's answer to a request said that was sent at `at`. Gives what the other hosts are to be told.
@@ -20,10 +20,10 @@
         target: TargetKey,
         at: Instant,
         rate: Option<f64>,
-    ) -> Option<News> {
+    ) -> Option<RateUpdate> {
         let digest = self.digest(target);
         let before = self.throttle.rate(digest);
-        let news = self.throttle.state(now, digest, at, rate);
+        let news = self.throttle.observe(now, digest, at, rate);
         if self.throttle.rate(digest) != before {
             self.share_rates(now);
         }
@@ -31,8 +31,8 @@
     }
 
     /// Takes in what another host knows of a target's rate; says whether the target begins or ends to name one by that.
-    pub fn hear_rate(&mut self, now: Instant, news: &News) -> bool {
-        let is_news = self.throttle.hear(now, news);
+    pub fn hear_rate(&mut self, now: Instant, news: &RateUpdate) -> bool {
+        let is_news = self.throttle.merge_update(now, news);
         if is_news {
             self.share_rates(now);
         }
@@ -52,8 +52,8 @@
     }
 
     /// What is known of the rates that targets name, for a host that may not know of them.
-    pub fn rates(&self, now: Instant) -> Vec<News> {
-        self.throttle.news(now).collect()
+    pub fn rates(&self, now: Instant) -> Vec<RateUpdate> {
+        self.throttle.updates(now).collect()
     }
 
     /// Forgets rates that are of no more use.
@@ -83,7 +83,7 @@
             for &target in targets.into_iter().flatten() {
                 let digest = xxh3_64(self.catalog.target(target).name.as_bytes());
                 let share = self.throttle.rate(digest).map(|rate| {
-                    let keepers = self.throttle.keepers(digest, hosts.len());
+                    let keepers = self.throttle.allocator_count(digest, hosts.len());
                     let rank = |host: &u64| xxh3_64_with_seed(&host.to_le_bytes(), digest);
                     let before = hosts.iter().filter(|host| rank(host) > rank(&own));
                     let is_keeper = before.take(keepers).count() < keepers;
--- a/src/steer/fingerprint.rs
+++ b/src/steer/fingerprint.rs
@@ -1,31 +1,33 @@
-//! What stays the same of a request when it comes again, at whichever host.
+//! Fingerprints of requests, by which hosts recognize a request that is sent again.
 
 use std::fmt::{self, Display, Formatter};
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::Xxh3;
 
-/// The bytes of a body that count where it is passed on before it has been read whole.
-pub const PREFIX: usize = 64 << 10;
+/// Bytes of the body that are hashed where it is forwarded before it has been read whole.
+pub const HASHED_BODY_BYTES: usize = 64 << 10;
 
-/// A digest of what a target gets of a request. Nothing of the request can be read from it.
+/// Digest of the parts of a request that its target receives. The request can't be recovered from
+/// it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint(pub u64);
 
-/// What a fingerprint is taken of. What changes with each attempt, as its identity and its deadline, is left out.
+/// The parts of a request that are hashed. Parts that change with each attempt, such as its
+/// identity and its deadline, are left out.
 #[derive(Clone, Copy, Debug)]
 pub struct Content<'a> {
     /// The method.
     pub method: &'a str,
-    /// The name of the site that is asked.
+    /// Host name of the requested site.
     pub site: &'a str,
     /// Path and query.
     pub path: &'a str,
-    /// The client account whose request it is.
+    /// Client account that sent the request.
     pub account: &'a str,
-    /// The object that it concerns.
+    /// Object that the request concerns.
     pub object: &'a str,
-    /// The body, or the first [`PREFIX`] bytes of a longer one.
+    /// The body, or the first [`HASHED_BODY_BYTES`] bytes of a longer one.
     pub body: &'a [u8],
 }
 
@@ -42,7 +44,7 @@
             content.body,
         ];
         for part in parts {
-            // With its length, so that no byte can pass from one part to the next.
+            // The length prefix keeps adjacent parts apart.
             hash.update(&part.len().to_le_bytes());
             hash.update(part);
         }
--- a/src/steer/fleet.rs
+++ b/src/steer/fleet.rs
@@ -35,7 +35,7 @@
 use self::warmth::Warmth;
 use super::drift::Drift;
 use super::eject::{Eject, Sign, Standing};
-use super::throttle::{Fit, Throttle};
+use super::throttle::{Assignment, Throttle};
 use crate::border::settings::Switch;
 use crate::inventory::{Keys, Registration, State, TargetKey};
 
@@ -407,7 +407,7 @@
         now: Instant,
         ask: &Ask<'_>,
         connected: impl Fn(TargetKey) -> bool,
-    ) -> Result<(TargetKey, Fit), Refusal> {
+    ) -> Result<(TargetKey, Assignment), Refusal> {
         self.asked += 1;
         self.pick(now, ask, connected)
     }
--- a/src/steer/fleet/choice.rs
+++ b/src/steer/fleet/choice.rs
@@ -15,7 +15,7 @@
 use crate::border::settings::Switch;
 use crate::inventory::{State, TargetKey};
 use crate::steer::drift::Drift;
-use crate::steer::throttle::Fit;
+use crate::steer::throttle::Assignment;
 
 /// The part of its missing slots for which a region sends requests elsewhere from the start. Not
 /// all: regions need not have the same load, and what turns out to be too much comes back. With
@@ -103,7 +103,7 @@
         now: Instant,
         ask: &Ask<'_>,
         connected: impl Fn(TargetKey) -> bool,
-    ) -> Result<(TargetKey, Fit), Refusal> {
+    ) -> Result<(TargetKey, Assignment), Refusal> {
         self.rank(ask);
         self.count_open(now, ask);
         let choices = self.first_choices(now, ask);
@@ -128,7 +128,14 @@
             .min_by(|(one, _), (other, _)| one.total_cmp(other))
             .map(|(_, key)| {
                 let is_spill = spills.contains(&key);
-                (key, if is_spill { Fit::Spill } else { Fit::Own })
+                (
+                    key,
+                    if is_spill {
+                        Assignment::Overflow
+                    } else {
+                        Assignment::Primary
+                    },
+                )
             })
             .ok_or(Refusal::Full)
     }
@@ -214,7 +221,7 @@
                     let most = f64::from(member.registration.slots) * AT_EASE;
                     member.load(now) < most
                         && self.is_open(now, member, ask.homes)
-                        && self.closed_for(now, member, Fit::Own).is_none()
+                        && self.closed_for(now, member, Assignment::Primary).is_none()
                         && doubts.is_sound(now, member)
                 })
             })
@@ -394,7 +401,7 @@
             limited,
         } = ranked;
         let (_, first, is_limited) = first?;
-        if !is_limited || self.is_open_for(now, first, Fit::Own, choices) {
+        if !is_limited || self.is_open_for(now, first, Assignment::Primary, choices) {
             return Some(first);
         }
         if let Some((_, free)) = free {
@@ -406,13 +413,19 @@
             .into_iter()
             .map(|(_, key)| key)
             .filter(|key| *key != first)
-            .find(|key| self.is_open_for(now, *key, Fit::Spill, choices));
+            .find(|key| self.is_open_for(now, *key, Assignment::Overflow, choices));
         choices.spills.extend(spill);
         spill
     }
 
     /// Whether a target takes a request just now; notes when it will if not.
-    fn is_open_for(&self, now: Instant, key: TargetKey, fit: Fit, choices: &mut Choices) -> bool {
+    fn is_open_for(
+        &self,
+        now: Instant,
+        key: TargetKey,
+        fit: Assignment,
+        choices: &mut Choices,
+    ) -> bool {
         let member = self.members.get(&key);
         let closed = member.and_then(|member| self.closed_for(now, member, fit));
         if closed.is_some() {
--- a/src/steer/fleet/throttled.rs
+++ b/src/steer/fleet/throttled.rs
@@ -11,7 +11,7 @@
 use super::member::Member;
 use super::Fleet;
 use crate::inventory::TargetKey;
-use crate::steer::throttle::{Claim, Fit, Grant, News};
+use crate::steer::throttle::{Assignment, Claim, Grant, RateUpdate};
 
 /// Whether a request may be sent to a target that was chosen for it.
 #[derive(Clone, Debug, PartialEq)]
@@ -29,14 +29,14 @@
     pub fn leave(
         &mut self,
         now: Instant,
-        (key, fit): (TargetKey, Fit),
+        (key, fit): (TargetKey, Assignment),
         rng: &mut impl Rng,
     ) -> Leave {
         let Some(member) = self.members.get(&key) else {
             return Leave::Refused;
         };
         let target = member.digest();
-        let Some(news) = self.throttle.known(now, target) else {
+        let Some(news) = self.throttle.current_update(now, target) else {
             return Leave::Given;
         };
         if news.1.is_none() || self.throttle.spend(now, target) {
@@ -47,7 +47,7 @@
         let claim = Claim(self.claims, news, fit);
         if keepers.iter().any(|keeper| keeper.seed == self.own.seed) {
             let grant = self.throttle.grant(now, &claim, true, self.hosts.len());
-            self.throttle.granted(now, self.own.seed, &grant);
+            self.throttle.record_grant(now, self.own.seed, &grant);
             if self.throttle.spend(now, target) {
                 return Leave::Given;
             }
@@ -75,9 +75,9 @@
     /// Answers a claim of another host. One that this host takes for none of its own is refused: its keepers are others.
     pub fn grant(&mut self, now: Instant, claim: &Claim) -> Grant {
         let target = claim.1 .0;
-        self.throttle.hear(now, &claim.1);
+        self.throttle.merge_update(now, &claim.1);
         let hosts = self.hosts.len();
-        let keepers = self.throttle.keepers(target, hosts);
+        let keepers = self.throttle.allocator_count(target, hosts);
         let known = self.members.values().find(|one| one.digest() == target);
         let is_keeper = known.is_some_and(|member| self.is_among(keepers, member));
         self.throttle.grant(now, claim, is_keeper, hosts)
@@ -86,13 +86,13 @@
     /// Takes in the answer of the host `keeper` to a claim.
     pub fn granted(&mut self, now: Instant, keeper: &str, grant: &Grant) {
         let keeper = xxh3_64(keeper.as_bytes());
-        self.throttle.granted(now, keeper, grant);
+        self.throttle.record_grant(now, keeper, grant);
     }
 
     /// Notes that a claim had no answer.
     pub fn unanswered(&mut self, now: Instant, keeper: &str, claim: &Claim) {
         let keeper = xxh3_64(keeper.as_bytes());
-        self.throttle.unanswered(now, claim.1 .0, keeper);
+        self.throttle.record_timeout(now, claim.1 .0, keeper);
     }
 
     /// Takes in what a target's answer to a request said that was sent at `at`; gives what all hosts are to be told.
@@ -102,14 +102,14 @@
         key: TargetKey,
         at: Instant,
         rate: Option<f64>,
-    ) -> Option<News> {
+    ) -> Option<RateUpdate> {
         let target = self.members.get(&key)?.digest();
-        self.throttle.state(now, target, at, rate)
+        self.throttle.observe(now, target, at, rate)
     }
 
     /// Takes in what another host knows; gives the target that began or ended to name a rate by that.
-    pub fn hear(&mut self, now: Instant, news: &News) -> Option<Arc<str>> {
-        if !self.throttle.hear(now, news) {
+    pub fn hear(&mut self, now: Instant, news: &RateUpdate) -> Option<Arc<str>> {
+        if !self.throttle.merge_update(now, news) {
             return None;
         }
         let known = self.members.values().find(|one| one.digest() == news.0);
@@ -117,8 +117,8 @@
     }
 
     /// What this host knows of the rates that targets name.
-    pub fn news(&self, now: Instant) -> impl Iterator<Item = News> + '_ {
-        self.throttle.news(now)
+    pub fn news(&self, now: Instant) -> impl Iterator<Item = RateUpdate> + '_ {
+        self.throttle.updates(now)
     }
 
     /// Forgets rates that are of no more use.
@@ -127,7 +127,12 @@
     }
 
     /// The time until a target may get something, if it gets nothing just now as all that it takes is given out.
-    pub(super) fn closed_for(&self, now: Instant, member: &Member, fit: Fit) -> Option<Duration> {
+    pub(super) fn closed_for(
+        &self,
+        now: Instant,
+        member: &Member,
+        fit: Assignment,
+    ) -> Option<Duration> {
         self.throttle
             .closed_for(now, member.digest(), fit, self.hosts.len())
     }
@@ -139,7 +144,9 @@
 
     /// The hosts that share out a target's rate, the first of all that are alive; none while these are not known.
     fn keepers(&self, member: &Member) -> Vec<&Peer> {
-        let count = self.throttle.keepers(member.digest(), self.hosts.len());
+        let count = self
+            .throttle
+            .allocator_count(member.digest(), self.hosts.len());
         let mut hosts: Vec<&Peer> = self.hosts.iter().collect();
         hosts.sort_by_key(|host| std::cmp::Reverse(host.rank(member)));
         hosts.truncate(count);
--- a/src/steer/group/member.rs
+++ b/src/steer/group/member.rs
@@ -8,7 +8,7 @@
 use crate::steer::eject::Eject;
 use crate::steer::limit::Limit;
 use crate::steer::pick::Estimate;
-use crate::steer::throttle::{Bucket, Fit};
+use crate::steer::throttle::{Assignment, Bucket};
 use crate::steer::warm::Warm;
 
 /// The first rest of a target after a refusal or a failure; doubles with each in a row.
@@ -67,7 +67,9 @@
     /// The time until this host may send a request, by the rate that the target names.
     pub(super) fn opens_in(&self, now: Instant) -> Duration {
         self.share.map_or(Duration::ZERO, |share| {
-            share.bucket.room_in(now, share.rate, Fit::Own)
+            share
+                .bucket
+                .time_to_token(now, share.rate, Assignment::Primary)
         })
     }
 
@@ -75,7 +77,7 @@
     pub(super) fn spend(&mut self, now: Instant) {
         if let Some(share) = &mut self.share {
             // An empty bucket gets nothing that could be taken: the choice passed over it.
-            let _ = share.bucket.take(now, share.rate, Fit::Own, 1);
+            let _ = share.bucket.take(now, share.rate, Assignment::Primary, 1);
         }
     }
 
--- a/src/steer/quarantine.rs
+++ b/src/steer/quarantine.rs
@@ -1,17 +1,21 @@
-//! Requests that crash the targets that run them, and how they are kept from the next ones.
+//! Quarantine of requests that crash the targets that run them.
 //!
-//! Such a request comes again, as a repeat or from its caller, at any host, and takes a service from all callers, one target
-//! after the other. Hosts know requests by their [`Fingerprint`] and tell each other at which targets they broke off:
+//! Such a request is sent again, as a retry or by its caller, through any host, and crashes the
+//! targets of a service one after the other until no caller is served. Hosts identify requests by
+//! their [`Fingerprint`] and report to each other at which targets their connections broke:
 //!
-//! - At one target: nothing changes, since whatever was in flight there breaks off with it.
-//! - At a second one, by a try that began after the first had broken off: the request is *suspected*. Each host has one of it
-//!   under way at a time and does not repeat it, at a target of its own by its fingerprint, so that no other suspected request
-//!   is there. Targets that end together, as those of a rack, count as one.
-//! - At a third one, likewise: it is *refused*, and tried again by one host after a while, ever less often.
+//! - At one target: nothing changes, since every request in flight at a crashing target breaks.
+//! - At a second one, in an attempt that began after the first had broken: the request is
+//!   *suspected*. Each host runs one copy of it at a time without retries, at a target selected by
+//!   its fingerprint, so that no other suspected request runs there. Targets that fail together, as
+//!   those of a rack do, count as one.
+//! - At a third one, under the same condition: it is *refused*, and one host tries it again after a
+//!   delay that grows with each failed trial.
 //!
-//! An answer from anywhere clears it: a request that crashes each target that runs it is never answered. Hosts remember for that
-//! what was answered lately, so that a popular request whose targets end for reasons of their own is cleared as soon as it is
-//! suspected. Everything is kept by digests, up to a bound, and is forgotten after a time.
+//! An answer from any target clears it, since a request that crashes each target that runs it is
+//! never answered. Hosts therefore remember recently answered requests, so that a popular request
+//! whose targets end for other reasons is cleared as soon as it is suspected. All state is stored
+//! by digests, bounded in size, and expires.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -21,164 +25,168 @@
 
 use super::fingerprint::Fingerprint;
 
-/// Targets at which a request broke off until it is suspected.
-const SUSPECT: usize = 2;
-/// Targets at which it broke off until it is refused.
-const REFUSE: usize = 3;
-/// After this time a target that crashed may be back and be crashed again.
-const BACK: Duration = Duration::from_secs(1);
-/// How long hosts that had an answer have to say so before a suspected request is sent again: a message there and back between
-/// regions.
-const OBJECTION: Duration = Duration::from_millis(150);
-/// How long a suspected request waits for [`Verdict::Wait`] to change: targets crash sooner than that. What is not known then is
-/// sent, so that no request is refused on suspicion.
-pub const UNSURE: Duration = Duration::from_millis(500);
-/// How long a suspicion lasts without another crash.
-const SUSPICION: Duration = Duration::from_secs(30);
-/// How long a request that was answered is not suspected again.
-const CLEARED: Duration = Duration::from_secs(10);
-/// Time from the refusal of a request to its first trial: a few seconds, as it may be innocent.
-const FIRST_TRIAL: Duration = Duration::from_secs(5);
-/// By how much that time grows with each trial that crashed one more target.
-const GROWTH: u32 = 6;
-/// The longest time between two trials.
-const LONGEST: Duration = Duration::from_secs(3600);
-/// Hosts begin to try at moments spread over this time, so that one of them is first and the others hear of it.
-const SPREAD: Duration = Duration::from_secs(2);
-/// How long the others leave a trial to the host that began it.
-const TRIAL: Duration = Duration::from_secs(5);
-/// How long after a trial was due a request is forgotten that did not come again.
-const FORGET: Duration = Duration::from_secs(600);
-/// Requests that are kept in mind for crashes.
-const CASES: usize = 512;
-/// Answered requests that are remembered.
-const ANSWERS: usize = 512;
-
-/// What hosts tell each other.
+/// Targets at which a request has to break until it is suspected.
+const SUSPECT_TARGETS: usize = 2;
+/// Targets at which a request has to break until it is refused.
+const REFUSE_TARGETS: usize = 3;
+/// Time after which a crashed target may have restarted and may be crashed again.
+const RESTART_TIME: Duration = Duration::from_secs(1);
+/// Delay before a suspected request is sent again, within which hosts that had an answer may clear
+/// it: a message there and back between regions.
+const CLEARING_DELAY: Duration = Duration::from_millis(150);
+/// Maximum time for which a suspected request waits while the verdict is [`Verdict::Wait`]: a
+/// request that crashes targets does so sooner. It is sent after that, so that no request is
+/// refused on suspicion alone.
+pub const MAX_VERDICT_WAIT: Duration = Duration::from_millis(500);
+/// Time for which a request stays suspected without another crash.
+const SUSPICION_LIFETIME: Duration = Duration::from_secs(30);
+/// Time for which a request that was answered is not suspected again.
+const CLEARED_LIFETIME: Duration = Duration::from_secs(10);
+/// Time from the refusal of a request to its first trial: a few seconds, as it may be harmless.
+const FIRST_TRIAL_DELAY: Duration = Duration::from_secs(5);
+/// Factor by which the trial delay grows with each trial that crashed another target.
+const TRIAL_DELAY_FACTOR: u32 = 6;
+/// Maximum time between two trials.
+const MAX_TRIAL_DELAY: Duration = Duration::from_secs(3600);
+/// Range of the random offsets of hosts' trials, so that one host tries first and the others
+/// receive its notice.
+const TRIAL_SPREAD: Duration = Duration::from_secs(2);
+/// Time for which a trial is reserved for the host that began it.
+const TRIAL_RESERVATION: Duration = Duration::from_secs(5);
+/// Time after a trial was due after which a refused request that was not sent again is removed.
+const REFUSED_RETENTION: Duration = Duration::from_secs(600);
+/// Maximum number of requests with recorded crashes.
+const MAX_CASES: usize = 512;
+/// Maximum number of answered requests that are remembered.
+const MAX_ANSWERED: usize = 512;
+
+/// Message between hosts about one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Note {
-    /// A try broke off at a target.
+pub enum Notice {
+    /// An attempt broke at a target.
     #[serde(rename = "b")]
-    Broke(Broke),
+    Broken(BrokenAttempt),
     /// A request is suspected or refused.
     #[serde(rename = "s")]
-    Standing(Standing),
+    Status(CaseStatus),
     /// A request that was suspected or refused has been answered.
     #[serde(rename = "c")]
     Cleared(Fingerprint),
 }
 
-impl Note {
-    /// The request that it is about.
+impl Notice {
+    /// Returns the fingerprint of the request.
     pub fn fingerprint(&self) -> Fingerprint {
         match self {
-            Self::Broke(broke) => broke.fingerprint,
-            Self::Standing(standing) => standing.fingerprint,
+            Self::Broken(attempt) => attempt.fingerprint,
+            Self::Status(status) => status.fingerprint,
             Self::Cleared(fingerprint) => *fingerprint,
         }
     }
 }
 
-/// A try that broke off just now.
+/// An attempt whose connection just broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Broke {
+pub struct BrokenAttempt {
     /// The request.
     #[serde(rename = "f")]
     pub fingerprint: Fingerprint,
-    /// A digest of the target's identity.
+    /// Digest of the target's identity.
     #[serde(rename = "t")]
     pub target: u64,
-    /// How long it had been there, in milliseconds.
+    /// Duration of the attempt in milliseconds.
     #[serde(rename = "l")]
     pub lasted_ms: u32,
 }
 
-/// How a request stands.
+/// State of a suspected or refused request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct CaseStatus {
     /// The request.
     #[serde(rename = "f")]
     pub fingerprint: Fingerprint,
-    /// Digests of the targets that count.
+    /// Digests of the targets that are counted.
     #[serde(rename = "t")]
     pub targets: Vec<u64>,
-    /// How long ago it broke off at the first of them, in milliseconds.
+    /// Time since it broke at the first of them, in milliseconds.
     #[serde(rename = "a")]
     pub age_ms: u64,
-    /// When it may be tried again, if it is refused.
+    /// Trials of the request, if it is refused.
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
-    pub refused: Option<Term>,
+    pub refused: Option<RefusalTerm>,
 }
 
-/// Until when a request is refused.
+/// Trials of a refused request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Term {
-    /// Trials that crashed one more target.
+pub struct RefusalTerm {
+    /// Trials that crashed another target.
     #[serde(rename = "n")]
     pub failures: u32,
-    /// Time until the next one, in milliseconds.
+    /// Time until the next trial, in milliseconds.
     #[serde(rename = "d")]
     pub due_ms: u64,
 }
 
-/// What is to be told to others.
+/// Notices to send to other hosts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct News {
-    /// To those who count the crashes of this request.
-    pub counters: Option<Note>,
-    /// To all hosts.
-    pub all: Option<Note>,
+pub struct OutgoingNotices {
+    /// Notice to the hosts that count the crashes of this request.
+    pub to_counters: Option<Notice>,
+    /// Notice to all hosts.
+    pub to_all: Option<Notice>,
 }
 
-/// What became of a note of another host.
+/// Result of merging a notice of another host.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Heard {
-    /// It was not known here.
+pub struct MergeResult {
+    /// Whether the notice changed the state of this host.
     pub is_new: bool,
-    /// What all hosts are to be told because of it.
-    pub all: Option<Note>,
+    /// Notice to all hosts that follows from it.
+    pub to_all: Option<Notice>,
 }
 
-/// What may be done with a request.
+/// Whether a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing is held against it.
-    Free,
-    /// It may be sent once, to a target by its fingerprint; [`Quarantine::done`] is to be told when that has ended.
-    Alone,
-    /// It is not known yet whether it may be sent.
+    /// The request is neither suspected nor refused.
+    Allowed,
+    /// The request may be sent once, to a target selected by its fingerprint;
+    /// [`Quarantine::finish`] has to be called when the attempt has ended.
+    Isolated,
+    /// It is not decided yet whether the request may be sent.
     Wait,
-    /// It is refused and may come back after this time.
+    /// The request is refused; its caller may retry after this time.
     Refused(Duration),
 }
 
-/// How a host stands to a request that broke off.
+/// State of a request that broke at a target, in order of precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Stage {
-    /// An answer came.
+    /// A target answered it.
     Cleared,
-    /// It broke off at one target.
+    /// It broke at one target.
     Noted,
-    /// It is sent with care.
+    /// It runs in isolation.
     Suspected,
-    /// It is not sent, but for trials.
+    /// It is sent only in trials.
     Refused,
 }
 
+/// Crash record of one request.
 #[derive(Debug)]
 struct Case {
     stage: Stage,
-    /// Since when it stands so here.
-    since: Instant,
-    /// The targets that count, at most [`REFUSE`].
+    /// When this host entered the stage.
+    stage_since: Instant,
+    /// The targets that are counted, at most [`REFUSE_TARGETS`].
     targets: Vec<u64>,
-    /// When it broke off at the first and at the last of them.
-    first: Instant,
-    last: Instant,
-    /// Whether a try that was allowed here is under way.
-    busy: bool,
+    /// When it broke at the first and at the last of them.
+    first_break: Instant,
+    last_break: Instant,
+    /// Whether an attempt that this host allowed is in flight.
+    in_flight: bool,
     failures: u32,
-    /// When it may be tried again.
+    /// When the next trial is due.
     due: Instant,
 }
 
@@ -186,90 +194,97 @@
     fn new(now: Instant) -> Self {
         Self {
             stage: Stage::Noted,
-            since: now,
+            stage_since: now,
             targets: Vec::new(),
-            first: now,
-            last: now,
-            busy: false,
+            first_break: now,
+            last_break: now,
+            in_flight: false,
             failures: 0,
             due: now,
         }
     }
 
-    /// Takes a stage; says whether it is a later one.
+    /// Moves to a stage if it is a later one, and returns whether it is.
     fn advance(&mut self, now: Instant, stage: Stage) -> bool {
         if stage <= self.stage {
             return false;
         }
         self.stage = stage;
-        self.since = now;
+        self.stage_since = now;
         if stage == Stage::Refused {
-            self.due = now + FIRST_TRIAL;
+            self.due = now + FIRST_TRIAL_DELAY;
         }
         true
     }
 
-    /// Counts a target at which a try broke off that began at `begun`; says whether the stage has changed.
-    fn count(&mut self, now: Instant, target: u64, begun: Instant) -> bool {
-        let counts = match self.stage {
-            Stage::Noted => self.targets.is_empty() || begun >= self.last,
-            Stage::Suspected => begun >= self.since + OBJECTION,
+    /// Counts a target at which an attempt broke that began at `begun`. Returns whether the stage
+    /// has changed.
+    fn count_break(&mut self, now: Instant, target: u64, begun: Instant) -> bool {
+        let is_counted = match self.stage {
+            Stage::Noted => self.targets.is_empty() || begun >= self.last_break,
+            Stage::Suspected => begun >= self.stage_since + CLEARING_DELAY,
             Stage::Cleared | Stage::Refused => false,
         };
-        let is_another = !self.targets.contains(&target) || now >= self.last + BACK;
-        if !counts || !is_another {
+        let is_distinct = !self.targets.contains(&target) || now >= self.last_break + RESTART_TIME;
+        if !is_counted || !is_distinct {
             return false;
         }
         self.targets.push(target);
-        self.last = now;
+        self.last_break = now;
         let stage = match self.targets.len() {
-            ..SUSPECT => Stage::Noted,
-            SUSPECT..REFUSE => Stage::Suspected,
+            ..SUSPECT_TARGETS => Stage::Noted,
+            SUSPECT_TARGETS..REFUSE_TARGETS => Stage::Suspected,
             _ => Stage::Refused,
         };
         self.advance(now, stage)
     }
 
-    fn is_over(&self, now: Instant) -> bool {
-        let age = now.saturating_duration_since(self.last);
+    fn is_expired(&self, now: Instant) -> bool {
+        let age = now.saturating_duration_since(self.last_break);
         match self.stage {
-            Stage::Cleared => now.saturating_duration_since(self.since) >= CLEARED,
-            Stage::Noted | Stage::Suspected => age >= SUSPICION,
-            Stage::Refused => now.saturating_duration_since(self.due) >= FORGET,
+            Stage::Cleared => now.saturating_duration_since(self.stage_since) >= CLEARED_LIFETIME,
+            Stage::Noted | Stage::Suspected => age >= SUSPICION_LIFETIME,
+            Stage::Refused => now.saturating_duration_since(self.due) >= REFUSED_RETENTION,
         }
     }
 
-    fn standing(&self, now: Instant, fingerprint: Fingerprint) -> Standing {
-        let refused = (self.stage == Stage::Refused).then(|| Term {
+    fn status(&self, now: Instant, fingerprint: Fingerprint) -> CaseStatus {
+        let refused = (self.stage == Stage::Refused).then(|| RefusalTerm {
             failures: self.failures,
             due_ms: millis(self.due.saturating_duration_since(now)),
         });
-        Standing {
+        CaseStatus {
             fingerprint,
             targets: self.targets.clone(),
-            age_ms: millis(now.saturating_duration_since(self.first)),
+            age_ms: millis(now.saturating_duration_since(self.first_break)),
             refused,
         }
     }
 
-    /// Takes over how it stands elsewhere; says whether anything was new.
-    fn merge(&mut self, now: Instant, standing: &Standing) -> bool {
-        let stage = match standing.refused {
+    /// Merges the state that another host reports. Returns whether anything was new.
+    fn merge(&mut self, now: Instant, status: &CaseStatus) -> bool {
+        let stage = match status.refused {
             Some(_) => Stage::Refused,
             None => Stage::Suspected,
         };
         let is_later = self.advance(now, stage);
         if is_later {
-            // Not those that are known here besides: targets of two hosts' notes may have ended together.
-            self.targets = standing.targets.iter().copied().take(REFUSE).collect();
-            self.last = now;
+            // Replaces the targets instead of adding to them: targets in the notices of two hosts
+            // may have failed together.
+            self.targets = status
+                .targets
+                .iter()
+                .copied()
+                .take(REFUSE_TARGETS)
+                .collect();
+            self.last_break = now;
         }
-        let Some(term) = standing.refused else {
+        let Some(term) = status.refused else {
             return is_later;
         };
-        let due = now + Duration::from_millis(term.due_ms).min(LONGEST);
-        // The times that are left differ by the time that a message takes.
-        let is_due_later = due > self.due + OBJECTION;
+        let due = now + Duration::from_millis(term.due_ms).min(MAX_TRIAL_DELAY);
+        // The reported times differ by the transit time of a message.
+        let is_due_later = due > self.due + CLEARING_DELAY;
         if (term.failures, is_due_later) > (self.failures, false) {
             self.failures = term.failures;
             self.due = due;
@@ -279,18 +294,18 @@
     }
 }
 
-/// The requests that one host keeps from targets, and those that it watches.
+/// The quarantined requests of one host, and those that broke at one target.
 #[derive(Debug)]
 pub struct Quarantine {
-    /// Tells this host from the others.
+    /// Seed that differs from host to host.
     seed: u64,
     cases: BTreeMap<Fingerprint, Case>,
-    /// Requests that were answered here, the latest last.
+    /// Requests that were answered at this host, the latest last.
     answered: VecDeque<(Instant, Fingerprint)>,
 }
 
 impl Quarantine {
-    /// Nothing is suspected yet. `seed` differs from host to host.
+    /// Returns an empty quarantine. `seed` differs from host to host.
     pub fn new(seed: u64) -> Self {
         Self {
             seed,
@@ -299,35 +314,38 @@
         }
     }
 
-    /// Whether a request may be sent, and what all hosts are to be told if this is a trial.
-    pub fn ask(&mut self, now: Instant, fingerprint: Fingerprint) -> (Verdict, Option<Note>) {
-        let delay = self.delay(fingerprint);
+    /// Returns whether a request may be sent, and the notice to all hosts if the attempt is a
+    /// trial.
+    pub fn check(&mut self, now: Instant, fingerprint: Fingerprint) -> (Verdict, Option<Notice>) {
+        let trial_offset = self.trial_offset(fingerprint);
         let Some(case) = self.cases.get_mut(&fingerprint) else {
-            return (Verdict::Free, None);
+            return (Verdict::Allowed, None);
         };
         match case.stage {
-            Stage::Cleared | Stage::Noted => (Verdict::Free, None),
-            Stage::Suspected if case.is_over(now) => (Verdict::Free, None),
-            Stage::Suspected if case.busy || now < case.since + OBJECTION => (Verdict::Wait, None),
+            Stage::Cleared | Stage::Noted => (Verdict::Allowed, None),
+            Stage::Suspected if case.is_expired(now) => (Verdict::Allowed, None),
+            Stage::Suspected if case.in_flight || now < case.stage_since + CLEARING_DELAY => {
+                (Verdict::Wait, None)
+            }
             Stage::Suspected => {
-                case.busy = true;
-                (Verdict::Alone, None)
+                case.in_flight = true;
+                (Verdict::Isolated, None)
             }
-            Stage::Refused if case.busy || now < case.due + delay => {
-                let left = (case.due + delay).saturating_duration_since(now);
-                (Verdict::Refused(left.max(OBJECTION)), None)
+            Stage::Refused if case.in_flight || now < case.due + trial_offset => {
+                let left = (case.due + trial_offset).saturating_duration_since(now);
+                (Verdict::Refused(left.max(CLEARING_DELAY)), None)
             }
             Stage::Refused => {
-                case.busy = true;
-                case.due = now + TRIAL;
-                let standing = case.standing(now, fingerprint);
-                (Verdict::Alone, Some(Note::Standing(standing)))
+                case.in_flight = true;
+                case.due = now + TRIAL_RESERVATION;
+                let status = case.status(now, fingerprint);
+                (Verdict::Isolated, Some(Notice::Status(status)))
             }
         }
     }
 
-    /// Whether nothing is held against a request, so that it may be repeated.
-    pub fn is_free(&self, fingerprint: Fingerprint) -> bool {
+    /// Whether a request is neither suspected nor refused, so that it may be retried.
+    pub fn may_retry(&self, fingerprint: Fingerprint) -> bool {
         let case = self.cases.get(&fingerprint);
         case.is_none_or(|case| case.stage < Stage::Suspected)
     }
@@ -338,147 +356,156 @@
         case.is_some_and(|case| case.stage == Stage::Refused)
     }
 
-    /// A try for which [`Verdict::Alone`] was given has ended, in whichever way.
-    pub fn done(&mut self, fingerprint: Fingerprint) {
+    /// Records that an attempt with the verdict [`Verdict::Isolated`] has ended, with any result.
+    pub fn finish(&mut self, fingerprint: Fingerprint) {
         if let Some(case) = self.cases.get_mut(&fingerprint) {
-            case.busy = false;
+            case.in_flight = false;
         }
     }
 
-    /// A try that began at `begun` broke off here at a target before it had an answer.
-    pub fn broke(
+    /// Records that an attempt that began at `begun` broke at a target before it had an answer.
+    pub fn record_break(
         &mut self,
         now: Instant,
         fingerprint: Fingerprint,
         target: u64,
         begun: Instant,
-    ) -> News {
-        let case = self.case(now, fingerprint);
+    ) -> OutgoingNotices {
+        let case = self.case_or_new(now, fingerprint);
         if case.stage == Stage::Refused {
-            let mut all = None;
-            if begun >= case.since {
+            let mut to_all = None;
+            if begun >= case.stage_since {
                 case.failures += 1;
-                case.due = now + trial_after(case.failures);
-                all = Some(Note::Standing(case.standing(now, fingerprint)));
+                case.due = now + trial_delay(case.failures);
+                to_all = Some(Notice::Status(case.status(now, fingerprint)));
             }
-            return News {
-                counters: None,
-                all,
+            return OutgoingNotices {
+                to_counters: None,
+                to_all,
             };
         }
-        if case.count(now, target, begun) {
-            let standing = case.standing(now, fingerprint);
-            return News {
-                counters: None,
-                all: Some(Note::Standing(standing)),
+        if case.count_break(now, target, begun) {
+            let status = case.status(now, fingerprint);
+            return OutgoingNotices {
+                to_counters: None,
+                to_all: Some(Notice::Status(status)),
             };
         }
         let lasted = millis(now.saturating_duration_since(begun));
-        let counters = (case.stage == Stage::Noted).then(|| {
-            Note::Broke(Broke {
+        let to_counters = (case.stage == Stage::Noted).then(|| {
+            Notice::Broken(BrokenAttempt {
                 fingerprint,
                 target,
                 lasted_ms: u32::try_from(lasted).unwrap_or(u32::MAX),
             })
         });
-        News {
-            counters,
-            all: None,
+        OutgoingNotices {
+            to_counters,
+            to_all: None,
         }
     }
 
-    /// A target has answered a request; what all hosts are to be told of that, if it was held against.
-    pub fn answered(&mut self, now: Instant, fingerprint: Fingerprint) -> Option<Note> {
-        if self.answered.len() >= ANSWERS {
+    /// Records that a target answered a request. Returns the notice to all hosts if the request was
+    /// suspected or refused.
+    pub fn record_answer(&mut self, now: Instant, fingerprint: Fingerprint) -> Option<Notice> {
+        if self.answered.len() >= MAX_ANSWERED {
             self.answered.pop_front();
         }
         self.answered.push_back((now, fingerprint));
         let case = self.cases.get_mut(&fingerprint)?;
-        let told = case.stage >= Stage::Suspected;
+        let was_suspected = case.stage >= Stage::Suspected;
         clear(now, case);
-        told.then_some(Note::Cleared(fingerprint))
+        was_suspected.then_some(Notice::Cleared(fingerprint))
     }
 
-    /// Takes in what another host tells.
-    pub fn hear(&mut self, now: Instant, note: &Note) -> Heard {
-        match note {
-            Note::Broke(broke) => self.hear_broke(now, broke),
-            Note::Standing(standing) => self.hear_standing(now, standing),
-            Note::Cleared(fingerprint) => {
+    /// Merges a notice of another host.
+    pub fn merge(&mut self, now: Instant, notice: &Notice) -> MergeResult {
+        match notice {
+            Notice::Broken(attempt) => self.merge_break(now, attempt),
+            Notice::Status(status) => self.merge_status(now, status),
+            Notice::Cleared(fingerprint) => {
                 let case = self.cases.get_mut(fingerprint);
                 let case = case.filter(|case| case.stage != Stage::Cleared);
                 let is_new = case.is_some();
                 if let Some(case) = case {
                     clear(now, case);
                 }
-                Heard { is_new, all: None }
+                MergeResult {
+                    is_new,
+                    to_all: None,
+                }
             }
         }
     }
 
-    fn hear_broke(&mut self, now: Instant, broke: &Broke) -> Heard {
-        let lasted = Duration::from_millis(broke.lasted_ms.into());
+    fn merge_break(&mut self, now: Instant, attempt: &BrokenAttempt) -> MergeResult {
+        let lasted = Duration::from_millis(attempt.lasted_ms.into());
         let begun = now.checked_sub(lasted).unwrap_or(now);
-        let case = self.case(now, broke.fingerprint);
-        let known = case.targets.len();
-        let has_changed = case.count(now, broke.target, begun);
-        let standing = has_changed.then(|| case.standing(now, broke.fingerprint));
-        Heard {
-            is_new: case.targets.len() > known,
-            all: standing.map(Note::Standing),
+        let case = self.case_or_new(now, attempt.fingerprint);
+        let count_before = case.targets.len();
+        let has_changed = case.count_break(now, attempt.target, begun);
+        let status = has_changed.then(|| case.status(now, attempt.fingerprint));
+        MergeResult {
+            is_new: case.targets.len() > count_before,
+            to_all: status.map(Notice::Status),
         }
     }
 
-    fn hear_standing(&mut self, now: Instant, standing: &Standing) -> Heard {
-        let fingerprint = standing.fingerprint;
-        let age = Duration::from_millis(standing.age_ms);
+    fn merge_status(&mut self, now: Instant, status: &CaseStatus) -> MergeResult {
+        let fingerprint = status.fingerprint;
+        let age = Duration::from_millis(status.age_ms);
         let answered = self
             .answered
             .iter()
             .any(|(at, other)| *other == fingerprint && now.saturating_duration_since(*at) < age);
-        let case = self.case(now, fingerprint);
+        let case = self.case_or_new(now, fingerprint);
         if answered {
             let is_new = case.stage != Stage::Cleared;
             clear(now, case);
-            let all = Some(Note::Cleared(fingerprint));
-            return Heard { is_new, all };
+            let to_all = Some(Notice::Cleared(fingerprint));
+            return MergeResult { is_new, to_all };
         }
         if case.stage == Stage::Cleared {
-            return Heard::default();
+            return MergeResult::default();
+        }
+        let is_new = case.merge(now, status);
+        MergeResult {
+            is_new,
+            to_all: None,
         }
-        let is_new = case.merge(now, standing);
-        Heard { is_new, all: None }
     }
 
-    /// All requests that are suspected or refused, for a host that may not know of them.
-    pub fn standings(&self, now: Instant) -> impl Iterator<Item = Note> + '_ {
-        let held = self.cases.iter();
-        let held =
-            held.filter(move |(_, case)| case.stage >= Stage::Suspected && !case.is_over(now));
-        held.map(move |(fingerprint, case)| Note::Standing(case.standing(now, *fingerprint)))
+    /// Returns notices of all suspected and refused requests, for a host that may not have received
+    /// them.
+    pub fn statuses(&self, now: Instant) -> impl Iterator<Item = Notice> + '_ {
+        let cases = self.cases.iter();
+        let cases =
+            cases.filter(move |(_, case)| case.stage >= Stage::Suspected && !case.is_expired(now));
+        cases.map(move |(fingerprint, case)| Notice::Status(case.status(now, *fingerprint)))
     }
 
-    /// Forgets what is over.
+    /// Removes expired cases.
     pub fn expire(&mut self, now: Instant) {
-        self.cases.retain(|_, case| case.busy || !case.is_over(now));
+        self.cases
+            .retain(|_, case| case.in_flight || !case.is_expired(now));
     }
 
-    /// The case of a request, a new one if there is none that still counts.
-    fn case(&mut self, now: Instant, fingerprint: Fingerprint) -> &mut Case {
-        let is_over = self
+    /// Returns the case of a request, or a new one if there is none that still counts.
+    fn case_or_new(&mut self, now: Instant, fingerprint: Fingerprint) -> &mut Case {
+        let is_expired = self
             .cases
             .get(&fingerprint)
-            .is_some_and(|case| case.is_over(now));
-        if is_over {
+            .is_some_and(|case| case.is_expired(now));
+        if is_expired {
             self.cases.remove(&fingerprint);
         }
-        if self.cases.len() >= CASES && !self.cases.contains_key(&fingerprint) {
-            let least = self
+        if self.cases.len() >= MAX_CASES && !self.cases.contains_key(&fingerprint) {
+            let evicted = self
                 .cases
                 .iter()
-                .min_by_key(|(_, case)| (case.stage, case.last));
-            if let Some(least) = least.map(|(fingerprint, _)| *fingerprint) {
-                self.cases.remove(&least);
+                .min_by_key(|(_, case)| (case.stage, case.last_break));
+            if let Some(evicted) = evicted.map(|(fingerprint, _)| *fingerprint) {
+                self.cases.remove(&evicted);
             }
         }
         self.cases
@@ -486,25 +513,25 @@
             .or_insert_with(|| Case::new(now))
     }
 
-    /// How much later than it is due this host tries a refused request.
-    fn delay(&self, fingerprint: Fingerprint) -> Duration {
-        let draw = xxh3_64_with_seed(&fingerprint.0.to_le_bytes(), self.seed);
-        SPREAD.mul_f64(draw as f64 / u64::MAX as f64)
+    /// Returns this host's offset for trials of a refused request.
+    fn trial_offset(&self, fingerprint: Fingerprint) -> Duration {
+        let hash = xxh3_64_with_seed(&fingerprint.0.to_le_bytes(), self.seed);
+        TRIAL_SPREAD.mul_f64(hash as f64 / u64::MAX as f64)
     }
 }
 
 fn clear(now: Instant, case: &mut Case) {
     case.stage = Stage::Cleared;
-    case.since = now;
+    case.stage_since = now;
     case.targets.clear();
     case.failures = 0;
 }
 
-/// Time to the next trial after so many that crashed one more target.
-fn trial_after(failures: u32) -> Duration {
-    FIRST_TRIAL
-        .saturating_mul(GROWTH.saturating_pow(failures))
-        .min(LONGEST)
+/// Returns the time to the next trial after `failures` trials that each crashed another target.
+fn trial_delay(failures: u32) -> Duration {
+    FIRST_TRIAL_DELAY
+        .saturating_mul(TRIAL_DELAY_FACTOR.saturating_pow(failures))
+        .min(MAX_TRIAL_DELAY)
 }
 
 fn millis(time: Duration) -> u64 {
--- a/src/steer/throttle.rs
+++ b/src/steer/throttle.rs
@@ -1,14 +1,17 @@
-//! Rates that targets name in their answers, and how all hosts together keep to them.
+//! Request rates that targets name in their answers, and how all hosts together enforce them.
 //!
-//! A target in need names the requests a second that it takes from all hosts. A host's part of that may be far below one a second,
-//! so the rate is not divided among hosts: a few of them, the target's *keepers*, each have a part of it in a bucket, and a host
-//! asks one of them before each request that it sends there. Everything that is sent counts alike, first tries and repeats. Without
-//! a grant nothing is sent, so hosts that are cut off, or that don't agree on the keepers, never add to the sum; each keeper that
-//! only some of the hosts know adds its own part.
+//! An overloaded target names the requests a second that it accepts from all hosts together. A
+//! host's share of that may be far below one request a second, so the rate is not divided among all
+//! hosts: a few of them, the target's *allocators*, each hold a share of it in a token bucket, and
+//! every host requests a grant from one of them before each request that it sends to the target.
+//! First attempts and retries count alike. Nothing is sent without a grant, so hosts that are
+//! partitioned, or that disagree on the allocators, do not add to the sum; but each allocator that
+//! only some of the hosts know adds its own share.
 //!
-//! What a target said last holds, in the order in which the requests were sent whose answers said it: an answer that was
-//! overtaken by another one changes nothing. Hosts tell each other when a target begins or ends to name a rate, repeat that
-//! now and then, and carry it in each question and answer about it.
+//! The latest rate of a target holds, ordered by the times at which the requests were sent whose
+//! answers named it: an answer that was overtaken by another one changes nothing. Hosts notify each
+//! other when a target starts or stops naming a rate, repeat that now and then, and attach the rate
+//! to each claim and grant.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,49 +19,54 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Hosts that share out the rate of one target: one that is lost, or one too many while hosts don't agree, is a third of it.
-const KEEPERS: usize = 3;
-/// The rate up to which one host shares it out alone: parts of it would be full requests only every few seconds.
-const LOW: f64 = 1.0;
-/// The least rate that is kept to, in requests a second: without any answer nobody would see its end.
-const LEAST: f64 = 0.25;
-/// The time for which a keeper saves up what is not asked for, and the requests that it saves in any case: more than one, so that
-/// nothing is lost while the next claim is under way.
-const SAVED: Duration = Duration::from_millis(250);
-const SAVED_LEAST: f64 = 1.5;
-/// The part of what a keeper has that it grants at once, if that is more than one request.
-const AT_ONCE: f64 = 0.25;
-/// How long granted requests may be sent.
-const GRANTED: Duration = Duration::from_millis(500);
-/// The longest time for which a host does not ask again after a keeper had nothing: rates move.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
-/// How long a keeper is not asked that did not answer, or does not take itself for one.
-const SILENT: Duration = Duration::from_secs(1);
-/// By how much a rate has to rise for hosts to ask again at once, and to be told.
-const RISEN: f64 = 1.5;
-/// Least time between two tellings of one host about a target.
-const TOLD: Duration = Duration::from_millis(250);
-/// How long it is remembered that a target ended to name a rate: longer than any news of the rate are under way.
-const ENDED: Duration = Duration::from_secs(10);
-/// How long a rate holds of which nobody has an answer: the target has no requests.
-const UNHEARD: Duration = Duration::from_secs(60);
-/// Targets that are kept in mind.
-const TARGETS: usize = 4096;
-
-/// What an answer says of the rate that its target takes.
+/// Hosts that allocate the rate of one target. One that is lost, or one too many while hosts
+/// disagree, changes the rate by a third.
+const ALLOCATORS_PER_TARGET: usize = 3;
+/// Rate in requests a second up to which a single host allocates it: shares of it would yield a
+/// whole request only every few seconds.
+const SINGLE_ALLOCATOR_RATE: f64 = 1.0;
+/// Minimum rate that is enforced, in requests a second: without any answers no host would notice
+/// that the limit has ended.
+const MIN_RATE: f64 = 0.25;
+/// Time for which a bucket accumulates unclaimed requests, and its minimum capacity in requests:
+/// more than one, so that none is lost while the next claim is on its way.
+const BUCKET_FILL_TIME: Duration = Duration::from_millis(250);
+const MIN_CAPACITY: f64 = 1.5;
+/// Share of an allocator's tokens that one grant takes, if that is more than one request.
+const GRANT_SHARE: f64 = 0.25;
+/// Time within which granted requests have to be sent.
+const GRANT_LIFETIME: Duration = Duration::from_millis(500);
+/// Maximum time for which a host sends no claim to an allocator that had no tokens: rates change.
+const MAX_PAUSE: Duration = Duration::from_secs(2);
+/// Time for which a host sends no claim to an allocator that did not answer, or that does not
+/// consider itself one.
+const FAILURE_PAUSE: Duration = Duration::from_secs(1);
+/// Factor by which a rate has to rise for hosts to send claims again at once, and to be notified.
+const RISE_FACTOR: f64 = 1.5;
+/// Minimum interval between two broadcasts of one host about a target.
+const MIN_BROADCAST_INTERVAL: Duration = Duration::from_millis(250);
+/// Time for which a target that stopped naming a rate is remembered: longer than an update of the
+/// rate can be on its way.
+const ENDED_RETENTION: Duration = Duration::from_secs(10);
+/// Time for which a rate holds without any answer from the target: it receives no requests.
+const RATE_RETENTION: Duration = Duration::from_secs(60);
+/// Maximum number of targets whose rates are stored.
+const MAX_TARGETS: usize = 4096;
+
+/// The rate that an answer names for its target.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum Rate {
-    /// Nothing.
+    /// The answer names no rate.
     #[default]
     Absent,
     /// Requests a second, from all hosts together.
     Named(f64),
-    /// Something that is no decimal number.
+    /// The value is no decimal number.
     Unreadable(Arc<str>),
 }
 
 impl Rate {
-    /// Reads the values of an answer's headers. Of several rates the lowest counts.
+    /// Parses the values of an answer's headers. The lowest of several rates counts.
     pub fn new<'a>(values: impl IntoIterator<Item = Option<&'a str>>) -> Self {
         let mut rate = Self::Absent;
         for value in values {
@@ -79,7 +87,7 @@
     }
 }
 
-/// A number of digits with at most one point among them.
+/// Parses a number that consists of digits and at most one point.
 fn decimal(text: &str) -> Option<f64> {
     let is_plain = text
         .bytes()
@@ -88,56 +96,58 @@
     number.is_finite().then_some(number)
 }
 
-/// What a target said last, between hosts.
+/// The latest rate of a target, as sent between hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct News(
-    /// A digest of the target's process.
+pub struct RateUpdate(
+    /// Digest of the target's process.
     pub u64,
-    /// Requests a second, if it names a rate.
+    /// Requests a second, if the target names a rate.
     pub Option<f32>,
-    /// The milliseconds since the request was sent whose answer said so.
+    /// Milliseconds since the request was sent whose answer is the source.
     pub u32,
 );
 
-/// What a request has to do with a target that it may be sent to.
+/// Why a request may be sent to a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Fit {
-    /// The target is the one for its object, or has it.
+pub enum Assignment {
+    /// The target is the first choice for the request's object, or has it in its cache.
     #[serde(rename = "o")]
-    Own,
-    /// It comes there because others take no more, and gets only what is not wanted for the target's own objects: it makes the
-    /// target work longer, and one of these would have to go elsewhere for it.
+    Primary,
+    /// The preferred targets take no more requests. Such a request gets only capacity that the
+    /// target's own objects do not need: it takes the target longer, and a request for one of these
+    /// objects would be sent elsewhere instead.
     #[serde(rename = "s")]
-    Spill,
+    Overflow,
 }
 
-/// A host asks a keeper for leave to send.
+/// A host's request for a grant from an allocator.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Claim(
-    /// Numbers the claims of a host.
+    /// Sequence number of the claim at its host.
     pub u32,
-    /// What it knows of the target.
-    pub News,
-    /// What the request has to do with the target.
-    pub Fit,
+    /// The latest rate that the host has of the target.
+    pub RateUpdate,
+    /// Why the request may be sent to the target.
+    pub Assignment,
 );
 
-/// A keeper's answer.
+/// An allocator's answer to a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Grant(
-    /// The number of the claim.
+    /// Sequence number of the claim.
     pub u32,
-    /// What the keeper knows of the target.
-    pub News,
-    /// Requests that may be sent.
+    /// The latest rate that the allocator has of the target.
+    pub RateUpdate,
+    /// Number of requests that may be sent.
     pub u16,
-    /// The milliseconds until there may be more, if there are none; 0 if the sender is no keeper of the target.
+    /// Milliseconds until more may be granted, if none are; 0 if the sender is no allocator of the
+    /// target.
     pub u32,
-    /// What the request has to do with the target.
-    pub Fit,
+    /// Why the request may be sent to the target.
+    pub Assignment,
 );
 
-/// What a keeper has of the rate of one target.
+/// Token bucket with an allocator's share of the rate of one target.
 #[derive(Clone, Copy, Debug)]
 pub struct Bucket {
     level: f64,
@@ -145,7 +155,7 @@
 }
 
 impl Bucket {
-    /// An empty one: it is not known what the target got before.
+    /// Returns an empty bucket: it is not known what the target received before.
     pub fn new(now: Instant) -> Self {
         Self {
             level: 0.0,
@@ -153,295 +163,362 @@
         }
     }
 
-    /// Takes requests out that may be sent at once, from one to `most`, where `rate` comes in.
+    /// Takes out requests that may be sent at once, from one to `max_count`, where the bucket
+    /// refills at `rate`.
     ///
     /// # Errors
     ///
-    /// It is empty, and has one request after the time that is given.
-    pub fn take(&mut self, now: Instant, rate: f64, fit: Fit, most: u16) -> Result<u16, Duration> {
+    /// The bucket has no token; it has one after the returned time.
+    pub fn take(
+        &mut self,
+        now: Instant,
+        rate: f64,
+        assignment: Assignment,
+        max_count: u16,
+    ) -> Result<u16, Duration> {
         self.level = self.level(now, rate);
         self.filled = now;
-        let wait = self.room_in(now, rate, fit);
+        let wait = self.time_to_token(now, rate, assignment);
         if !wait.is_zero() {
             return Err(wait);
         }
-        let count = (self.level * AT_ONCE).max(1.0) as u16;
-        let count = count.min(most);
+        let count = (self.level * GRANT_SHARE).max(1.0) as u16;
+        let count = count.min(max_count);
         self.level -= f64::from(count);
         Ok(count)
     }
 
-    /// The time until it has a request: one for the target's own objects, or one that these don't want, as it is full.
-    pub fn room_in(&self, now: Instant, rate: f64, fit: Fit) -> Duration {
-        let least = match fit {
-            Fit::Own => 1.0,
-            Fit::Spill => size(rate),
+    /// Returns the time until the bucket has a token for a request. Overflow requests need a full
+    /// bucket, since the target's own objects leave the rest unused.
+    pub fn time_to_token(&self, now: Instant, rate: f64, assignment: Assignment) -> Duration {
+        let needed = match assignment {
+            Assignment::Primary => 1.0,
+            Assignment::Overflow => capacity(rate),
         };
-        let missing = (least - self.level(now, rate)).max(0.0);
+        let missing = (needed - self.level(now, rate)).max(0.0);
         let wait = missing / rate.max(f64::MIN_POSITIVE);
-        let wait = Duration::try_from_secs_f64(wait).unwrap_or(LONGEST_PAUSE);
-        wait.min(LONGEST_PAUSE)
+        let wait = Duration::try_from_secs_f64(wait).unwrap_or(MAX_PAUSE);
+        wait.min(MAX_PAUSE)
     }
 
+    /// Returns the level at `now`, in requests.
     fn level(&self, now: Instant, rate: f64) -> f64 {
         let span = now.saturating_duration_since(self.filled).as_secs_f64();
-        (self.level + rate * span).min(size(rate))
+        (self.level + rate * span).min(capacity(rate))
     }
 }
 
-/// What a bucket saves up at the most.
-fn size(rate: f64) -> f64 {
-    (rate * SAVED.as_secs_f64()).max(SAVED_LEAST)
+/// Returns the capacity of a bucket in requests.
+fn capacity(rate: f64) -> f64 {
+    (rate * BUCKET_FILL_TIME.as_secs_f64()).max(MIN_CAPACITY)
 }
 
-/// What is known of one target.
+/// State of the rate of one target.
 #[derive(Clone, Debug)]
-struct Known {
+struct TargetRate {
     rate: Option<f64>,
-    /// When the request was sent whose answer said so.
-    at: Instant,
-    /// When this host told the others last.
-    told: Option<Instant>,
+    /// When the request was sent whose answer named the rate.
+    observed_at: Instant,
+    /// When this host last broadcast the rate.
+    last_broadcast: Option<Instant>,
     bucket: Bucket,
-    /// Granted requests that were not sent yet, and until when they may be.
+    /// Granted requests that were not sent yet, and until when they may be sent.
     granted: (u16, Instant),
-    /// Until when hosts, by their digests, are not asked, as they had nothing, did not answer or are no keepers.
-    pauses: BTreeMap<(u64, Fit), Instant>,
-    /// Until when no keeper can be asked.
-    closed: BTreeMap<Fit, Instant>,
+    /// Until when no claims are sent to hosts, by their digests, as they had no tokens, did not
+    /// answer or are no allocators.
+    pauses: BTreeMap<(u64, Assignment), Instant>,
+    /// Until when no allocator may be asked.
+    closed_until: BTreeMap<Assignment, Instant>,
 }
 
-impl Known {
+impl TargetRate {
+    /// Whether a granted request may be sent.
     fn has_grant(&self, now: Instant) -> bool {
         let (count, until) = self.granted;
         count > 0 && now < until
     }
 
-    fn opens_in(&self, now: Instant, fit: Fit) -> Duration {
-        let until = self.closed.get(&fit);
+    /// Returns the time until an allocator may be asked.
+    fn opens_in(&self, now: Instant, assignment: Assignment) -> Duration {
+        let until = self.closed_until.get(&assignment);
         until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 }
 
-/// The rates of all targets that name one, as one host knows them.
+/// The rates of all targets that name one, as one host has received them.
 #[derive(Clone, Debug, Default)]
 pub struct Throttle {
-    targets: BTreeMap<u64, Known>,
+    targets: BTreeMap<u64, TargetRate>,
 }
 
 impl Throttle {
-    /// Nothing is known of any target.
+    /// Returns a throttle without rates.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The rate that a target names, as it is kept to.
+    /// Returns the rate of a target that is enforced, at least [`MIN_RATE`].
     pub fn rate(&self, target: u64) -> Option<f64> {
         let rate = self.targets.get(&target)?.rate?;
-        Some(rate.max(LEAST))
+        Some(rate.max(MIN_RATE))
     }
 
-    /// How many of `hosts` share out the rate of a target.
-    pub fn keepers(&self, target: u64, hosts: usize) -> usize {
-        let few = self.rate(target).is_some_and(|rate| rate <= LOW);
-        hosts.min(if few { 1 } else { KEEPERS })
+    /// Returns how many of `host_count` hosts allocate the rate of a target.
+    pub fn allocator_count(&self, target: u64, host_count: usize) -> usize {
+        let is_single = self
+            .rate(target)
+            .is_some_and(|rate| rate <= SINGLE_ALLOCATOR_RATE);
+        host_count.min(if is_single { 1 } else { ALLOCATORS_PER_TARGET })
     }
 
-    /// Takes in what a target's answer to a request said that was sent at `at`; gives what all hosts are to be told.
-    pub fn state(
+    /// Records the rate that a target's answer names; the request was sent at `observed_at`.
+    /// Returns the update to broadcast to all hosts, if any.
+    pub fn observe(
         &mut self,
         now: Instant,
         target: u64,
-        at: Instant,
+        observed_at: Instant,
         rate: Option<f64>,
-    ) -> Option<News> {
-        let is_news = self.set(now, target, at, rate);
-        let known = self.targets.get_mut(&target)?;
-        let is_due = known
-            .told
-            .is_none_or(|told| now.saturating_duration_since(told) >= TOLD);
-        if !is_news || !is_due {
+    ) -> Option<RateUpdate> {
+        let has_changed = self.record(now, target, observed_at, rate);
+        let rate_state = self.targets.get_mut(&target)?;
+        let is_due = rate_state.last_broadcast.is_none_or(|last_broadcast| {
+            now.saturating_duration_since(last_broadcast) >= MIN_BROADCAST_INTERVAL
+        });
+        if !has_changed || !is_due {
             return None;
         }
-        known.told = Some(now);
-        self.known(now, target)
+        rate_state.last_broadcast = Some(now);
+        self.current_update(now, target)
     }
 
-    /// Takes in what another host knows; tells whether the target began or ended to name a rate by that, or named a much higher one.
-    pub fn hear(&mut self, now: Instant, news: &News) -> bool {
-        let News(target, rate, age) = *news;
+    /// Merges the rate that another host has. Returns whether the target thereby started or stopped
+    /// naming a rate, or raised it much.
+    pub fn merge_update(&mut self, now: Instant, update: &RateUpdate) -> bool {
+        let RateUpdate(target, rate, age) = *update;
         let age = Duration::from_millis(age.into());
         match now.checked_sub(age) {
-            Some(at) if age < UNHEARD => self.set(now, target, at, rate.map(f64::from)),
+            Some(observed_at) if age < RATE_RETENTION => {
+                self.record(now, target, observed_at, rate.map(f64::from))
+            }
             _ => false,
         }
     }
 
-    /// Notes what a target said; tells whether it began or ended to name a rate, or named a much higher one.
-    fn set(&mut self, now: Instant, target: u64, at: Instant, rate: Option<f64>) -> bool {
-        let Some(known) = self.targets.get_mut(&target) else {
-            if rate.is_none() || self.targets.len() >= TARGETS {
+    /// Records a rate. Returns whether the target started or stopped naming one, or raised it much.
+    fn record(
+        &mut self,
+        now: Instant,
+        target: u64,
+        observed_at: Instant,
+        rate: Option<f64>,
+    ) -> bool {
+        let Some(rate_state) = self.targets.get_mut(&target) else {
+            if rate.is_none() || self.targets.len() >= MAX_TARGETS {
                 return false;
             }
-            self.targets.insert(target, Known::new(now, at, rate));
+            self.targets
+                .insert(target, TargetRate::new(now, observed_at, rate));
             return true;
         };
-        if at < known.at {
+        if observed_at < rate_state.observed_at {
             return false;
         }
-        let is_news = rate.is_some() != known.rate.is_some();
-        let has_risen = rate > known.rate.map(|rate| rate * RISEN);
-        if is_news {
-            let told = known.told;
-            *known = Known::new(now, at, rate);
-            known.told = told;
+        let has_changed = rate.is_some() != rate_state.rate.is_some();
+        let has_risen = rate > rate_state.rate.map(|rate| rate * RISE_FACTOR);
+        if has_changed {
+            let last_broadcast = rate_state.last_broadcast;
+            *rate_state = TargetRate::new(now, observed_at, rate);
+            rate_state.last_broadcast = last_broadcast;
         }
         if has_risen {
-            known.closed.clear();
-            known.pauses.clear();
+            rate_state.closed_until.clear();
+            rate_state.pauses.clear();
         }
-        known.at = at;
-        known.rate = rate;
-        is_news || has_risen
+        rate_state.observed_at = observed_at;
+        rate_state.rate = rate;
+        has_changed || has_risen
     }
 
-    /// What this host knows of a target.
-    pub fn known(&self, now: Instant, target: u64) -> Option<News> {
-        let known = self.targets.get(&target)?;
-        let age = now.saturating_duration_since(known.at).as_millis();
+    /// Returns the latest rate of a target, to be sent to other hosts.
+    pub fn current_update(&self, now: Instant, target: u64) -> Option<RateUpdate> {
+        let rate_state = self.targets.get(&target)?;
+        let age = now
+            .saturating_duration_since(rate_state.observed_at)
+            .as_millis();
         let age = u32::try_from(age).unwrap_or(u32::MAX);
-        Some(News(target, known.rate.map(|rate| rate as f32), age))
+        Some(RateUpdate(
+            target,
+            rate_state.rate.map(|rate| rate as f32),
+            age,
+        ))
     }
 
-    /// What this host knows of all targets.
-    pub fn news(&self, now: Instant) -> impl Iterator<Item = News> + '_ {
+    /// Returns the latest rates of all targets.
+    pub fn updates(&self, now: Instant) -> impl Iterator<Item = RateUpdate> + '_ {
         self.targets
             .keys()
-            .filter_map(move |target| self.known(now, *target))
+            .filter_map(move |target| self.current_update(now, *target))
     }
 
-    /// The time until a target may get requests, if it gets none now, as all that it takes is given out. Without any of the `hosts`
-    /// that share it out it gets none either.
+    /// Returns the time until a target may receive requests again, or `None` if it may now. A
+    /// target is closed while all of its rate is allocated, and as long as there is no host to
+    /// allocate it.
     pub fn closed_for(
         &self,
         now: Instant,
         target: u64,
-        fit: Fit,
-        hosts: usize,
+        assignment: Assignment,
+        host_count: usize,
     ) -> Option<Duration> {
-        let known = self.targets.get(&target)?;
-        known.rate?;
-        let opens_in = known.opens_in(now, fit);
-        let is_open = known.has_grant(now) || (opens_in.is_zero() && hosts > 0);
+        let rate_state = self.targets.get(&target)?;
+        rate_state.rate?;
+        let opens_in = rate_state.opens_in(now, assignment);
+        let is_open = rate_state.has_grant(now) || (opens_in.is_zero() && host_count > 0);
         (!is_open).then_some(opens_in)
     }
 
-    /// Whether a keeper is not to be asked for now.
-    pub fn is_paused(&self, now: Instant, target: u64, keeper: u64, fit: Fit) -> bool {
-        let known = self.targets.get(&target);
-        let until = known.and_then(|known| known.pauses.get(&(keeper, fit)));
+    /// Whether no claim may be sent to an allocator now.
+    pub fn is_paused(
+        &self,
+        now: Instant,
+        target: u64,
+        allocator: u64,
+        assignment: Assignment,
+    ) -> bool {
+        let rate_state = self.targets.get(&target);
+        let until =
+            rate_state.and_then(|rate_state| rate_state.pauses.get(&(allocator, assignment)));
         until.is_some_and(|until| now < *until)
     }
 
-    /// Closes a target of which no keeper can be asked, until the first one can.
-    pub fn close(&mut self, now: Instant, target: u64, fit: Fit) {
-        let Some(known) = self.targets.get_mut(&target) else {
+    /// Closes a target until the first of its allocators may be asked again.
+    pub fn close(&mut self, now: Instant, target: u64, assignment: Assignment) {
+        let Some(rate_state) = self.targets.get_mut(&target) else {
             return;
         };
-        known.pauses.retain(|_, until| now < *until);
-        let pauses = known.pauses.iter().filter(|((_, of), _)| *of == fit);
-        let first = pauses.map(|(_, until)| *until).min();
-        known.closed.insert(fit, first.unwrap_or(now + SILENT));
+        rate_state.pauses.retain(|_, until| now < *until);
+        let pauses = rate_state
+            .pauses
+            .iter()
+            .filter(|((_, of), _)| *of == assignment);
+        let earliest = pauses.map(|(_, until)| *until).min();
+        rate_state
+            .closed_until
+            .insert(assignment, earliest.unwrap_or(now + FAILURE_PAUSE));
     }
 
-    /// Takes one of the requests that were granted for a target, if there is one.
+    /// Uses one of the requests that were granted for a target. Returns whether there was one.
     pub fn spend(&mut self, now: Instant, target: u64) -> bool {
-        let known = self.targets.get_mut(&target);
-        let Some(known) = known.filter(|known| known.has_grant(now)) else {
+        let rate_state = self.targets.get_mut(&target);
+        let Some(rate_state) = rate_state.filter(|rate_state| rate_state.has_grant(now)) else {
             return false;
         };
-        known.granted.0 -= 1;
+        rate_state.granted.0 -= 1;
         true
     }
 
-    /// Answers a claim, as one of a target's keepers if `is_keeper`, of `hosts` hosts in all.
-    pub fn grant(&mut self, now: Instant, claim: &Claim, is_keeper: bool, hosts: usize) -> Grant {
-        let Claim(number, heard, fit) = claim;
-        self.hear(now, heard);
-        let target = heard.0;
-        let news = self.known(now, target).unwrap_or(*heard);
-        let parts = self.keepers(target, hosts).max(1) as f64;
+    /// Answers a claim, as one of the target's allocators if `is_allocator` is set.
+    pub fn grant(
+        &mut self,
+        now: Instant,
+        claim: &Claim,
+        is_allocator: bool,
+        host_count: usize,
+    ) -> Grant {
+        let Claim(number, claimed, assignment) = claim;
+        self.merge_update(now, claimed);
+        let target = claimed.0;
+        let update = self.current_update(now, target).unwrap_or(*claimed);
+        let allocators = self.allocator_count(target, host_count).max(1) as f64;
         let rate = self.rate(target);
-        let known = self.targets.get_mut(&target);
-        let (Some(known), Some(rate), true) = (known, rate, is_keeper) else {
-            return Grant(*number, news, 0, 0, *fit);
+        let rate_state = self.targets.get_mut(&target);
+        let (Some(rate_state), Some(rate), true) = (rate_state, rate, is_allocator) else {
+            return Grant(*number, update, 0, 0, *assignment);
         };
-        match known.bucket.take(now, rate / parts, *fit, u16::MAX) {
-            Ok(count) => Grant(*number, news, count, 0, *fit),
-            // Rounded up: one who comes back sooner finds nothing.
-            Err(pause) => Grant(*number, news, 0, pause.as_millis() as u32 + 1, *fit),
+        match rate_state
+            .bucket
+            .take(now, rate / allocators, *assignment, u16::MAX)
+        {
+            Ok(count) => Grant(*number, update, count, 0, *assignment),
+            // Rounds up, so that a host that asks again after the pause finds a token.
+            Err(pause) => Grant(
+                *number,
+                update,
+                0,
+                pause.as_millis() as u32 + 1,
+                *assignment,
+            ),
         }
     }
 
-    /// Takes in a keeper's answer to a claim.
-    pub fn granted(&mut self, now: Instant, keeper: u64, grant: &Grant) {
-        let Grant(_, news, count, pause, fit) = grant;
-        self.hear(now, news);
-        let Some(known) = self.targets.get_mut(&news.0) else {
+    /// Records an allocator's answer to a claim.
+    pub fn record_grant(&mut self, now: Instant, allocator: u64, grant: &Grant) {
+        let Grant(_, update, count, pause, assignment) = grant;
+        self.merge_update(now, update);
+        let Some(rate_state) = self.targets.get_mut(&update.0) else {
             return;
         };
         if *count == 0 {
             let pause = match *pause {
-                0 => SILENT,
-                pause => Duration::from_millis(pause.into()).min(LONGEST_PAUSE),
+                0 => FAILURE_PAUSE,
+                pause => Duration::from_millis(pause.into()).min(MAX_PAUSE),
             };
-            known.pauses.insert((keeper, *fit), now + pause);
+            rate_state
+                .pauses
+                .insert((allocator, *assignment), now + pause);
             return;
         }
-        let left = if known.has_grant(now) {
-            known.granted.0
+        let remaining = if rate_state.has_grant(now) {
+            rate_state.granted.0
         } else {
             0
         };
-        known.granted = (left.saturating_add(*count), now + GRANTED);
+        rate_state.granted = (remaining.saturating_add(*count), now + GRANT_LIFETIME);
     }
 
-    /// Notes that a keeper did not answer.
-    pub fn unanswered(&mut self, now: Instant, target: u64, keeper: u64) {
-        if let Some(known) = self.targets.get_mut(&target) {
-            for fit in [Fit::Own, Fit::Spill] {
-                known.pauses.insert((keeper, fit), now + SILENT);
+    /// Records that an allocator did not answer a claim.
+    pub fn record_timeout(&mut self, now: Instant, target: u64, allocator: u64) {
+        if let Some(rate_state) = self.targets.get_mut(&target) {
+            for assignment in [Assignment::Primary, Assignment::Overflow] {
+                rate_state
+                    .pauses
+                    .insert((allocator, assignment), now + FAILURE_PAUSE);
             }
         }
     }
 
-    /// Forgets a target that has left.
+    /// Removes a target that has left.
     pub fn forget(&mut self, target: u64) {
         self.targets.remove(&target);
     }
 
-    /// Forgets what is of no more use; tells whether there was any such target.
+    /// Removes expired pauses and targets. Returns whether a target was removed.
     pub fn expire(&mut self, now: Instant) -> bool {
         let before = self.targets.len();
-        self.targets.retain(|_, known| {
-            known.pauses.retain(|_, until| now < *until);
-            let age = now.saturating_duration_since(known.at);
-            age < if known.rate.is_some() { UNHEARD } else { ENDED }
+        self.targets.retain(|_, rate_state| {
+            rate_state.pauses.retain(|_, until| now < *until);
+            let age = now.saturating_duration_since(rate_state.observed_at);
+            age < if rate_state.rate.is_some() {
+                RATE_RETENTION
+            } else {
+                ENDED_RETENTION
+            }
         });
         self.targets.len() < before
     }
 }
 
-impl Known {
-    fn new(now: Instant, at: Instant, rate: Option<f64>) -> Self {
+impl TargetRate {
+    fn new(now: Instant, observed_at: Instant, rate: Option<f64>) -> Self {
         Self {
             rate,
-            at,
-            told: None,
+            observed_at,
+            last_broadcast: None,
             bucket: Bucket::new(now),
             granted: (0, now),
             pauses: BTreeMap::new(),
-            closed: BTreeMap::new(),
+            closed_until: BTreeMap::new(),
         }
     }
 }
--- a/tests/allowance.rs
+++ b/tests/allowance.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use ragwortfold::account::{Account, Quota};
-use ragwortfold::steer::allowance::{Excess, Ledger, Tally, Teller};
+use ragwortfold::steer::allowance::{AccountUsage, Excess, Ledger, Reporter};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -74,7 +74,7 @@
     incarnation: u64,
     started: Instant,
     to_all: bool,
-    tallies: Vec<Tally>,
+    tallies: Vec<AccountUsage>,
 }
 
 /// Hosts in three regions, and one account.
@@ -176,14 +176,14 @@
                 self.hosts[sent.from].region,
             );
             if let Some(ledger) = &mut self.hosts[sent.to].ledger {
-                let teller = Teller {
+                let teller = Reporter {
                     host: &name,
                     region: &region(from),
                     incarnation: sent.incarnation,
                     age: now.saturating_duration_since(sent.started),
-                    to_all: sent.to_all,
+                    to_all_regions: sent.to_all,
                 };
-                ledger.hear(now, teller, &sent.tallies);
+                ledger.merge_report(now, teller, &sent.tallies);
             }
         }
     }
@@ -193,12 +193,12 @@
         let Some(ledger) = host.ledger.as_mut().filter(|_| host.next <= self.now) else {
             return;
         };
-        host.next = self.now + ledger.interval(self.now);
-        let others = OTHERS * host.weight * ledger.interval(self.now).as_secs_f64();
+        host.next = self.now + ledger.report_interval(self.now);
+        let others = OTHERS * host.weight * ledger.report_interval(self.now).as_secs_f64();
         for _ in 0..others.round() as u32 {
-            let _ = ledger.take(self.now, &self.other);
+            let _ = ledger.admit(self.now, &self.other);
         }
-        let (near, far) = ledger.news(self.now);
+        let (near, far) = ledger.next_reports(self.now);
         let (own, incarnation, is_cut) = (host.region, host.incarnation, host.is_cut(self.now));
         let started = host.started;
         for to in 0..self.hosts.len() {
@@ -247,7 +247,7 @@
             return;
         };
         self.asked += 1;
-        if ledger.take(self.now, &self.account).is_err() {
+        if ledger.admit(self.now, &self.account).is_err() {
             self.refused += 1;
             return;
         }
@@ -261,7 +261,7 @@
 
     /// The most that ran in a window, as a part of what may.
     fn fullest(&self) -> f64 {
-        self.most / EXCESS.most(self.account.quota.unwrap())
+        self.most / EXCESS.max_requests(self.account.quota.unwrap())
     }
 
     fn forget(&mut self) {
@@ -455,7 +455,7 @@
     };
     let mut ledger = Ledger::new(now, EXCESS, region(0), REGIONS, GONE);
     ledger.set_accounts(now, &[Arc::new(free.clone())]);
-    assert!((0..1000).all(|_| ledger.take(now, &free).is_ok()));
+    assert!((0..1000).all(|_| ledger.admit(now, &free).is_ok()));
 }
 
 #[test]
@@ -467,8 +467,8 @@
     ledger.set_accounts(now, std::slice::from_ref(&account));
     let later = now + s(3.0);
     for _ in 0..100 {
-        ledger.take(later, &account).unwrap();
-        ledger.give_back(&account);
+        ledger.admit(later, &account).unwrap();
+        ledger.refund(&account);
     }
 }
 
@@ -482,8 +482,8 @@
     ledger.set_accounts(later, &[account(6.0)]);
     let low = account(6.0);
     let taken = (0..100)
-        .filter(|_| ledger.take(later, &low).is_ok())
+        .filter(|_| ledger.admit(later, &low).is_ok())
         .count();
-    let most = EXCESS.most(low.quota.unwrap());
+    let most = EXCESS.max_requests(low.quota.unwrap());
     assert!(taken as f64 <= most, "{taken} of {most}");
 }
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use ragwortfold::steer::fingerprint::Fingerprint;
-use ragwortfold::steer::quarantine::{Note, Quarantine, Verdict};
+use ragwortfold::steer::quarantine::{Notice, Quarantine, Verdict};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -24,7 +24,7 @@
     let mut end = start;
     for (target, from, until) in tries {
         end = start + ms(*until);
-        host.broke(end, POISON, *target, start + ms(*from));
+        host.record_break(end, POISON, *target, start + ms(*from));
     }
     (host, end)
 }
@@ -35,7 +35,7 @@
         #[test]
         fn $name() {
             let (host, _) = broken(&$tries);
-            assert_eq!((!host.is_free(POISON), host.is_refused(POISON)), ($suspected, $refused));
+            assert_eq!((!host.may_retry(POISON), host.is_refused(POISON)), ($suspected, $refused));
         }
     )*};
 }
@@ -55,48 +55,54 @@
 #[test]
 fn a_suspected_request_is_sent_one_at_a_time() {
     let (mut host, end) = broken(&[(1, 0, 100), (2, 100, 200)]);
-    assert_eq!(host.ask(end + ms(100), POISON).0, Verdict::Wait);
-    assert_eq!(host.ask(end + ms(160), POISON).0, Verdict::Alone);
-    assert_eq!(host.ask(end + ms(170), POISON).0, Verdict::Wait);
-    host.done(POISON);
-    assert_eq!(host.ask(end + ms(180), POISON).0, Verdict::Alone);
-    assert_eq!(host.ask(end + ms(180), POPULAR).0, Verdict::Free);
+    assert_eq!(host.check(end + ms(100), POISON).0, Verdict::Wait);
+    assert_eq!(host.check(end + ms(160), POISON).0, Verdict::Isolated);
+    assert_eq!(host.check(end + ms(170), POISON).0, Verdict::Wait);
+    host.finish(POISON);
+    assert_eq!(host.check(end + ms(180), POISON).0, Verdict::Isolated);
+    assert_eq!(host.check(end + ms(180), POPULAR).0, Verdict::Allowed);
 }
 
 #[test]
 fn an_answer_clears_for_a_while() {
     let (mut host, end) = broken(&[(1, 0, 100), (2, 100, 200)]);
-    assert_eq!(host.answered(end, POISON), Some(Note::Cleared(POISON)));
-    assert_eq!(host.ask(end, POISON).0, Verdict::Free);
+    assert_eq!(
+        host.record_answer(end, POISON),
+        Some(Notice::Cleared(POISON))
+    );
+    assert_eq!(host.check(end, POISON).0, Verdict::Allowed);
     for second in 0..9 {
         let at = end + ms(second * 1000);
-        host.broke(at + ms(500), POISON, second, at);
+        host.record_break(at + ms(500), POISON, second, at);
     }
-    assert!(host.is_free(POISON));
+    assert!(host.may_retry(POISON));
 }
 
 #[test]
 fn a_host_that_had_an_answer_objects() {
     let (host, end) = broken(&[(1, 0, 100), (2, 100, 200)]);
-    let told: Vec<Note> = host.standings(end).collect();
+    let told: Vec<Notice> = host.statuses(end).collect();
     let mut other = Quarantine::new(8);
-    other.answered(end - ms(50), POISON);
-    assert_eq!(other.hear(end, &told[0]).all, Some(Note::Cleared(POISON)));
+    other.record_answer(end - ms(50), POISON);
+    assert_eq!(
+        other.merge(end, &told[0]).to_all,
+        Some(Notice::Cleared(POISON))
+    );
     let mut early = Quarantine::new(9);
-    early.answered(end - ms(150), POISON);
-    assert_eq!(early.hear(end, &told[0]).all, None);
-    assert!(!early.is_free(POISON));
+    early.record_answer(end - ms(150), POISON);
+    assert_eq!(early.merge(end, &told[0]).to_all, None);
+    assert!(!early.may_retry(POISON));
 }
 
 #[test]
 fn a_host_that_is_told_refuses() {
     let (host, end) = broken(&[(1, 0, 100), (2, 100, 200), (3, 400, 500)]);
     let mut other = Quarantine::new(8);
-    for note in host.standings(end) {
-        assert!(other.hear(end, &note).is_new);
-        assert!(!other.hear(end + ms(50), &note).is_new);
+    for note in host.statuses(end) {
+        assert!(other.merge(end, &note).is_new);
+        assert!(!other.merge(end + ms(50), &note).is_new);
     }
-    let (verdict, told) = other.ask(end + ms(100), POISON);
+    let (verdict, told) = other.check(end + ms(100), POISON);
     assert!(
         matches!(verdict, Verdict::Refused(pause) if pause > ms(4000)),
         "{verdict:?}"
@@ -108,29 +114,29 @@
 fn one_host_tries_again_and_ever_less_often() {
     let (mut host, mut now) = broken(&[(1, 0, 100), (2, 100, 200), (3, 400, 500)]);
     let mut other = Quarantine::new(8);
-    for note in host.standings(now) {
-        other.hear(now, &note);
+    for note in host.statuses(now) {
+        other.merge(now, &note);
     }
     for (failures, pause) in [(0, 5), (1, 30), (2, 180), (3, 1080), (4, 3600), (5, 3600)] {
         let early = now + ms(pause * 1000 - 200);
-        assert!(matches!(host.ask(early, POISON).0, Verdict::Refused(_)));
+        assert!(matches!(host.check(early, POISON).0, Verdict::Refused(_)));
         now += ms(pause * 1000 + 2000);
-        let (verdict, told) = host.ask(now, POISON);
-        assert_eq!(verdict, Verdict::Alone, "after {failures} trials");
-        assert!(matches!(host.ask(now, POISON).0, Verdict::Refused(_)));
-        other.hear(now + ms(50), &told.unwrap());
+        let (verdict, told) = host.check(now, POISON);
+        assert_eq!(verdict, Verdict::Isolated, "after {failures} trials");
+        assert!(matches!(host.check(now, POISON).0, Verdict::Refused(_)));
+        other.merge(now + ms(50), &told.unwrap());
         assert!(matches!(
-            other.ask(now + ms(2500), POISON).0,
+            other.check(now + ms(2500), POISON).0,
             Verdict::Refused(_)
         ));
-        let news = host.broke(now + ms(100), POISON, 9, now);
-        other.hear(now + ms(150), &news.all.unwrap());
-        host.done(POISON);
+        let news = host.record_break(now + ms(100), POISON, 9, now);
+        other.merge(now + ms(150), &news.to_all.unwrap());
+        host.finish(POISON);
         now += ms(100);
     }
-    let note = host.answered(now, POISON).unwrap();
-    other.hear(now, &note);
-    assert_eq!(other.ask(now, POISON).0, Verdict::Free);
+    let note = host.record_answer(now, POISON).unwrap();
+    other.merge(now, &note);
+    assert_eq!(other.check(now, POISON).0, Verdict::Allowed);
 }
 
 #[test]
@@ -141,26 +147,26 @@
         let request = Fingerprint(number);
         for target in 0..3 {
             let from = start + ms(target * 400);
-            host.broke(from + ms(100), request, target, from);
+            host.record_break(from + ms(100), request, target, from);
         }
     }
-    assert!(host.standings(start + ms(900)).count() <= 512);
+    assert!(host.statuses(start + ms(900)).count() <= 512);
     host.expire(start + Duration::from_secs(606));
-    assert_eq!(host.standings(start + Duration::from_secs(606)).count(), 0);
+    assert_eq!(host.statuses(start + Duration::from_secs(606)).count(), 0);
 }
 
 #[test]
 fn notes_are_short() {
     let (mut host, end) = broken(&[(u64::MAX, 0, 100), (u64::MAX - 1, 100, 200)]);
-    let length = |note: &Note| {
+    let length = |note: &Notice| {
         let mut bytes = Vec::new();
         ciborium::into_writer(note, &mut bytes).unwrap();
         bytes.len()
     };
-    let broke = Quarantine::new(1).broke(end, POISON, u64::MAX, end - ms(90_000));
-    assert!(length(&broke.counters.unwrap()) <= 40);
-    let refused = host.broke(end + ms(400), POISON, u64::MAX - 2, end + ms(200));
-    assert!(length(&refused.all.unwrap()) <= 70);
+    let broke = Quarantine::new(1).record_break(end, POISON, u64::MAX, end - ms(90_000));
+    assert!(length(&broke.to_counters.unwrap()) <= 40);
+    let refused = host.record_break(end + ms(400), POISON, u64::MAX - 2, end + ms(200));
+    assert!(length(&refused.to_all.unwrap()) <= 70);
 }
 
 /// What happens in a played fleet.
@@ -193,7 +199,7 @@
     /// The processes of targets, and whether they are up.
     targets: Vec<(u64, bool)>,
     events: BTreeMap<(Duration, usize), Event>,
-    notes: BTreeMap<(Duration, usize), (usize, Note)>,
+    notes: BTreeMap<(Duration, usize), (usize, Notice)>,
     tries: BTreeMap<usize, Try>,
     next: usize,
     rng: Pcg64Mcg,
@@ -238,7 +244,7 @@
     }
 
     /// Everybody tells everybody: those who count the crashes are among them.
-    fn tell(&mut self, now: Duration, from: usize, note: Option<Note>) {
+    fn tell(&mut self, now: Duration, from: usize, note: Option<Notice>) {
         let Some(note) = note else {
             return;
         };
@@ -258,8 +264,8 @@
             let note = self.notes.keys().next().copied();
             if let Some(key) = note.filter(|note| event.is_none_or(|event| *note < event)) {
                 let (host, note) = self.notes.remove(&key).unwrap();
-                let heard = self.hosts[host].hear(self.start + key.0, &note);
-                self.tell(key.0, host, heard.all);
+                let heard = self.hosts[host].merge(self.start + key.0, &note);
+                self.tell(key.0, host, heard.to_all);
                 continue;
             }
             let Some(key) = event else {
@@ -290,7 +296,7 @@
         number: usize,
         came: Duration,
     ) {
-        let (verdict, told) = self.hosts[host].ask(self.start + now, request);
+        let (verdict, told) = self.hosts[host].check(self.start + now, request);
         self.tell(now, host, told);
         match verdict {
             Verdict::Refused(_) => {
@@ -306,7 +312,7 @@
             .filter(|target| self.targets[*target].1)
             .collect();
         if up.is_empty() {
-            return self.hosts[host].done(request);
+            return self.hosts[host].finish(request);
         }
         let target = up[self.rng.random_range(0..up.len())];
         if request == POISON {
@@ -337,8 +343,8 @@
             return self.die(now, target);
         }
         let host = &mut self.hosts[one.host];
-        host.done(one.request);
-        let told = host.answered(self.start + now, one.request);
+        host.finish(one.request);
+        let told = host.record_answer(self.start + now, one.request);
         self.tell(now, one.host, told);
     }
 
@@ -355,16 +361,16 @@
             let one = self.tries.remove(&key).unwrap();
             let digest = target as u64 * 1000 + one.process;
             let host = &mut self.hosts[one.host];
-            let news = host.broke(
+            let news = host.record_break(
                 self.start + now,
                 one.request,
                 digest,
                 self.start + one.begun,
             );
-            host.done(one.request);
-            let again = host.is_free(one.request) && one.number == 0;
-            self.tell(now, one.host, news.counters);
-            self.tell(now, one.host, news.all);
+            host.finish(one.request);
+            let again = host.may_retry(one.request) && one.number == 0;
+            self.tell(now, one.host, news.to_counters);
+            self.tell(now, one.host, news.to_all);
             if again {
                 self.at(now, Event::Ask(one.host, one.request, 1, now));
             }
@@ -430,10 +436,10 @@
     let pauses: BTreeSet<Duration> = (0..20)
         .map(|seed| {
             let mut other = Quarantine::new(seed);
-            for note in host.standings(end) {
-                other.hear(end, &note);
+            for note in host.statuses(end) {
+                other.merge(end, &note);
             }
-            match other.ask(end, POISON).0 {
+            match other.check(end, POISON).0 {
                 Verdict::Refused(pause) => pause,
                 verdict => panic!("{verdict:?}"),
             }
--- a/tests/replay/mod.rs
+++ b/tests/replay/mod.rs
@@ -12,7 +12,7 @@
 
 use ragwortfold::inventory::{Registration, State, TargetKey};
 use ragwortfold::steer::fleet::{Ask, End, Fleet, Leave, Load, Refusal, Seen, Switches};
-use ragwortfold::steer::throttle::{Claim, Grant, News};
+use ragwortfold::steer::throttle::{Claim, Grant, RateUpdate};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -208,7 +208,7 @@
     },
     News {
         host: usize,
-        news: News,
+        news: RateUpdate,
     },
     Repeat,
     Learn,
@@ -342,7 +342,7 @@
             host.fleet.register(self.now, site.registration.clone());
         }
         let other = self.hosts.iter().position(|other| other.is_up);
-        let news: Vec<News> = other
+        let news: Vec<RateUpdate> = other
             .map(|other| self.hosts[other].fleet.news(self.now).collect())
             .unwrap_or_default();
         for news in &news {
@@ -663,7 +663,7 @@
     /// Each host repeats what it knows of rates to two others.
     fn repeat(&mut self) {
         for at in 0..self.hosts.len() {
-            let news: Vec<News> = self.hosts[at].fleet.news(self.now).collect();
+            let news: Vec<RateUpdate> = self.hosts[at].fleet.news(self.now).collect();
             self.hosts[at].fleet.expire_rates(self.now);
             if news.is_empty() || !self.hosts[at].is_up {
                 continue;
--- a/tests/throttle.rs
+++ b/tests/throttle.rs
@@ -8,7 +8,7 @@
 
 use ragwortfold::inventory::{Registration, State};
 use ragwortfold::steer::fleet::{Ask, Fleet, Leave};
-use ragwortfold::steer::throttle::{Bucket, Claim, Fit, News, Rate, Throttle};
+use ragwortfold::steer::throttle::{Assignment, Bucket, Claim, Rate, RateUpdate, Throttle};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
@@ -316,15 +316,15 @@
 fn an_answer_that_was_overtaken_changes_nothing() {
     let begun = Instant::now();
     let mut throttle = Throttle::new();
-    assert!(throttle.state(begun, 1, begun, Some(3.0)).is_some());
+    assert!(throttle.observe(begun, 1, begun, Some(3.0)).is_some());
     let later = begun + s(2.0);
-    assert!(throttle.state(later, 1, later - s(0.1), None).is_some());
-    assert_eq!(throttle.state(later, 1, later - s(0.5), Some(3.0)), None);
+    assert!(throttle.observe(later, 1, later - s(0.1), None).is_some());
+    assert_eq!(throttle.observe(later, 1, later - s(0.5), Some(3.0)), None);
     assert_eq!(throttle.rate(1), None);
     // Nor does what another host heard before.
-    assert!(!throttle.hear(later, &News(1, Some(3.0), 500)));
+    assert!(!throttle.merge_update(later, &RateUpdate(1, Some(3.0), 500)));
     assert_eq!(throttle.rate(1), None);
-    assert!(throttle.hear(later + s(1.0), &News(1, Some(3.0), 0)));
+    assert!(throttle.merge_update(later + s(1.0), &RateUpdate(1, Some(3.0), 0)));
     assert_eq!(throttle.rate(1), Some(3.0));
 }
 
@@ -332,9 +332,15 @@
 fn a_keeper_begins_with_nothing() {
     let begun = Instant::now();
     let mut bucket = Bucket::new(begun);
-    assert_eq!(bucket.take(begun, 1.0, Fit::Own, 9), Err(s(1.0)));
-    assert_eq!(bucket.take(begun + s(1.0), 1.0, Fit::Own, 9), Ok(1));
-    assert_eq!(bucket.take(begun + s(1.0), 1.0, Fit::Own, 9), Err(s(1.0)));
+    assert_eq!(bucket.take(begun, 1.0, Assignment::Primary, 9), Err(s(1.0)));
+    assert_eq!(
+        bucket.take(begun + s(1.0), 1.0, Assignment::Primary, 9),
+        Ok(1)
+    );
+    assert_eq!(
+        bucket.take(begun + s(1.0), 1.0, Assignment::Primary, 9),
+        Err(s(1.0))
+    );
 }
 
 #[test]
@@ -342,8 +348,8 @@
     let begun = Instant::now();
     let mut bucket = Bucket::new(begun);
     let woken = begun + s(60.0);
-    assert_eq!(bucket.take(woken, 1.0, Fit::Own, 9), Ok(1));
-    assert!(bucket.take(woken, 1.0, Fit::Own, 9).is_err());
+    assert_eq!(bucket.take(woken, 1.0, Assignment::Primary, 9), Ok(1));
+    assert!(bucket.take(woken, 1.0, Assignment::Primary, 9).is_err());
 }
 
 #[test]
@@ -351,8 +357,11 @@
     let begun = Instant::now();
     let mut bucket = Bucket::new(begun);
     let soon = begun + s(1.0);
-    assert!(bucket.take(soon, 1.0, Fit::Spill, 9).is_err());
-    assert_eq!(bucket.take(soon + s(0.5), 1.0, Fit::Spill, 9), Ok(1));
+    assert!(bucket.take(soon, 1.0, Assignment::Overflow, 9).is_err());
+    assert_eq!(
+        bucket.take(soon + s(0.5), 1.0, Assignment::Overflow, 9),
+        Ok(1)
+    );
 }
 
 /// A target that starts again under its identity knows nothing of before, and nothing that it named holds.
@@ -378,12 +387,15 @@
     let first = register(&mut fleet, 1).unwrap();
     fleet.state(now, first, now, Some(1.0));
     assert_eq!(
-        fleet.leave(now, (first, Fit::Own), &mut rng),
+        fleet.leave(now, (first, Assignment::Primary), &mut rng),
         Leave::Refused
     );
     let second = register(&mut fleet, 2).unwrap();
     assert_ne!(first, second);
-    assert_eq!(fleet.leave(now, (second, Fit::Own), &mut rng), Leave::Given);
+    assert_eq!(
+        fleet.leave(now, (second, Assignment::Primary), &mut rng),
+        Leave::Given
+    );
     assert_eq!(fleet.news(now).count(), 0);
 }
 
@@ -404,7 +416,7 @@
 fn a_host_that_is_no_keeper_grants_nothing() {
     let now = Instant::now();
     let mut throttle = Throttle::new();
-    let claim = Claim(1, News(1, Some(100.0), 0), Fit::Own);
+    let claim = Claim(1, RateUpdate(1, Some(100.0), 0), Assignment::Primary);
     throttle.grant(now, &claim, true, 3);
     let later = now + s(5.0);
     assert_eq!(throttle.grant(later, &claim, false, 3).2, 0);
