--- a/src/entry/metrics.rs
+++ b/src/entry/metrics.rs
@@ -9,7 +9,7 @@
 use prometheus::{Encoder, Registry, TextEncoder};
 
 use super::Error;
-use crate::steer::fleet::Belief;
+use crate::steer::fleet::TargetEstimate;
 
 /// Bounds of latency histograms, in seconds.
 const SECONDS: [f64; 16] = [
@@ -155,14 +155,14 @@
     }
 
     /// What is believed of a target.
-    pub(crate) fn belief(&self, belief: &Belief<'_>) {
+    pub(crate) fn belief(&self, belief: &TargetEstimate<'_>) {
         let labels = [
             text("service", belief.service),
             text("target", belief.target),
         ];
         self.load.record(belief.load, &labels);
-        self.work.record(belief.work, &labels);
-        self.usable.record(belief.is_in.into(), &labels);
+        self.work.record(belief.service_time, &labels);
+        self.usable.record(belief.is_in_use.into(), &labels);
         // A target that is warm may get any rate.
         let rate = belief.cold_rate.unwrap_or(f64::INFINITY);
         self.cold_rate.record(rate, &labels);
--- a/src/host/beat.rs
+++ b/src/host/beat.rs
@@ -274,7 +274,7 @@
             Ok(Datagram::Ask) => beat(&host, &[sender]).await,
             Ok(Datagram::Cold(id, left)) => {
                 let left = Duration::from_millis(left);
-                host.core.borrow_mut().fleet.chill(now(), &id, left);
+                host.core.borrow_mut().fleet.mark_cold(now(), &id, left);
             }
             Ok(Datagram::Tallies(told)) => hear_tallies(&host, sender, &told),
             Ok(Datagram::Notes(notes)) => quarantine::hear(&host, &notes),
--- a/src/host/core.rs
+++ b/src/host/core.rs
@@ -124,9 +124,9 @@
         };
         let gone = entries.iter().filter(|entry| entry.value.is_none());
         let lapsing = match (kind, outage) {
-            (Kind::Targets, Outage::Brief) => {
-                self.fleet.losing_most(gone.map(|entry| &*entry.name))
-            }
+            (Kind::Targets, Outage::Brief) => self
+                .fleet
+                .services_losing_most(gone.map(|entry| &*entry.name)),
             _ => BTreeSet::new(),
         };
         for entry in entries {
@@ -163,7 +163,7 @@
             self.fleet.set_cold_rate(name.clone(), service.cold_rate);
         }
         for (service, goal) in goals {
-            self.fleet.set_goal(service, goal);
+            self.fleet.set_latency_goal(service, goal);
         }
         if let Some(ledger) = &mut self.ledger {
             ledger.set_accounts(now, &accounts);
@@ -225,7 +225,7 @@
             zones = names.join(" ").as_str()
         });
         let cold = self.longest_cold();
-        self.fleet.evacuate(now, zones, cold);
+        self.fleet.set_evacuated_zones(now, zones, cold);
     }
 
     /// Takes in the registrations of hosts, complete.
@@ -274,8 +274,8 @@
             let region = self.presence.region(record);
             (record.host.clone(), region.clone())
         });
-        self.fleet.set_hosts(hosts.collect());
-        self.fleet.set_share(self.presence.share(now));
+        self.fleet.set_live_hosts(hosts.collect());
+        self.fleet.set_caller_share(self.presence.share(now));
         if let Some(ledger) = &mut self.ledger {
             let peers = self.presence.peers();
             let near = peers.filter(|peer| self.presence.is_near(peer));
@@ -283,7 +283,7 @@
         }
         let known = self.presence.peers().count() + 1;
         self.fleet
-            .set_told(self.presence.is_listed().then_some(known));
+            .set_host_count(self.presence.is_listed().then_some(known));
         self.budgets.set_hosts(known);
     }
 
--- a/src/host/exchange.rs
+++ b/src/host/exchange.rs
@@ -25,7 +25,7 @@
 use crate::inventory::{Route, TargetKey};
 use crate::port::{Answer, Head};
 use crate::steer::fingerprint::Fingerprint;
-use crate::steer::fleet::{Ask, End, Member, Refusal, Seen};
+use crate::steer::fleet::{End, Member, Observation, Refusal, TargetQuery};
 use crate::steer::pause::Refused;
 
 /// How long a connection may take to be established: a round trip between regions and a lost
@@ -91,11 +91,11 @@
     pub(crate) digest: u64,
     /// How often the request was sent to other targets before.
     sent: usize,
-    seen: Seen,
+    seen: Observation,
 }
 
 impl Grant {
-    fn new(host: &Rc<Host>, target: TargetKey, seen: Seen) -> Self {
+    fn new(host: &Rc<Host>, target: TargetKey, seen: Observation) -> Self {
         let digest = host.core.borrow().fleet.member(target).map(Member::digest);
         Self {
             digest: digest.unwrap_or_default(),
@@ -127,13 +127,13 @@
         return answer::not_run(host, "no service for this route\n");
     };
     host.core.borrow_mut().budgets.request(now(), &service);
-    let ask = Ask {
+    let ask = TargetQuery {
         service: &service,
-        key: key(&exchange),
+        affinity_key: key(&exchange),
         object: object(&exchange, &service),
         homes: &exchange.admitted.homes,
         tried: Vec::new(),
-        bytes: body.length(),
+        body_bytes: body.length(),
     };
     let mut course = Course {
         host,
@@ -151,7 +151,7 @@
 struct Course<'a> {
     host: &'a Rc<Host>,
     exchange: &'a Exchange,
-    ask: Ask<'a>,
+    ask: TargetQuery<'a>,
     story: Story,
     /// What the caller gets, once that is decided.
     status: Option<StatusCode>,
@@ -195,7 +195,7 @@
             }
             if leave.is_some() {
                 // At a target of its own, where no other suspected request of its object is.
-                ask.key = exchange.fingerprint.0;
+                ask.affinity_key = exchange.fingerprint.0;
                 ask.object = None;
             }
         }
@@ -203,10 +203,10 @@
             Ok(target) => target,
             Err(refusal) => break Stop::Refused(refusal),
         };
-        let seen = Seen {
+        let seen = Observation {
             object: ask.object,
             goal: Some(exchange.route.goal),
-            ..Seen::default()
+            ..Observation::default()
         };
         let mut grant = Grant::new(host, target, seen);
         grant.sent = sent;
@@ -263,7 +263,7 @@
 }
 
 /// When the caller of a request that did not run may come back.
-fn pause(host: &Host, exchange: &Exchange, ask: &Ask<'_>, stop: Stop) -> Duration {
+fn pause(host: &Host, exchange: &Exchange, ask: &TargetQuery<'_>, stop: Stop) -> Duration {
     if let Stop::Quarantined(pause) = stop {
         return pause;
     }
@@ -272,7 +272,7 @@
     }
     let core = &mut *host.core.borrow_mut();
     let room = match stop {
-        Stop::Refused(_) => core.fleet.room_in(now(), ask),
+        Stop::Refused(_) => core.fleet.time_until_room(now(), ask),
         _ => Duration::ZERO,
     };
     let rank = core.table.rank(&exchange.route, &exchange.admitted.caller);
@@ -281,7 +281,7 @@
 
 /// Why a request is not sent once more, if it is not. Taking from the budget comes last, so that
 /// only what is used is taken.
-fn exhausted(host: &Host, exchange: &Exchange, ask: &Ask<'_>, sent: usize) -> Option<Stop> {
+fn exhausted(host: &Host, exchange: &Exchange, ask: &TargetQuery<'_>, sent: usize) -> Option<Stop> {
     let left = exchange.deadline.saturating_duration_since(now());
     if !host
         .core
@@ -306,7 +306,7 @@
 
 /// Why no other target is looked for after one that could not be reached, if none is. Half of the request's time is kept for the
 /// one that is reached.
-fn vain(exchange: &Exchange, ask: &Ask<'_>, sent: usize) -> Option<Stop> {
+fn vain(exchange: &Exchange, ask: &TargetQuery<'_>, sent: usize) -> Option<Stop> {
     let whole = exchange.deadline.saturating_duration_since(exchange.begun);
     if ask.tried.len() >= sent + UNREACHED {
         Some(Stop::Attempts)
@@ -319,7 +319,7 @@
 
 /// Chooses a target to which the request may be sent. One that gives no leave is passed over, so that the next choice is another
 /// one; after [`ASKING`] nobody is asked any more, and only targets are left that need no leave or have given it before.
-async fn choose(host: &Host, ask: &Ask<'_>) -> Result<TargetKey, Refusal> {
+async fn choose(host: &Host, ask: &TargetQuery<'_>) -> Result<TargetKey, Refusal> {
     let until = now() + ASKING;
     let mut ask = ask.clone();
     loop {
@@ -409,7 +409,7 @@
 async fn send(
     host: &Rc<Host>,
     exchange: &Exchange,
-    ask: &Ask<'_>,
+    ask: &TargetQuery<'_>,
     grant: &mut Grant,
     (mut connection, id, body): (Connection, HeaderValue, Part),
 ) -> Outcome {
@@ -419,7 +419,7 @@
         Ok(response) => response,
         Err(outcome) => return outcome,
     };
-    grant.seen.took = Some(now().saturating_duration_since(sent));
+    grant.seen.response_time = Some(now().saturating_duration_since(sent));
     receive(host, exchange, grant, connection, response).await
 }
 
@@ -428,13 +428,13 @@
 async fn wait(
     host: &Host,
     exchange: &Exchange,
-    ask: &Ask<'_>,
+    ask: &TargetQuery<'_>,
     grant: &mut Grant,
     answer: impl Future<Output = Result<Response<Incoming>, Unanswered>>,
 ) -> Result<Response<Incoming>, Outcome> {
     let mut answer = pin!(answer);
     loop {
-        let patience = host.core.borrow().fleet.patience(ask.service);
+        let patience = host.core.borrow().fleet.silence_limit(ask.service);
         let check = now() + patience.unwrap_or(exchange.deadline.saturating_duration_since(now()));
         let until = check.min(exchange.deadline);
         match tokio::time::timeout_at(until.into(), &mut answer).await {
@@ -465,7 +465,7 @@
 }
 
 /// Whether a request that may have run may be sent to another target.
-fn may_repeat(host: &Host, exchange: &Exchange, ask: &Ask<'_>, sent: usize) -> bool {
+fn may_repeat(host: &Host, exchange: &Exchange, ask: &TargetQuery<'_>, sent: usize) -> bool {
     exchange.route.repeat != Repeat::Never
         && exchange.body == Kept::Whole
         && sent + 1 < exchange.route.attempts as usize
@@ -486,7 +486,7 @@
             let begun = now();
             let stream = client::connect(address, patience).await?;
             let took = now().saturating_duration_since(begun);
-            host.core.borrow_mut().fleet.connected(target, took);
+            host.core.borrow_mut().fleet.record_connect(target, took);
             stream
         }
     };
@@ -520,7 +520,7 @@
     record::headers(host, grant.target, &parts.headers);
     let told = (host.platform.wire.answer)(&parts);
     grant.seen.load = told.load;
-    grant.seen.bytes = incoming.size_hint().exact();
+    grant.seen.body_bytes = incoming.size_hint().exact();
     if told.misdirected {
         grant.end = End::Misdirected;
         return Outcome::NotRun;
@@ -620,8 +620,14 @@
     start: Bytes,
     rest: Incoming,
 ) -> Body {
-    host.core.borrow_mut().fleet.hold(now(), grant.target);
+    host.core
+        .borrow_mut()
+        .fleet
+        .count_request(now(), grant.target);
     let running = Running(tokio::task::spawn_local(connection.run()).abort_handle());
-    let held = (running, Grant::new(host, grant.target, Seen::default()));
+    let held = (
+        running,
+        Grant::new(host, grant.target, Observation::default()),
+    );
     body::guarded(body::stream(start, rest, u64::MAX), held)
 }
--- a/src/host/log.rs
+++ b/src/host/log.rs
@@ -16,7 +16,7 @@
 use super::{now, Host};
 use crate::inventory::TargetKey;
 use crate::port::Kind;
-use crate::steer::fleet::Turn;
+use crate::steer::fleet::EjectionChange;
 use crate::steer::quarantine::Notice;
 
 /// Lines that may wait to be written: some seconds of the limits below.
@@ -241,10 +241,10 @@
 }
 
 /// A target is taken out for failures, or is in use again.
-pub(crate) fn turned(id: &str, turn: Turn) {
+pub(crate) fn turned(id: &str, turn: EjectionChange) {
     let event = match turn {
-        Turn::Ejected => Event::Ejected,
-        Turn::Restored => Event::Restored,
+        EjectionChange::Ejected => Event::Ejected,
+        EjectionChange::Restored => Event::Restored,
     };
     spdlog::info!("a target is in use otherwise", kv: { event = event.as_str(), target = id });
 }
--- a/src/host/metrics.rs
+++ b/src/host/metrics.rs
@@ -39,7 +39,7 @@
     for (service, left) in core.budgets.left(now) {
         metrics.repeats(service, left);
     }
-    for belief in core.fleet.beliefs(now) {
+    for belief in core.fleet.estimates(now) {
         metrics.belief(&belief);
     }
     for (kind, at) in &core.told {
--- a/src/host/probe.rs
+++ b/src/host/probe.rs
@@ -48,7 +48,7 @@
     if !core.presence.is_store_doubtful(now()) {
         return Vec::new();
     }
-    let targets = core.fleet.questions();
+    let targets = core.fleet.next_checks();
     let questions = targets.into_iter().filter_map(|target| {
         let member = core.fleet.member(target)?;
         let service = core.table.service(member.service())?;
@@ -86,7 +86,7 @@
         .core
         .borrow_mut()
         .fleet
-        .chill(now(), &question.id, left)
+        .mark_cold(now(), &question.id, left)
     {
         log::cold(&question.id, left);
     }
--- a/src/host/record.rs
+++ b/src/host/record.rs
@@ -11,7 +11,7 @@
 use super::{now, serve, Host};
 use crate::entry::metrics::Sample;
 use crate::inventory::TargetKey;
-use crate::steer::fleet::{Ask, End, Refusal};
+use crate::steer::fleet::{End, Refusal, TargetQuery};
 
 /// Names of unknown headers that are logged at most: whoever writes them may write any.
 const UNKNOWN_HEADERS: usize = 32;
@@ -126,7 +126,7 @@
 pub(crate) fn request(
     host: &Host,
     exchange: &Exchange,
-    ask: &Ask<'_>,
+    ask: &TargetQuery<'_>,
     story: &Story,
     status: Option<StatusCode>,
 ) {
--- a/src/host/throttle.rs
+++ b/src/host/throttle.rs
@@ -14,7 +14,7 @@
 use super::{beat, log, now, Host};
 use crate::inventory::TargetKey;
 use crate::port::Answer;
-use crate::steer::fleet::Leave;
+use crate::steer::fleet::Permission;
 use crate::steer::throttle::{Assignment, Claim, Grant, Rate, RateUpdate};
 
 /// How long a keeper of the own region may take to answer: some round trips between zones, and a busy processor.
@@ -34,23 +34,26 @@
 pub(crate) async fn permit(host: &Host, target: TargetKey, fit: Assignment) -> bool {
     let leave = {
         let core = &mut *host.core.borrow_mut();
-        core.fleet.leave(now(), (target, fit), &mut core.rng)
+        core.fleet
+            .request_permission(now(), (target, fit), &mut core.rng)
     };
     let (keeper, claim) = match leave {
-        Leave::Given => return true,
-        Leave::Refused => return false,
-        Leave::Ask(keeper, claim) => (keeper, claim),
+        Permission::Granted => return true,
+        Permission::Denied => return false,
+        Permission::Ask(keeper, claim) => (keeper, claim),
     };
     ask(host, &keeper, claim).await;
     let core = &mut *host.core.borrow_mut();
-    core.fleet.take_leave(now(), target)
+    core.fleet.use_grant(now(), target)
 }
 
 /// Whether a request may be sent to a target without asking anybody.
 pub(crate) fn has_leave(host: &Host, target: TargetKey, fit: Assignment) -> bool {
     let core = &mut *host.core.borrow_mut();
-    let leave = core.fleet.leave(now(), (target, fit), &mut core.rng);
-    leave == Leave::Given
+    let leave = core
+        .fleet
+        .request_permission(now(), (target, fit), &mut core.rng);
+    leave == Permission::Granted
 }
 
 /// Asks a keeper and waits for its answer, which is taken in as it comes.
@@ -64,7 +67,7 @@
         host.core
             .borrow_mut()
             .fleet
-            .unanswered(now(), keeper, &claim);
+            .record_unanswered_claim(now(), keeper, &claim);
         return;
     };
     let (sender, answered) = oneshot::channel();
@@ -78,7 +81,7 @@
         host.core
             .borrow_mut()
             .fleet
-            .unanswered(now(), keeper, &claim);
+            .record_unanswered_claim(now(), keeper, &claim);
     }
 }
 
@@ -94,7 +97,7 @@
     let Some(keeper) = core.presence.at(sender) else {
         return;
     };
-    core.fleet.granted(now(), &keeper.host, grant);
+    core.fleet.record_grant(now(), &keeper.host, grant);
     let waiting = host.claims.waiting.borrow_mut().remove(&grant.0);
     if let Some(waiting) = waiting {
         // Whoever waited may have given up.
@@ -116,7 +119,7 @@
     };
     let news = {
         let fleet = &mut host.core.borrow_mut().fleet;
-        fleet.state(now(), held.target, held.begun, rate)
+        fleet.observe_rate(now(), held.target, held.begun, rate)
     };
     let Some(news) = news else {
         return;
@@ -135,7 +138,7 @@
 pub(crate) fn hear(host: &Host, news: &[RateUpdate]) {
     let fleet = &mut host.core.borrow_mut().fleet;
     for news in news {
-        if let Some(target) = fleet.hear(now(), news) {
+        if let Some(target) = fleet.merge_rate(now(), news) {
             log::rate(&target, news.1.map(f64::from), "host");
         }
     }
@@ -146,7 +149,7 @@
     let news: Vec<RateUpdate> = {
         let core = &mut *host.core.borrow_mut();
         core.fleet.expire_rates(now());
-        let all = core.fleet.news(now());
+        let all = core.fleet.rate_updates(now());
         all.sample(&mut core.rng, REPEATED)
     };
     if !news.is_empty() {
--- a/src/steer/eject.rs
+++ b/src/steer/eject.rs
@@ -1,50 +1,49 @@
 //! Outlier ejection of one target, with probes before it is used again.
 //!
-//! A target is taken out after failures in a row, for a success rate well under that of the
-//! group, or for a latency well over the group's median. After a time that doubles from one
-//! ejection to the next, single requests probe it. How many targets may be out at once is the
-//! group's rule.
+//! A target is ejected after consecutive failures, for a success rate well below that of the group,
+//! or for a latency well above the group's median. After a time that doubles with each ejection,
+//! single requests probe it. The group limits how many targets may be ejected at once.
 
 use std::time::{Duration, Instant};
 
 use rand::{Rng, RngExt};
 
-/// Failures in a row that take a target out.
-const STREAK: u32 = 3;
-/// The same, for a target that its health endpoint calls down.
-const STREAK_DOWN: u32 = 2;
+/// Consecutive failures after which a target is ejected.
+const FAILURE_STREAK: u32 = 3;
+/// The same for a target that its health endpoint reports as down.
+const FAILURE_STREAK_DOWN: u32 = 2;
 /// Weight of one outcome in the success rate.
 const SUCCESS_WEIGHT: f64 = 0.05;
-/// Outcomes needed to judge the success rate.
-const SUCCESS_SAMPLES: u32 = 20;
-/// How far the success rate may lie under that of the group.
-const SUCCESS_MARGIN: f64 = 0.2;
-/// Answers needed to judge the latency.
-const LATENCY_SAMPLES: u32 = 5;
-/// How far the latency may lie over the group's median, as a factor.
-pub const LATENCY_RATIO: f64 = 3.0;
-/// Good probes in a row that bring a target back.
-const PROBES: u32 = 3;
-/// The first ejection's length.
-const BASE: Duration = Duration::from_secs(1);
-/// Doublings of that length at most.
-const DOUBLINGS: u32 = 6;
-
-/// Where a target stands.
+/// Outcomes needed before the success rate is used.
+const MIN_SUCCESS_SAMPLES: u32 = 20;
+/// Margin by which the success rate may be below that of the group.
+const MAX_SUCCESS_DEFICIT: f64 = 0.2;
+/// Answers needed before the latency is used.
+const MIN_LATENCY_SAMPLES: u32 = 5;
+/// Maximum latency in multiples of the group's median.
+pub const MAX_LATENCY_RATIO: f64 = 3.0;
+/// Consecutive successful probes after which a target is restored.
+const REQUIRED_PROBES: u32 = 3;
+/// Duration of the first ejection.
+const FIRST_EJECTION_TIME: Duration = Duration::from_secs(1);
+/// Maximum number of times that this duration is doubled.
+const MAX_DOUBLINGS: u32 = 6;
+
+/// Ejection state of a target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
     /// In use.
-    In,
-    /// Not used until the given time.
-    Out(Instant),
-    /// Tried with one request at a time; so many went well.
-    Probe(u32),
+    InUse,
+    /// Ejected until the given time.
+    Ejected(Instant),
+    /// Probed with one request at a time; holds the number of successful probes.
+    Probing(u32),
 }
 
-/// What one request showed about its target.
+/// Outcome of one request, as an indication of the state of its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
-    /// It answered in good time.
+pub enum Outcome {
+    /// It answered in time.
     Good,
     /// It answered, but far too slowly.
     Slow,
@@ -52,141 +51,150 @@
     Bad,
 }
 
-/// How a target compares with its group.
+/// Comparison of a target with its group.
 #[derive(Clone, Copy, Debug)]
-pub struct Standing {
-    /// Its latency over the group's median.
-    pub ratio: f64,
-    /// Answers that the latency rests on.
-    pub samples: u32,
-    /// The group's mean success rate, 0 to 1.
-    pub success: f64,
-    /// Whether its health endpoint calls it down.
-    pub down: bool,
+pub struct Comparison {
+    /// Latency in multiples of the group's median.
+    pub latency_ratio: f64,
+    /// Answers from which the latency was measured.
+    pub latency_samples: u32,
+    /// Mean success rate of the group, 0 to 1.
+    pub group_success_rate: f64,
+    /// Whether its health endpoint reports it as down.
+    pub is_down: bool,
     /// Whether it is warming up, when it may be slow.
-    pub cold: bool,
+    pub is_warming_up: bool,
 }
 
-/// The ejection state of one target.
+/// Outlier detection of one target.
 #[derive(Clone, Debug)]
-pub struct Eject {
+pub struct OutlierDetector {
     phase: Phase,
-    streak: u32,
-    round: u32,
-    back: Option<Instant>,
-    success: f64,
-    samples: u32,
+    failure_streak: u32,
+    ejection_count: u32,
+    restored_at: Option<Instant>,
+    success_rate: f64,
+    sample_count: u32,
 }
 
-impl Default for Eject {
+impl Default for OutlierDetector {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Eject {
-    /// A target in use.
+impl OutlierDetector {
+    /// Returns the state of a target in use.
     pub fn new() -> Self {
         Self {
-            phase: Phase::In,
-            streak: 0,
-            round: 0,
-            back: None,
-            success: 1.0,
-            samples: 0,
+            phase: Phase::InUse,
+            failure_streak: 0,
+            ejection_count: 0,
+            restored_at: None,
+            success_rate: 1.0,
+            sample_count: 0,
         }
     }
 
-    /// Whether the target is in ordinary use.
-    pub fn is_in(&self) -> bool {
-        self.phase == Phase::In
+    /// Whether the target is in use, not ejected or probed.
+    pub fn is_in_use(&self) -> bool {
+        self.phase == Phase::InUse
     }
 
-    /// Whether a probe may be sent, if none is under way.
-    pub fn is_due(&self, now: Instant) -> bool {
+    /// Whether a probe may be sent, if none is in flight.
+    pub fn is_probe_due(&self, now: Instant) -> bool {
         match self.phase {
-            Phase::In => false,
-            Phase::Out(until) => now >= until,
-            Phase::Probe(_) => true,
+            Phase::InUse => false,
+            Phase::Ejected(ejected_until) => now >= ejected_until,
+            Phase::Probing(_) => true,
         }
     }
 
-    /// When probes begin, if the target is out.
-    pub fn until(&self) -> Option<Instant> {
+    /// Returns when probes start, if the target is ejected.
+    pub fn ejected_until(&self) -> Option<Instant> {
         match self.phase {
-            Phase::Out(until) => Some(until),
+            Phase::Ejected(ejected_until) => Some(ejected_until),
             _ => None,
         }
     }
 
-    /// The success rate, 0 to 1.
-    pub fn success(&self) -> f64 {
-        self.success
+    /// Returns the success rate, 0 to 1.
+    pub fn success_rate(&self) -> f64 {
+        self.success_rate
     }
 
-    /// Takes in what a request showed.
-    pub fn record(&mut self, sign: Sign) {
-        let bad = sign == Sign::Bad;
-        self.streak = if bad { self.streak + 1 } else { 0 };
-        self.samples = self.samples.saturating_add(1);
-        let value = f64::from(u8::from(!bad));
-        self.success += (value - self.success) * SUCCESS_WEIGHT;
+    /// Records the outcome of a request.
+    pub fn record(&mut self, outcome: Outcome) {
+        let is_failure = outcome == Outcome::Bad;
+        self.failure_streak = if is_failure {
+            self.failure_streak + 1
+        } else {
+            0
+        };
+        self.sample_count = self.sample_count.saturating_add(1);
+        let value = f64::from(u8::from(!is_failure));
+        self.success_rate += (value - self.success_rate) * SUCCESS_WEIGHT;
     }
 
-    /// Whether the target ought to be taken out.
-    pub fn is_outlier(&self, standing: &Standing) -> bool {
-        if !self.is_in() {
+    /// Whether the target should be ejected.
+    pub fn is_outlier(&self, comparison: &Comparison) -> bool {
+        if !self.is_in_use() {
             return false;
         }
-        let streak = if standing.down { STREAK_DOWN } else { STREAK };
-        let fails = self.streak >= streak;
-        let unsteady =
-            self.samples >= SUCCESS_SAMPLES && self.success < standing.success - SUCCESS_MARGIN;
-        let slow =
-            !standing.cold && standing.samples >= LATENCY_SAMPLES && standing.ratio > LATENCY_RATIO;
-        fails || unsteady || slow
+        let failure_streak = if comparison.is_down {
+            FAILURE_STREAK_DOWN
+        } else {
+            FAILURE_STREAK
+        };
+        let has_failure_streak = self.failure_streak >= failure_streak;
+        let has_low_success_rate = self.sample_count >= MIN_SUCCESS_SAMPLES
+            && self.success_rate < comparison.group_success_rate - MAX_SUCCESS_DEFICIT;
+        let is_slow = !comparison.is_warming_up
+            && comparison.latency_samples >= MIN_LATENCY_SAMPLES
+            && comparison.latency_ratio > MAX_LATENCY_RATIO;
+        has_failure_streak || has_low_success_rate || is_slow
     }
 
-    /// Takes the target out.
+    /// Ejects the target.
     pub fn eject(&mut self, now: Instant, rng: &mut impl Rng) {
-        if self
-            .back
-            .is_some_and(|back| now > back + BASE * (1 << self.round.min(DOUBLINGS)) * 4)
-        {
-            self.round = 0;
+        if self.restored_at.is_some_and(|restored_at| {
+            now > restored_at
+                + FIRST_EJECTION_TIME * (1 << self.ejection_count.min(MAX_DOUBLINGS)) * 4
+        }) {
+            self.ejection_count = 0;
         }
-        let length = BASE * (1 << self.round.min(DOUBLINGS));
+        let duration = FIRST_EJECTION_TIME * (1 << self.ejection_count.min(MAX_DOUBLINGS));
         let jitter = rng.random_range(0.9..1.1);
-        self.phase = Phase::Out(now + length.mul_f64(jitter));
-        self.round += 1;
-        self.streak = 0;
-        self.success = 1.0;
-        self.samples = 0;
+        self.phase = Phase::Ejected(now + duration.mul_f64(jitter));
+        self.ejection_count += 1;
+        self.failure_streak = 0;
+        self.success_rate = 1.0;
+        self.sample_count = 0;
     }
 
-    /// Takes in a probe's outcome; says whether the target is in use again.
-    pub fn probe(&mut self, now: Instant, sign: Sign, rng: &mut impl Rng) -> bool {
+    /// Records the outcome of a probe. Returns whether the target was restored.
+    pub fn record_probe(&mut self, now: Instant, outcome: Outcome, rng: &mut impl Rng) -> bool {
         let good = match self.phase {
-            Phase::In => return false,
-            Phase::Out(_) => 0,
-            Phase::Probe(good) => good,
+            Phase::InUse => return false,
+            Phase::Ejected(_) => 0,
+            Phase::Probing(good) => good,
         };
-        if sign != Sign::Good {
+        if outcome != Outcome::Good {
             self.eject(now, rng);
             return false;
         }
-        self.phase = Phase::Probe(good + 1);
-        if good + 1 < PROBES {
+        self.phase = Phase::Probing(good + 1);
+        if good + 1 < REQUIRED_PROBES {
             return false;
         }
         self.restore(now);
         true
     }
 
-    /// Brings the target back, whatever was seen of it.
+    /// Restores the target regardless of the outcomes recorded.
     pub fn restore(&mut self, now: Instant) {
-        self.phase = Phase::In;
-        self.back = Some(now);
-        self.streak = 0;
+        self.phase = Phase::InUse;
+        self.restored_at = Some(now);
+        self.failure_streak = 0;
     }
 }
--- a/src/steer/fleet.rs
+++ b/src/steer/fleet.rs
@@ -1,11 +1,13 @@
-//! The choice of a target for a request, among targets that answer faster for what they handled lately.
+//! Selection of a target for a request, among targets that answer faster for objects that they
+//! handled lately.
 //!
-//! Each affinity key has two targets, by rendezvous hashing over those that may serve it, so that all
-//! hosts agree without a word: one of the own region, and one elsewhere. A request goes to the one
-//! that is expected to answer first, counting the way there, a connection that is still to be opened,
-//! the queue, a first visit to a target that does not have the object, and what the bytes between zones cost. Targets
-//! that are known to have the object may be used beside the two. If all are full it is refused. A third choice whatever
-//! it has was tried and made more targets cold for its key than it relieved.
+//! Each affinity key has two targets, by rendezvous hashing over those that may serve it, so that
+//! all hosts agree without messages: one of the own region, and one elsewhere. A request is sent to
+//! the one that is expected to answer first. That estimate includes the round trip, a connection
+//! that has to be opened, the queue, a first visit to a target that does not have the object
+//! cached, and the cost of bytes between zones. Targets that are known to have the object may be
+//! used in addition to the two. If all are full the request is refused. A third choice regardless
+//! of its cache made more targets cold for its key than it relieved.
 
 mod admission;
 mod charge;
@@ -28,49 +30,50 @@
 use rand::Rng;
 use xxhash_rust::xxh3::xxh3_64;
 
-use self::cold::Peer;
-use self::habit::Habit;
-use self::member::Report;
+use self::cold::FleetHost;
+use self::habit::ServiceStats;
+use self::member::LoadReport;
 use self::ranking::Rankings;
-use self::warmth::Warmth;
+use self::warmth::ObjectLocations;
 use super::drift::Drift;
-use super::eject::{Eject, Sign, Standing};
+use super::eject::{Comparison, Outcome, OutlierDetector};
 use super::throttle::{Assignment, Throttle};
 use crate::border::settings::Switch;
 use crate::inventory::{Keys, Registration, State, TargetKey};
 
-pub use self::charge::{CARETAKERS, LEAST, SPARE};
-pub use self::member::{Belief, Load, Member};
+pub use self::charge::{CHECKERS_PER_TARGET, MAX_CHECK_FACTOR, MIN_CHECKS};
+pub use self::member::{Load, Member, TargetEstimate};
 pub use self::switches::Switches;
-pub use self::throttled::Leave;
+pub use self::throttled::Permission;
 
-/// What is asked for.
+/// A request for which a target is to be selected.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
-    /// The service whose targets are wanted.
+pub struct TargetQuery<'a> {
+    /// Service whose targets may be selected.
     pub service: &'a Arc<str>,
-    /// What the request has in common with others of the same object.
-    pub key: u64,
-    /// The object that it concerns, if targets answer faster for what they handled lately.
+    /// Affinity key, the same for all requests for one object.
+    pub affinity_key: u64,
+    /// Object that the request concerns, if targets answer faster for objects that they handled
+    /// lately.
     pub object: Option<u64>,
-    /// Regions that may serve it; any, if empty.
+    /// Regions that may serve it; any if empty.
     pub homes: &'a BTreeSet<Arc<str>>,
     /// Targets that were tried before.
     pub tried: Vec<TargetKey>,
-    /// The bytes of its body.
-    pub bytes: u64,
+    /// Size of its body in bytes.
+    pub body_bytes: u64,
 }
 
-/// Why no target was chosen.
+/// Why no target was selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// No target may take new requests.
+    /// No target accepts new requests.
     NoTarget,
-    /// Those that may are full.
+    /// All targets that do are full.
     Full,
 }
 
-/// How a request at a target ended, as far as it tells something about the target.
+/// How a request at a target ended, as far as it indicates the state of the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     /// It answered.
@@ -83,92 +86,94 @@
     Misdirected,
     /// No connection to it could be opened.
     Unreached,
-    /// A connection that was kept to it had been closed before the request was sent.
+    /// A pooled connection had been closed before the request was sent.
     Closed,
-    /// It broke off before its answer was whole.
+    /// The connection broke before its answer was complete.
     Broken,
     /// It answered another request.
     Stray,
-    /// It was silent for too long, and this host gave up.
+    /// It sent no answer for too long, and this host gave up.
     Silent,
     /// This host or the caller gave up.
     Cancelled,
 }
 
-/// How the standing of a target changed by what was seen of it.
+/// Change of a target's ejection state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
-    /// It failed too often and gets nothing for a while.
+pub enum EjectionChange {
+    /// It failed too often and receives no requests for a while.
     Ejected,
     /// It is in use again.
     Restored,
 }
 
-/// What was seen of a target while it had a request.
+/// What was observed of a target while it processed a request.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Seen {
-    /// The load that it told.
+pub struct Observation {
+    /// Load that it reported.
     pub load: Option<Load>,
-    /// How long its answer took, on a connection that was open.
-    pub took: Option<Duration>,
-    /// The object that the request concerned, as in [`Ask::object`].
+    /// Time until its answer on an open connection.
+    pub response_time: Option<Duration>,
+    /// Object that the request concerned, as in [`TargetQuery::object`].
     pub object: Option<u64>,
-    /// The time within which an answer is good.
+    /// Latency goal of the request.
     pub goal: Option<Duration>,
-    /// The bytes of its answer's body, if that has come.
-    pub bytes: Option<u64>,
+    /// Size of the answer's body in bytes, if it has arrived.
+    pub body_bytes: Option<u64>,
 }
 
-/// All targets, as one host sees them.
+/// The state of all targets at one host.
 #[derive(Debug)]
 pub struct Fleet {
     zone: Arc<str>,
     region: Arc<str>,
     regions: BTreeMap<Arc<str>, Arc<str>>,
-    /// A round trip to each region, in seconds.
-    ways: BTreeMap<Arc<str>, f64>,
-    /// What requests for each service are like.
-    habits: BTreeMap<Arc<str>, Habit>,
-    warmth: Warmth,
-    keys: Keys,
+    /// Measured round trip to each region, in seconds.
+    round_trips: BTreeMap<Arc<str>, f64>,
+    /// Statistics of each service's requests.
+    service_stats: BTreeMap<Arc<str>, ServiceStats>,
+    object_locations: ObjectLocations,
+    key_allocator: Keys,
     ids: BTreeMap<Arc<str>, TargetKey>,
     members: BTreeMap<TargetKey, Member>,
     services: BTreeMap<Arc<str>, Vec<TargetKey>>,
-    /// For each service, the first targets for keys that were asked for.
+    /// Cached rankings by service.
     rankings: BTreeMap<Arc<str>, Rankings>,
-    /// Targets that were looked at to choose some for requests.
-    looks: Cell<u64>,
-    evacuated: BTreeSet<Arc<str>>,
-    /// For each service, the part of its requests that goes to other regions.
+    /// Number of targets that were inspected during selection.
+    inspected: Cell<u64>,
+    evacuated_zones: BTreeSet<Arc<str>>,
+    /// Share of requests that leave the region, by service.
     drifts: BTreeMap<Arc<str>, Drift>,
     cold_rates: BTreeMap<Arc<str>, f64>,
-    /// For each service, the time within which answers are good.
-    goals: BTreeMap<Arc<str>, Duration>,
-    /// The part of its region's callers that this host gets, if it is one of those in use.
-    share: Option<f64>,
-    /// Hosts that may send to a cold target at the same time, each one request beyond its rate.
-    cold_hosts: usize,
-    own: Peer,
+    /// Latency goals by service.
+    latency_goals: BTreeMap<Arc<str>, Duration>,
+    /// Share of its region's callers that connect to this host, if it is known.
+    caller_share: Option<f64>,
+    /// Maximum number of hosts that may use a cold target at the same time, each with one request
+    /// beyond the rate.
+    max_cold_hosts: usize,
+    own_host: FleetHost,
     switches: Switches,
-    /// Requests that a target was looked for.
-    asked: u64,
-    /// All hosts that are alive, this one among them; empty while that is not known.
-    hosts: Vec<Peer>,
-    /// How many hosts there are, alive or not, once the store or another host told.
-    told: Option<usize>,
-    /// For each service, how many of its targets lapsed.
-    lapsed: BTreeMap<Arc<str>, usize>,
-    /// The target that was asked last whether it is cold.
-    questioned: Option<TargetKey>,
-    /// The rates that targets name.
+    /// Number of selections so far.
+    query_count: u64,
+    /// All live hosts including this one; empty while they are not known.
+    live_hosts: Vec<FleetHost>,
+    /// Number of hosts, live or not, once received from the store or another host.
+    reported_host_count: Option<usize>,
+    /// Number of lapsed targets by service.
+    lapsed_counts: BTreeMap<Arc<str>, usize>,
+    /// Target that was last asked whether it is cold.
+    last_checked: Option<TargetKey>,
+    /// Rates that targets name.
     throttle: Throttle,
-    /// Numbers the claims of this host.
-    claims: u32,
+    /// Sequence number of this host's last claim.
+    claim_count: u32,
 }
 
 impl Fleet {
-    /// No targets yet, for the host `name` in `zone`; `regions` gives the region of each
-    /// availability zone, `cold_burst` what a cold target bears at once beyond its rate.
+    /// Returns a fleet without targets for the host `name` in `zone`. `regions` maps availability
+    /// zones to regions; `cold_burst` is the number of requests that a cold target can take at once
+    /// beyond its rate.
     pub fn new(
         now: Instant,
         name: Arc<str>,
@@ -177,49 +182,49 @@
         cold_burst: f64,
     ) -> Self {
         let region = regions.get(&zone).unwrap_or(&zone).clone();
-        let own = Peer::new(name, region.clone());
+        let own_host = FleetHost::new(name, region.clone());
         Self {
             zone,
-            ways: BTreeMap::new(),
-            habits: BTreeMap::new(),
-            warmth: Warmth::new(now),
+            round_trips: BTreeMap::new(),
+            service_stats: BTreeMap::new(),
+            object_locations: ObjectLocations::new(now),
             cold_rates: BTreeMap::new(),
-            goals: BTreeMap::new(),
-            share: None,
-            cold_hosts: (cold_burst as usize).max(1),
-            hosts: Vec::new(),
-            told: None,
-            questioned: None,
+            latency_goals: BTreeMap::new(),
+            caller_share: None,
+            max_cold_hosts: (cold_burst as usize).max(1),
+            live_hosts: Vec::new(),
+            reported_host_count: None,
+            last_checked: None,
             throttle: Throttle::new(),
-            claims: 0,
-            lapsed: BTreeMap::new(),
-            own,
+            claim_count: 0,
+            lapsed_counts: BTreeMap::new(),
+            own_host,
             switches: Switches::default(),
-            asked: 0,
+            query_count: 0,
             region,
             regions,
-            keys: Keys::default(),
+            key_allocator: Keys::default(),
             ids: BTreeMap::new(),
             members: BTreeMap::new(),
             services: BTreeMap::new(),
             rankings: BTreeMap::new(),
-            looks: Cell::new(0),
-            evacuated: BTreeSet::new(),
+            inspected: Cell::new(0),
+            evacuated_zones: BTreeSet::new(),
             drifts: BTreeMap::new(),
         }
     }
 
-    /// Without some mechanisms.
+    /// Sets which mechanisms are on.
     pub fn with_switches(mut self, switches: Switches) -> Self {
         self.switches = switches;
         self
     }
 
-    /// Takes in what a target says of itself. News of an earlier process than the one that is known
-    /// changes nothing; a later one under the same identity is another target.
+    /// Adds a target or updates its registration. A registration of an earlier process than the
+    /// known one is ignored; a later process of the same identity is another target.
     pub fn register(&mut self, now: Instant, registration: impl Into<Arc<Registration>>) {
         let registration = registration.into();
-        let cold = Some(registration.cold_left)
+        let cold_until = Some(registration.cold_left)
             .filter(|left| !left.is_zero())
             .map(|left| now + left);
         let known = self.ids.get(&registration.id);
@@ -228,14 +233,14 @@
                 return;
             }
             if registration.is_same_process(&member.registration) {
-                member.cold_until = cold;
-                if member.lapsed.take().is_some() {
-                    count_return(&mut self.lapsed, &registration.service);
+                member.cold_until = cold_until;
+                if member.lapsed_until.take().is_some() {
+                    count_return(&mut self.lapsed_counts, &registration.service);
                 }
                 member.registration = registration;
                 return;
             }
-            // Nothing that was seen of the former process holds for this one, and its requests and
+            // No observation of the previous process applies to this one, and its requests and
             // connections end with its key.
             self.withdraw(&registration.id);
         }
@@ -244,33 +249,33 @@
             .get(&registration.zone)
             .unwrap_or(&registration.zone)
             .clone();
-        let key = self.keys.take();
+        let key = self.key_allocator.take();
         self.ids.insert(registration.id.clone(), key);
         self.services
             .entry(registration.service.clone())
             .or_default()
             .push(key);
         let member = Member {
-            is_near: region == self.region,
+            is_local: region == self.region,
             region,
             seed: xxh3_64(registration.id.as_bytes()),
             registration,
             in_flight: 0,
             report: None,
-            cold_until: cold,
-            cold_token: None,
-            eject: Eject::new(),
-            lapsed: None,
-            misdirected: false,
-            work: None,
-            unheard: None,
-            unreached: None,
+            cold_until,
+            last_cold_request: None,
+            outlier_detector: OutlierDetector::new(),
+            lapsed_until: None,
+            is_misdirected: false,
+            service_time: None,
+            silent_since: None,
+            connect_failed_at: None,
         };
         self.members.insert(key, member);
-        self.join_rankings(key);
+        self.add_to_rankings(key);
     }
 
-    /// Forgets a target that has left.
+    /// Removes a target that has left.
     pub fn withdraw(&mut self, id: &str) {
         let Some(key) = self.ids.remove(id) else {
             return;
@@ -278,34 +283,40 @@
         let Some(member) = self.members.remove(&key) else {
             return;
         };
-        if member.lapsed.is_some() {
-            count_return(&mut self.lapsed, member.service());
+        if member.lapsed_until.is_some() {
+            count_return(&mut self.lapsed_counts, member.service());
         }
         self.throttle.forget(member.digest());
         if let Some(keys) = self.services.get_mut(member.service()) {
             keys.retain(|other| *other != key);
         }
-        self.leave_rankings(member.service(), key);
+        self.remove_from_rankings(member.service(), key);
     }
 
-    /// The service of a target.
+    /// Returns the service of a target.
     pub fn service_of(&self, id: &str) -> Option<&Arc<str>> {
         let member = self.members.get(self.ids.get(id)?)?;
         Some(member.service())
     }
 
-    /// Services that lose most of the targets that did not say that they leave, if those of these identities go. So many don't
-    /// leave at once.
-    pub fn losing_most<'a>(&self, ids: impl Iterator<Item = &'a str>) -> BTreeSet<Arc<str>> {
-        let going: BTreeSet<_> = ids.filter_map(|id| self.ids.get(id)).collect();
-        let stays = |key: &&TargetKey| {
+    /// Returns the services that would lose most of their targets that are not draining if the
+    /// targets `ids` were removed. So many targets do not leave at once.
+    pub fn services_losing_most<'a>(
+        &self,
+        ids: impl Iterator<Item = &'a str>,
+    ) -> BTreeSet<Arc<str>> {
+        let leaving: BTreeSet<_> = ids.filter_map(|id| self.ids.get(id)).collect();
+        let is_staying = |key: &&TargetKey| {
             let member = self.members.get(key);
             member.is_some_and(|member| member.registration.state != State::Draining)
         };
         let loses_most = |keys: &[TargetKey]| {
-            let all = keys.iter().filter(stays).count();
-            let going = keys.iter().filter(stays).filter(|key| going.contains(key));
-            2 * going.count() > all
+            let total = keys.iter().filter(is_staying).count();
+            let leaving = keys
+                .iter()
+                .filter(is_staying)
+                .filter(|key| leaving.contains(key));
+            2 * leaving.count() > total
         };
         let services = self.services.iter();
         services
@@ -314,132 +325,142 @@
             .collect()
     }
 
-    /// Keeps a target whose registration ran out while the store was away; it is forgotten at
+    /// Keeps a target whose registration expired while the store was unavailable; it is removed at
     /// `until` unless it registers again.
     pub fn lapse(&mut self, id: &str, until: Instant) {
         let key = self.ids.get(id);
         if let Some(member) = key.and_then(|key| self.members.get_mut(key)) {
-            if member.lapsed.is_none() {
-                *self.lapsed.entry(member.service().clone()).or_default() += 1;
+            if member.lapsed_until.is_none() {
+                *self
+                    .lapsed_counts
+                    .entry(member.service().clone())
+                    .or_default() += 1;
             }
-            member.lapsed.get_or_insert(until);
+            member.lapsed_until.get_or_insert(until);
         }
     }
 
-    /// Forgets targets that lapsed and did not come back.
+    /// Removes lapsed targets that did not register again, and returns their identities.
     pub fn expire(&mut self, now: Instant) -> Vec<Arc<str>> {
-        if self.lapsed.values().all(|count| *count == 0) {
+        if self.lapsed_counts.values().all(|count| *count == 0) {
             return Vec::new();
         }
-        let over: Vec<_> = self
+        let expired: Vec<_> = self
             .members
             .values()
-            .filter(|member| member.lapsed.is_some_and(|until| now >= until))
+            .filter(|member| member.lapsed_until.is_some_and(|until| now >= until))
             .map(|member| member.id().clone())
             .collect();
-        for id in &over {
+        for id in &expired {
             self.withdraw(id);
         }
-        over
+        expired
     }
 
-    /// How many targets were looked at to choose some for requests.
-    pub fn looks(&self) -> u64 {
-        self.looks.get()
+    /// Returns how many targets were inspected during selection.
+    pub fn inspected_targets(&self) -> u64 {
+        self.inspected.get()
     }
 
-    /// The identities of all known targets.
+    /// Returns the identities of all targets.
     pub fn ids(&self) -> impl Iterator<Item = &Arc<str>> {
         self.ids.keys()
     }
 
-    /// Sets the availability zones that are to get nothing. Targets of a zone that is taken back may
-    /// have been cold for a while without saying so.
-    pub fn evacuate(&mut self, now: Instant, zones: BTreeSet<Arc<str>>, cold: Duration) {
+    /// Sets the availability zones that receive no requests. Targets of a zone that is removed from
+    /// the set may be cold without reporting it, and count as cold for `cold_time`.
+    pub fn set_evacuated_zones(
+        &mut self,
+        now: Instant,
+        zones: BTreeSet<Arc<str>>,
+        cold_time: Duration,
+    ) {
         for member in self.members.values_mut() {
             let zone = &member.registration.zone;
-            if self.evacuated.contains(zone) && !zones.contains(zone) {
-                member.cold_until = Some(now + cold);
+            if self.evacuated_zones.contains(zone) && !zones.contains(zone) {
+                member.cold_until = Some(now + cold_time);
             }
         }
-        self.evacuated = zones;
+        self.evacuated_zones = zones;
     }
 
-    /// The availability zones that are to get nothing.
-    pub fn evacuated(&self) -> &BTreeSet<Arc<str>> {
-        &self.evacuated
+    /// Returns the availability zones that receive no requests.
+    pub fn evacuated_zones(&self) -> &BTreeSet<Arc<str>> {
+        &self.evacuated_zones
     }
 
-    /// Sets the time within which answers of a service are good.
-    pub fn set_goal(&mut self, service: Arc<str>, goal: Duration) {
-        self.goals.insert(service, goal);
+    /// Sets the latency goal of a service.
+    pub fn set_latency_goal(&mut self, service: Arc<str>, latency_goal: Duration) {
+        self.latency_goals.insert(service, latency_goal);
     }
 
-    /// Sets the part of its region's callers that this host gets; nothing if it is not known.
-    pub fn set_share(&mut self, share: Option<f64>) {
-        self.share = share;
+    /// Sets the share of its region's callers that connect to this host; `None` if it is not known.
+    pub fn set_caller_share(&mut self, caller_share: Option<f64>) {
+        self.caller_share = caller_share;
     }
 
-    /// Counts one more request at a target until [`Fleet::finish`].
-    pub fn hold(&mut self, now: Instant, key: TargetKey) {
+    /// Counts a request at a target until [`Fleet::finish`].
+    pub fn count_request(&mut self, now: Instant, key: TargetKey) {
         if let Some(member) = self.members.get_mut(&key) {
-            member.begin(now);
+            member.begin_request(now);
         }
     }
 
-    /// Chooses a target and counts the request there until [`Fleet::finish`], whatever rate the target names.
+    /// Selects a target and counts the request there until [`Fleet::finish`], regardless of the
+    /// rate that the target names.
     ///
-    /// `connected` tells whether there is an idle connection to a target.
+    /// `is_connected` returns whether there is an idle connection to a target.
     pub fn choose(
         &mut self,
         now: Instant,
-        ask: &Ask<'_>,
-        connected: impl Fn(TargetKey) -> bool,
+        query: &TargetQuery<'_>,
+        is_connected: impl Fn(TargetKey) -> bool,
     ) -> Result<TargetKey, Refusal> {
-        let (chosen, _) = self.propose(now, ask, connected)?;
-        self.begin(now, ask, chosen);
+        let (chosen, _) = self.propose(now, query, is_connected)?;
+        self.begin(now, query, chosen);
         Ok(chosen)
     }
 
-    /// Chooses a target, and tells what the request has to do with it. It may be sent there if [`Fleet::leave`] says so.
+    /// Selects a target, and returns why the request may be sent there.
+    /// [`Fleet::request_permission`] has to permit sending it.
     pub fn propose(
         &mut self,
         now: Instant,
-        ask: &Ask<'_>,
-        connected: impl Fn(TargetKey) -> bool,
+        query: &TargetQuery<'_>,
+        is_connected: impl Fn(TargetKey) -> bool,
     ) -> Result<(TargetKey, Assignment), Refusal> {
-        self.asked += 1;
-        self.pick(now, ask, connected)
+        self.query_count += 1;
+        self.pick(now, query, is_connected)
     }
 
-    /// Counts a request at the target that was chosen for it until [`Fleet::finish`].
-    pub fn begin(&mut self, now: Instant, ask: &Ask<'_>, chosen: TargetKey) {
+    /// Counts a request at the target that was selected for it until [`Fleet::finish`].
+    pub fn begin(&mut self, now: Instant, query: &TargetQuery<'_>, chosen: TargetKey) {
         if let Some(member) = self.members.get_mut(&chosen) {
-            // Requests that may not choose their region say nothing of what those that may do.
-            let drift = self.drifts.get_mut(ask.service);
-            if let Some(drift) = drift.filter(|_| ask.homes.is_empty()) {
+            // Requests that are bound to regions are no measure of the drift of the others.
+            let drift = self.drifts.get_mut(query.service);
+            if let Some(drift) = drift.filter(|_| query.homes.is_empty()) {
                 drift.count(now, member.region != self.region);
             }
-            member.begin(now);
+            member.begin_request(now);
             if member.is_cold(now) {
-                member.cold_token = Some(now);
+                member.last_cold_request = Some(now);
             }
         }
     }
 
-    /// The targets that a request may use now and what they are believed to have, for the log.
-    pub fn explain(&self, now: Instant, ask: &Ask<'_>) -> String {
-        let choices = self.first_choices(now, ask);
-        let told = choices.keys().filter_map(|key| {
+    /// Describes the first choices of a request and their estimated load, for the log.
+    pub fn explain(&self, now: Instant, query: &TargetQuery<'_>) -> String {
+        let choices = self.first_choices(now, query);
+        let descriptions = choices.keys().filter_map(|key| {
             let member = self.members.get(&key)?;
             let report = member.report.map_or("never".into(), |report| {
-                let age = now.saturating_duration_since(report.at);
+                let age = now.saturating_duration_since(report.received);
                 format!("{} ms ago", age.as_millis())
             });
             let rate = self.throttle.rate(member.digest());
             let rate = rate.map_or(String::new(), |rate| format!(", takes {rate} a second"));
             Some(format!(
-                "{} in {} has {:.1} of {} slots, {} of this host, told {report}{rate}",
+                "{} in {} has {:.1} of {} slots, {} of this host, load reported {report}{rate}",
                 member.id(),
                 member.region,
                 member.load(now),
@@ -447,110 +468,110 @@
                 member.in_flight,
             ))
         });
-        told.collect::<Vec<_>>().join("; ")
+        descriptions.collect::<Vec<_>>().join("; ")
     }
 
-    /// What is believed of each target now, for metrics.
-    pub fn beliefs(&self, now: Instant) -> impl Iterator<Item = Belief<'_>> {
-        self.members.values().map(move |member| Belief {
+    /// Returns the estimated state of each target, for metrics.
+    pub fn estimates(&self, now: Instant) -> impl Iterator<Item = TargetEstimate<'_>> {
+        self.members.values().map(move |member| TargetEstimate {
             target: member.id(),
             service: member.service(),
             load: member.load(now),
-            work: member.work(now, self.habit(member.service()).work),
-            is_in: member.eject.is_in(),
+            service_time: member.service_time(now, self.stats(member.service()).service_time),
+            is_in_use: member.outlier_detector.is_in_use(),
             rate: self.throttle.rate(member.digest()),
             cold_rate: member.is_cold(now).then(|| self.cold_rate(member)),
         })
     }
 
-    /// A target that is still known.
+    /// Returns a target, unless it was removed.
     pub fn member(&self, key: TargetKey) -> Option<&Member> {
         self.members.get(&key)
     }
 
-    /// Whether one more target of the same service and region may be taken out: most have to stay,
-    /// since what makes all of them fail is not cured by using none.
+    /// Whether another target of the same service and region may be ejected. Most have to stay: if
+    /// all of them fail, ejecting them does not remove the cause.
     fn may_eject(&self, key: TargetKey) -> bool {
         let Some(member) = self.members.get(&key) else {
             return false;
         };
         let keys = self.services.get(member.service()).into_iter().flatten();
-        let near = keys
+        let same_region = keys
             .filter_map(|key| self.members.get(key))
             .filter(|other| other.region == member.region);
-        let (mut all, mut out) = (0, 0);
-        for other in near {
-            all += 1;
-            out += usize::from(!other.eject.is_in());
+        let (mut total, mut ejected) = (0, 0);
+        for other in same_region {
+            total += 1;
+            ejected += usize::from(!other.outlier_detector.is_in_use());
         }
-        (out + 1) * 2 <= all
+        (ejected + 1) * 2 <= total
     }
 
-    /// Takes in how a request ended; tells whether that changed how its target stands.
+    /// Records how a request ended. Returns the change of its target's ejection state, if any.
     pub fn finish(
         &mut self,
         now: Instant,
         key: TargetKey,
         end: End,
-        seen: Seen,
+        observation: Observation,
         rng: &mut impl Rng,
-    ) -> Option<Turn> {
-        if let (End::Answered, Some(took)) = (end, seen.took) {
-            self.worked(now, key, took, &seen);
+    ) -> Option<EjectionChange> {
+        if let (End::Answered, Some(response_time)) = (end, observation.response_time) {
+            self.record_answer(now, key, response_time, &observation);
         }
-        let load = seen.load;
+        let load = observation.load;
         let member = self.members.get_mut(&key)?;
         member.in_flight = member.in_flight.saturating_sub(1);
         if end != End::Cancelled && end != End::Silent {
-            member.unheard = Some(now);
+            member.silent_since = Some(now);
         }
         match end {
-            End::Unreached => member.unreached = Some(now),
+            End::Unreached => member.connect_failed_at = Some(now),
             End::Cancelled | End::Silent => {}
-            _ => member.unreached = None,
+            _ => member.connect_failed_at = None,
         }
         if let Some(load) = load {
             let total = load.running + load.waiting;
-            member.report = Some(Report {
-                at: now,
-                others: total.saturating_sub(member.in_flight),
+            member.report = Some(LoadReport {
+                received: now,
+                other_requests: total.saturating_sub(member.in_flight),
             });
         }
-        let sign = match end {
-            End::Answered => Sign::Good,
+        let outcome = match end {
+            End::Answered => Outcome::Good,
             End::Failed | End::Unreached | End::Closed | End::Broken | End::Stray | End::Silent => {
-                Sign::Bad
+                Outcome::Bad
             }
             End::Misdirected => {
-                member.misdirected = true;
+                member.is_misdirected = true;
                 return None;
             }
             End::Refused | End::Cancelled => return None,
         };
-        if !member.eject.is_in() {
-            let restored = member.eject.probe(now, sign, rng);
-            return restored.then_some(Turn::Restored);
+        if !member.outlier_detector.is_in_use() {
+            let restored = member.outlier_detector.record_probe(now, outcome, rng);
+            return restored.then_some(EjectionChange::Restored);
         }
-        member.eject.record(sign);
-        let standing = Standing {
-            ratio: 1.0,
-            samples: 0,
-            success: 1.0,
-            down: false,
-            cold: member.is_cold(now),
+        member.outlier_detector.record(outcome);
+        let comparison = Comparison {
+            latency_ratio: 1.0,
+            latency_samples: 0,
+            group_success_rate: 1.0,
+            is_down: false,
+            is_warming_up: member.is_cold(now),
         };
-        let is_outlier = member.eject.is_outlier(&standing);
+        let is_outlier = member.outlier_detector.is_outlier(&comparison);
         if !is_outlier || self.switches.ejection == Switch::Off || !self.may_eject(key) {
             return None;
         }
-        self.members.get_mut(&key)?.eject.eject(now, rng);
-        Some(Turn::Ejected)
+        self.members.get_mut(&key)?.outlier_detector.eject(now, rng);
+        Some(EjectionChange::Ejected)
     }
 }
 
-/// One of the lapsed targets of a service is here again, or forgotten.
-fn count_return(lapsed: &mut BTreeMap<Arc<str>, usize>, service: &Arc<str>) {
-    if let Some(count) = lapsed.get_mut(service) {
+/// Counts a lapsed target of a service that has returned or was removed.
+fn count_return(lapsed_counts: &mut BTreeMap<Arc<str>, usize>, service: &Arc<str>) {
+    if let Some(count) = lapsed_counts.get_mut(service) {
         *count = count.saturating_sub(1);
     }
 }
--- a/src/steer/fleet/choice.rs
+++ b/src/steer/fleet/choice.rs
@@ -1,7 +1,8 @@
-//! Which targets a request may use, and which of them takes it.
+//! Selection of the target of a request among the targets that it may use.
 //!
-//! The first of the own region and the first elsewhere by rendezvous hashing, and those that are known to have the object.
-//! Where both regions could take a request, its part that goes away moves slowly.
+//! These are the first target of the own region and the first one elsewhere by rendezvous hashing,
+//! and targets that are known to have the object cached. Where both regions could serve a request,
+//! the share that leaves the region changes slowly.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,127 +11,132 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::member::Member;
-use super::ranking::draw;
-use super::{Ask, Fleet, Refusal};
+use super::ranking::rendezvous_weight;
+use super::{Fleet, Refusal, TargetQuery};
 use crate::border::settings::Switch;
 use crate::inventory::{State, TargetKey};
 use crate::steer::drift::Drift;
 use crate::steer::throttle::Assignment;
 
-/// The part of its missing slots for which a region sends requests elsewhere from the start. Not
-/// all: regions need not have the same load, and what turns out to be too much comes back. With
-/// 0.6 some 22 of 100 requests still changed their region within 2 s after the start, without it 39.
-const LACKING: f64 = 0.9;
-/// How many times the time within which an answer is good the first visit of an object takes, at the most.
-const FIRST_VISIT: f64 = 2.0;
-/// The part of its slots that a region may need and still has plenty.
-const PLENTY: f64 = 0.5;
-/// The part of its slots up to which a target gets requests beyond those for which it is the first choice, as it has
-/// their objects. A busier one gives them up, so that the load spreads again: without this bound the days with
-/// most queues lost 0.005 of their worth, with it calm days gain 0.003.
-const AT_EASE: f64 = 0.7;
-/// The part of a service's targets that may be missing in the store to count as having left.
-const FEW: f64 = 0.1;
+/// Share of its missing slots for which a region sends requests elsewhere from the start. It is
+/// below one because regions need not have the same load, and a surplus returns. With 0.6 some 22
+/// of 100 requests still changed their region within 2 s after the start, without it 39.
+const MISSING_SLOTS_SHARE: f64 = 0.9;
+/// Upper bound of the time of an object's first visit, in multiples of the latency goal.
+const FIRST_VISIT_GOALS: f64 = 2.0;
+/// Share of a region's slots that its requests may need while it still has ample capacity.
+const LOW_USE_SHARE: f64 = 0.5;
+/// Load up to which a target receives requests because it has their objects cached, beyond those
+/// for which it is the first choice, as a share of its slots. A busier target gives them up, so
+/// that the load spreads again: without this bound the days with the longest queues lost 0.005 of
+/// their value, with it calm days gain 0.003.
+const MAX_CACHED_LOAD: f64 = 0.7;
+/// Share of a service's targets up to which targets missing in the store are taken to have left.
+const MAX_DEPARTED_SHARE: f64 = 0.1;
 
-/// The targets that a request may use by its key, and what there is beside them.
+/// The targets that a request may use by its key, and related state of their regions.
 pub(super) struct Choices {
-    /// The first of the own region.
-    pub(super) near: Option<TargetKey>,
-    /// The first elsewhere.
-    pub(super) far: Option<TargetKey>,
-    /// Those of them that a request comes to only because others take no more.
-    spills: Vec<TargetKey>,
-    /// Slots of all targets of the own region that may be used, also of those that get nothing just now by their rates: a
-    /// rate moves by the moment, and what is not sent there is no loss that may leave the region at once.
-    slots: u32,
-    /// Whether targets of the own region get nothing just now by their rates.
-    is_near_closed: bool,
-    /// When the first target that gets nothing just now by its rate may get something.
+    /// First target of the own region.
+    pub(super) local: Option<TargetKey>,
+    /// First target of other regions.
+    pub(super) remote: Option<TargetKey>,
+    /// Those of them that a request uses only because preferred targets accept no more.
+    overflow: Vec<TargetKey>,
+    /// Slots of all usable targets of the own region, including those that are closed by their
+    /// rates: rates change from moment to moment, and closed targets do not count as lost slots,
+    /// which would let requests leave the region at once.
+    local_slots: u32,
+    /// Whether targets of the own region are closed by their rates.
+    is_local_closed: bool,
+    /// Time until the first target that is closed by its rate may open.
     opens_in: Option<Duration>,
 }
 
 impl Choices {
-    /// Both, where there are such.
+    /// Returns the first choices that exist.
     pub(super) fn keys(&self) -> impl Iterator<Item = TargetKey> {
-        self.near.into_iter().chain(self.far)
+        self.local.into_iter().chain(self.remote)
     }
 }
 
-/// The targets of a region in the order of rendezvous hashing, as far as it matters.
+/// Targets of a region in the order of rendezvous hashing, as far as it is needed.
 #[derive(Default)]
 struct Ranked {
-    /// The first one, and whether it names the rate that it takes.
+    /// First target, and whether it names a rate.
     first: Option<(u64, TargetKey, bool)>,
-    /// The first one that names none.
-    free: Option<(u64, TargetKey)>,
-    /// All that name one.
+    /// First target that names no rate.
+    unlimited: Option<(u64, TargetKey)>,
+    /// All targets that name a rate.
     limited: Vec<(u64, TargetKey)>,
 }
 
 impl Ranked {
-    fn add(&mut self, draw: u64, key: TargetKey, is_limited: bool) {
-        self.first = self.first.max(Some((draw, key, is_limited)));
+    /// Adds a target with its rendezvous weight.
+    fn add(&mut self, weight: u64, key: TargetKey, is_limited: bool) {
+        self.first = self.first.max(Some((weight, key, is_limited)));
         if is_limited {
-            self.limited.push((draw, key));
+            self.limited.push((weight, key));
         } else {
-            self.free = self.free.max(Some((draw, key)));
+            self.unlimited = self.unlimited.max(Some((weight, key)));
         }
     }
 }
 
-/// What is remembered does not tell.
-struct Unclear;
+/// The stored ranking does not determine the choices.
+struct Inconclusive;
 
-/// Why targets of a service may be passed over that are open otherwise.
-struct Doubts {
-    /// How long they may be silent.
-    patience: Option<Duration>,
-    /// Whether those that are missing in the store are passed over.
-    lapsed: bool,
+/// Reasons for which otherwise usable targets of a service are skipped.
+struct Exclusions {
+    /// Maximum time without an answer.
+    silence_limit: Option<Duration>,
+    /// Whether targets that are missing in the store are skipped.
+    excludes_lapsed: bool,
 }
 
-impl Doubts {
-    fn is_sound(&self, now: Instant, member: &Member) -> bool {
-        let is_missing = self.lapsed && member.lapsed.is_some();
-        !(is_missing || member.is_silent(now, self.patience) || member.is_unreached(now))
+impl Exclusions {
+    /// Whether none of the reasons applies to a target.
+    fn admits(&self, now: Instant, member: &Member) -> bool {
+        let is_missing = self.excludes_lapsed && member.lapsed_until.is_some();
+        !(is_missing || member.is_silent(now, self.silence_limit) || member.is_unreachable(now))
     }
 }
 
 impl Fleet {
-    /// The target that is expected to answer first, among those that a request may use and that have room.
+    /// Returns the target that is expected to answer first, among those that a request may use and
+    /// that have room.
     pub(super) fn pick(
         &mut self,
         now: Instant,
-        ask: &Ask<'_>,
-        connected: impl Fn(TargetKey) -> bool,
+        query: &TargetQuery<'_>,
+        is_connected: impl Fn(TargetKey) -> bool,
     ) -> Result<(TargetKey, Assignment), Refusal> {
-        self.rank(ask);
-        self.count_open(now, ask);
-        let choices = self.first_choices(now, ask);
-        let first = [choices.near, choices.far];
+        self.ensure_ranking(query);
+        self.refresh_slot_count(now, query);
+        let choices = self.first_choices(now, query);
+        let first = [choices.local, choices.remote];
         if first == [None; 2] {
             return Err(match choices.opens_in {
                 Some(_) => Refusal::Full,
                 None => Refusal::NoTarget,
             });
         }
-        let is_bare = choices.near.is_none() && !choices.is_near_closed;
-        let (slots, spills) = (choices.slots, choices.spills);
+        let has_no_local = choices.local.is_none() && !choices.is_local_closed;
+        let (local_slots, overflow) = (choices.local_slots, choices.overflow);
         let mut choices: Vec<TargetKey> = first.into_iter().flatten().collect();
-        choices.extend(self.holders(now, ask, &first));
+        choices.extend(self.caching_targets(now, query, &first));
         choices.retain(|key| self.has_room(now, *key));
-        if self.switches.drift == Switch::On && !is_bare {
-            choices = self.keep_to_drift(now, ask, choices, slots);
+        if self.switches.drift == Switch::On && !has_no_local {
+            choices = self.limit_drift(now, query, choices, local_slots);
         }
         choices
             .into_iter()
-            .map(|key| (self.cost(now, key, ask, connected(key)), key))
+            .map(|key| (self.cost(now, key, query, is_connected(key)), key))
             .min_by(|(one, _), (other, _)| one.total_cmp(other))
             .map(|(_, key)| {
-                let is_spill = spills.contains(&key);
+                let is_overflow = overflow.contains(&key);
                 (
                     key,
-                    if is_spill {
+                    if is_overflow {
                         Assignment::Overflow
                     } else {
                         Assignment::Primary
@@ -140,324 +146,352 @@
             .ok_or(Refusal::Full)
     }
 
-    /// Those of the targets with room that a request may use without moving too much of a region's load at once. `slots` are all
-    /// that may be used in the own region: when some of them are lost, their requests leave at once.
-    fn keep_to_drift(
+    /// Returns the targets with room that a request may use without moving too much of a region's
+    /// load at once. `local_slots` are all usable slots of the own region: when some of them are
+    /// lost, their requests leave at once.
+    fn limit_drift(
         &mut self,
         now: Instant,
-        ask: &Ask<'_>,
+        query: &TargetQuery<'_>,
         choices: Vec<TargetKey>,
-        slots: u32,
+        local_slots: u32,
     ) -> Vec<TargetKey> {
-        let (near, far): (Vec<_>, Vec<_>) = choices.iter().partition(|key| self.is_near(**key));
-        let drift = self.drift(now, ask.service);
-        let has_lost = drift.has_lost(now, slots);
-        if far.is_empty() || (near.is_empty() && has_lost) {
+        let (local, remote): (Vec<_>, Vec<_>) =
+            choices.iter().partition(|key| self.is_local(**key));
+        let drift = self.drift(now, query.service);
+        let has_lost = drift.has_lost(now, local_slots);
+        if remote.is_empty() || (local.is_empty() && has_lost) {
             choices
-        } else if !near.is_empty() && drift.holds(now, ask.key) {
-            far
+        } else if !local.is_empty() && drift.holds(now, query.affinity_key) {
+            remote
         } else if drift.may_leave(now) {
             choices
         } else {
-            // Nothing, if the near ones are full: what overflows beyond the drift is refused. Without this a burst of three
-            // times a region's usual load moved 22 in 100 of its requests away within 2 s, with it 12 (replay in virtual time).
-            near
+            // No target if the local ones are full: overflow beyond the drift is refused. Without
+            // this a burst of three times a region's usual load moved 22 in 100 of its requests
+            // away within 2 s, with it 12 (replay in virtual time).
+            local
         }
     }
 
-    /// The drift of a service, which begins with what its region lacks.
+    /// Returns the drift of a service, which starts with the share of slots that its region is
+    /// missing.
     fn drift(&mut self, now: Instant, service: &Arc<str>) -> &mut Drift {
         if !self.drifts.contains_key(service) {
-            let part = self.lacking(service);
-            let drift = Drift::new(now).with_part(part);
+            let missing_share = self.missing_share(service);
+            let drift = Drift::new(now).with_part(missing_share);
             self.drifts.insert(service.clone(), drift);
         }
-        let (goal, share) = (self.goals.get(service).copied(), self.share);
-        let slots = self.counted_slots(service).unwrap_or_default();
+        let (latency_goal, caller_share) =
+            (self.latency_goals.get(service).copied(), self.caller_share);
+        let local_slots = self.counted_slots(service).unwrap_or_default();
         let drift = self.drifts.entry(service.clone());
         let drift = drift.or_insert_with(|| Drift::new(now));
         drift.judge(now, |rate| {
-            let need = goal.zip(share).map(|(goal, share)| {
-                // All of the region's requests, as if each were a first visit.
-                rate / share * goal.as_secs_f64() * FIRST_VISIT
-            });
-            need.is_some_and(|need| need < f64::from(slots) * PLENTY)
+            let needed_slots =
+                latency_goal
+                    .zip(caller_share)
+                    .map(|(latency_goal, caller_share)| {
+                        // Estimates the requests of the whole region, as if each were a first visit.
+                        rate / caller_share * latency_goal.as_secs_f64() * FIRST_VISIT_GOALS
+                    });
+            needed_slots
+                .is_some_and(|needed_slots| needed_slots < f64::from(local_slots) * LOW_USE_SHARE)
         });
         drift
     }
 
-    /// The time until one of the first choices of a request is expected to have room for it.
-    pub fn room_in(&self, now: Instant, ask: &Ask<'_>) -> Duration {
-        let habit = self.habit(ask.service);
-        let patience = habit.admission.patience();
-        let choices = self.first_choices(now, ask);
-        let waits = choices.keys().filter_map(|key| {
+    /// Returns the time until one of the first choices of a request is expected to have room for
+    /// it.
+    pub fn time_until_room(&self, now: Instant, query: &TargetQuery<'_>) -> Duration {
+        let stats = self.stats(query.service);
+        let max_load_factor = stats.admission.max_load_factor();
+        let choices = self.first_choices(now, query);
+        let wait_times = choices.keys().filter_map(|key| {
             let member = self.members.get(&key)?;
             let slots = f64::from(member.registration.slots.max(1));
-            let excess = (member.load(now) + 1.0 - slots * patience).max(0.0);
-            Some(excess * member.work(now, habit.work) / slots)
+            let queued = (member.load(now) + 1.0 - slots * max_load_factor).max(0.0);
+            Some(queued * member.service_time(now, stats.service_time) / slots)
         });
         let opens_in = choices.opens_in.map(|time| time.as_secs_f64());
-        let least = waits.chain(opens_in).min_by(f64::total_cmp);
-        Duration::try_from_secs_f64(least.unwrap_or_default()).unwrap_or_default()
+        let shortest = wait_times.chain(opens_in).min_by(f64::total_cmp);
+        Duration::try_from_secs_f64(shortest.unwrap_or_default()).unwrap_or_default()
     }
 
-    fn is_near(&self, key: TargetKey) -> bool {
+    /// Whether a target is in the own region.
+    fn is_local(&self, key: TargetKey) -> bool {
         let member = self.members.get(&key);
-        member.is_some_and(|member| member.is_near)
+        member.is_some_and(|member| member.is_local)
     }
 
-    /// Further targets that have the object of a request, as far as is known: using them makes nothing cold.
-    fn holders(&self, now: Instant, ask: &Ask<'_>, first: &[Option<TargetKey>]) -> Vec<TargetKey> {
-        let object = ask.object.filter(|_| self.switches.warmth == Switch::On);
-        let doubts = self.doubts(ask.service);
+    /// Returns further targets that are known to have the object of a request cached.
+    fn caching_targets(
+        &self,
+        now: Instant,
+        query: &TargetQuery<'_>,
+        first: &[Option<TargetKey>],
+    ) -> Vec<TargetKey> {
+        let object = query.object.filter(|_| self.switches.warmth == Switch::On);
+        let exclusions = self.exclusions(query.service);
         object
             .into_iter()
-            .flat_map(|object| self.warmth.holders(object))
-            .filter(|key| !first.contains(&Some(*key)) && !ask.tried.contains(key))
+            .flat_map(|object| self.object_locations.holders(object))
+            .filter(|key| !first.contains(&Some(*key)) && !query.tried.contains(key))
             .filter(|key| {
                 let member = self.members.get(key);
                 member.is_some_and(|member| {
-                    let most = f64::from(member.registration.slots) * AT_EASE;
-                    member.load(now) < most
-                        && self.is_open(now, member, ask.homes)
+                    let limit = f64::from(member.registration.slots) * MAX_CACHED_LOAD;
+                    member.load(now) < limit
+                        && self.accepts_requests(now, member, query.homes)
                         && self.closed_for(now, member, Assignment::Primary).is_none()
-                        && doubts.is_sound(now, member)
+                        && exclusions.admits(now, member)
                 })
             })
             .collect()
     }
 
-    /// The part of the requests for a service that the targets of the own region will not be able to
-    /// take, as far as their slots tell before anything was sent.
-    fn lacking(&self, service: &str) -> f64 {
-        let mut slots: BTreeMap<&str, f64> = BTreeMap::new();
+    /// Returns the share of a service's requests that the targets of the own region are expected to
+    /// have no slots for, before anything was sent.
+    fn missing_share(&self, service: &str) -> f64 {
+        let mut slots_by_region: BTreeMap<&str, f64> = BTreeMap::new();
         for key in self.services.get(service).into_iter().flatten() {
             if let Some(member) = self.members.get(key) {
-                let region = slots.entry(&member.region).or_default();
-                *region += f64::from(member.registration.slots);
+                let region_slots = slots_by_region.entry(&member.region).or_default();
+                *region_slots += f64::from(member.registration.slots);
             }
         }
-        let own = slots.get(&*self.region).copied().unwrap_or_default();
-        let mean = slots.values().sum::<f64>() / slots.len().max(1) as f64;
-        if own >= mean {
+        let own_slots = slots_by_region
+            .get(&*self.region)
+            .copied()
+            .unwrap_or_default();
+        let mean = slots_by_region.values().sum::<f64>() / slots_by_region.len().max(1) as f64;
+        if own_slots >= mean {
             return 0.0;
         }
-        (1.0 - own / mean) * LACKING
+        (1.0 - own_slots / mean) * MISSING_SLOTS_SHARE
     }
 
-    /// The targets that a key may use; those that are in doubt only where there are no others.
-    pub(super) fn first_choices(&self, now: Instant, ask: &Ask<'_>) -> Choices {
-        let doubts = self.doubts(ask.service);
-        let is_sound =
-            |member: &Member| self.is_open(now, member, ask.homes) && doubts.is_sound(now, member);
-        if let Ok(choices) = self.remembered(ask, is_sound) {
+    /// Returns the first choices for a key. Targets that would be skipped are used only where there
+    /// are no others.
+    pub(super) fn first_choices(&self, now: Instant, query: &TargetQuery<'_>) -> Choices {
+        let exclusions = self.exclusions(query.service);
+        let admits = |member: &Member| {
+            self.accepts_requests(now, member, query.homes) && exclusions.admits(now, member)
+        };
+        if let Ok(choices) = self.ranked_choices(query, admits) {
             return choices;
         }
-        let sound = self.candidates(now, ask, is_sound);
-        if sound.keys().next().is_some() || sound.opens_in.is_some() {
-            return sound;
+        let preferred = self.computed_choices(now, query, admits);
+        if preferred.keys().next().is_some() || preferred.opens_in.is_some() {
+            return preferred;
         }
-        self.candidates(now, ask, |member| self.is_open(now, member, ask.homes))
+        self.computed_choices(now, query, |member| {
+            self.accepts_requests(now, member, query.homes)
+        })
     }
 
-    /// The targets that a key may use, as far as those tell that are remembered for it.
-    fn remembered(
+    /// Returns the first choices from the stored ranking of a key, if it determines them.
+    fn ranked_choices(
         &self,
-        ask: &Ask<'_>,
+        query: &TargetQuery<'_>,
         may_use: impl Fn(&Member) -> bool,
-    ) -> Result<Choices, Unclear> {
-        let ranking = self.ranking(ask).ok_or(Unclear)?;
-        let slots = self.counted_slots(ask.service).ok_or(Unclear)?;
-        let near = self.first_usable(ranking.side(true), ask, &may_use)?;
-        let far = match self.switches.far {
-            Switch::On => self.first_usable(ranking.side(false), ask, &may_use)?,
+    ) -> Result<Choices, Inconclusive> {
+        let ranking = self.ranking(query).ok_or(Inconclusive)?;
+        let local_slots = self.counted_slots(query.service).ok_or(Inconclusive)?;
+        let local = self.first_usable(ranking.side(true), query, &may_use)?;
+        let remote = match self.switches.far {
+            Switch::On => self.first_usable(ranking.side(false), query, &may_use)?,
             Switch::Off => None,
         };
-        if near.is_none() && far.is_none() {
-            return Err(Unclear);
+        if local.is_none() && remote.is_none() {
+            return Err(Inconclusive);
         }
-        let may_stay = ask.homes.is_empty() || ask.homes.contains(&self.region);
+        let may_stay = query.homes.is_empty() || query.homes.contains(&self.region);
         Ok(Choices {
-            near,
-            far,
-            spills: Vec::new(),
-            slots: if may_stay { slots } else { 0 },
-            is_near_closed: false,
+            local,
+            remote,
+            overflow: Vec::new(),
+            local_slots: if may_stay { local_slots } else { 0 },
+            is_local_closed: false,
             opens_in: None,
         })
     }
 
-    /// The first target that may be used among those that are remembered for a key. Of one that names a rate it depends on
-    /// others what follows.
+    /// Returns the first usable target of a stored ranking. If it names a rate, the next ones
+    /// depend on other targets.
     fn first_usable(
         &self,
-        (targets, is_all): (&[TargetKey], bool),
-        ask: &Ask<'_>,
+        (targets, is_complete): (&[TargetKey], bool),
+        query: &TargetQuery<'_>,
         may_use: impl Fn(&Member) -> bool,
-    ) -> Result<Option<TargetKey>, Unclear> {
+    ) -> Result<Option<TargetKey>, Inconclusive> {
         for key in targets {
-            self.looks.set(self.looks.get() + 1);
+            self.inspected.set(self.inspected.get() + 1);
             let Some(member) = self.members.get(key) else {
                 continue;
             };
-            if may_use(member) && !ask.tried.contains(key) {
+            if may_use(member) && !query.tried.contains(key) {
                 return if self.is_limited(member) {
-                    Err(Unclear)
+                    Err(Inconclusive)
                 } else {
                     Ok(Some(*key))
                 };
             }
         }
-        if is_all {
+        if is_complete {
             Ok(None)
         } else {
-            Err(Unclear)
+            Err(Inconclusive)
         }
     }
 
-    /// The slots of targets of the own region that a request without homes may use.
-    pub(super) fn open_slots(&self, now: Instant, ask: &Ask<'_>) -> u32 {
-        let doubts = self.doubts(ask.service);
-        let keys = self.services.get(ask.service).into_iter().flatten();
+    /// Counts the slots of targets of the own region that a request without home regions may use.
+    pub(super) fn count_local_slots(&self, now: Instant, query: &TargetQuery<'_>) -> u32 {
+        let exclusions = self.exclusions(query.service);
+        let keys = self.services.get(query.service).into_iter().flatten();
         let members = keys.filter_map(|key| self.members.get(key));
-        let any = BTreeSet::new();
+        let any_region = BTreeSet::new();
         members
-            .inspect(|_| self.looks.set(self.looks.get() + 1))
-            .filter(|member| member.is_near)
-            .filter(|member| self.is_open(now, member, &any) && doubts.is_sound(now, member))
+            .inspect(|_| self.inspected.set(self.inspected.get() + 1))
+            .filter(|member| member.is_local)
+            .filter(|member| {
+                self.accepts_requests(now, member, &any_region) && exclusions.admits(now, member)
+            })
             .map(|member| member.registration.slots)
             .sum()
     }
 
-    /// What keeps a target of a service from being used while there are others.
+    /// Returns the reasons for which targets of a service are skipped while there are others.
     ///
-    /// Where few targets are missing in the store they have rather left than lapsed with its outage: hosts that lost the store
-    /// can't tell these apart, and what has left is not to get requests until it is known whether it returns.
-    fn doubts(&self, service: &str) -> Doubts {
-        let lapsed = self.lapsed.get(service).copied().unwrap_or_default();
-        let all = self.services.get(service).map_or(0, Vec::len);
-        Doubts {
-            patience: self.patience(service),
-            lapsed: lapsed as f64 <= all as f64 * FEW,
+    /// If only a few targets are missing in the store they have more likely left than lapsed by an
+    /// outage of the store. Hosts that lost the store can't distinguish the two cases, and targets
+    /// that have left should receive no requests until it is known whether they return.
+    fn exclusions(&self, service: &str) -> Exclusions {
+        let lapsed = self.lapsed_counts.get(service).copied().unwrap_or_default();
+        let count = self.services.get(service).map_or(0, Vec::len);
+        Exclusions {
+            silence_limit: self.silence_limit(service),
+            excludes_lapsed: lapsed as f64 <= count as f64 * MAX_DEPARTED_SHARE,
         }
     }
 
-    /// The first target of the own region, and the first elsewhere, among those that may be used.
-    fn candidates(
+    /// Computes the first choices among all targets of a service.
+    fn computed_choices(
         &self,
         now: Instant,
-        ask: &Ask<'_>,
+        query: &TargetQuery<'_>,
         may_use: impl Fn(&Member) -> bool,
     ) -> Choices {
-        let key_of_request = match self.switches.affinity {
-            Switch::On => ask.key,
-            Switch::Off => xxh3_64(&self.asked.to_le_bytes()),
+        let affinity_key = match self.switches.affinity {
+            Switch::On => query.affinity_key,
+            Switch::Off => xxh3_64(&self.query_count.to_le_bytes()),
         };
-        let (mut near, mut far) = (Ranked::default(), Ranked::default());
-        let mut slots = 0;
-        for key in self.services.get(ask.service).into_iter().flatten() {
-            self.looks.set(self.looks.get() + 1);
+        let (mut local, mut remote) = (Ranked::default(), Ranked::default());
+        let mut local_slots = 0;
+        for key in self.services.get(query.service).into_iter().flatten() {
+            self.inspected.set(self.inspected.get() + 1);
             let Some(member) = self.members.get(key) else {
                 continue;
             };
             if !may_use(member) {
                 continue;
             }
-            let is_near = member.is_near;
-            if is_near {
-                slots += member.registration.slots;
+            let is_local = member.is_local;
+            if is_local {
+                local_slots += member.registration.slots;
             }
-            if ask.tried.contains(key) {
+            if query.tried.contains(key) {
                 continue;
             }
-            let draw = draw(key_of_request, member.seed);
-            if is_near {
-                near.add(draw, *key, self.is_limited(member));
+            let weight = rendezvous_weight(affinity_key, member.seed);
+            if is_local {
+                local.add(weight, *key, self.is_limited(member));
             } else if self.switches.far == Switch::On {
-                far.add(draw, *key, self.is_limited(member));
+                remote.add(weight, *key, self.is_limited(member));
             }
         }
         let mut choices = Choices {
-            near: None,
-            far: None,
-            spills: Vec::new(),
-            slots,
-            is_near_closed: false,
+            local: None,
+            remote: None,
+            overflow: Vec::new(),
+            local_slots,
+            is_local_closed: false,
             opens_in: None,
         };
-        choices.near = self.first_open(now, near, &mut choices);
-        choices.is_near_closed = choices.opens_in.is_some();
-        choices.far = self.first_open(now, far, &mut choices);
+        choices.local = self.first_open(now, local, &mut choices);
+        choices.is_local_closed = choices.opens_in.is_some();
+        choices.remote = self.first_open(now, remote, &mut choices);
         choices
     }
 
-    /// The target of a region that a request goes to, among those that take it just now: the first one for its object, else the
-    /// first one that names no rate, else any that has more than its own objects want.
+    /// Returns the target of a region that a request is sent to, among those that are open: the
+    /// first one for its object, else the first one that names no rate, else any with capacity that
+    /// its own objects do not need.
     fn first_open(&self, now: Instant, ranked: Ranked, choices: &mut Choices) -> Option<TargetKey> {
         let Ranked {
             first,
-            free,
+            unlimited,
             limited,
         } = ranked;
         let (_, first, is_limited) = first?;
         if !is_limited || self.is_open_for(now, first, Assignment::Primary, choices) {
             return Some(first);
         }
-        if let Some((_, free)) = free {
-            return Some(free);
+        if let Some((_, unlimited)) = unlimited {
+            return Some(unlimited);
         }
-        let mut spills = limited;
-        spills.sort_unstable_by(|one, other| other.cmp(one));
-        let spill = spills
+        let mut overflow = limited;
+        overflow.sort_unstable_by(|one, other| other.cmp(one));
+        let overflow_target = overflow
             .into_iter()
             .map(|(_, key)| key)
             .filter(|key| *key != first)
             .find(|key| self.is_open_for(now, *key, Assignment::Overflow, choices));
-        choices.spills.extend(spill);
-        spill
+        choices.overflow.extend(overflow_target);
+        overflow_target
     }
 
-    /// Whether a target takes a request just now; notes when it will if not.
+    /// Whether a target is open for a request; notes when it opens if not.
     fn is_open_for(
         &self,
         now: Instant,
         key: TargetKey,
-        fit: Assignment,
+        assignment: Assignment,
         choices: &mut Choices,
     ) -> bool {
         let member = self.members.get(&key);
-        let closed = member.and_then(|member| self.closed_for(now, member, fit));
+        let closed = member.and_then(|member| self.closed_for(now, member, assignment));
         if closed.is_some() {
             choices.opens_in = choices.opens_in.into_iter().chain(closed).min();
         }
         closed.is_none()
     }
 
-    /// Whether a target may get new requests at all.
-    fn is_open(&self, now: Instant, member: &Member, homes: &BTreeSet<Arc<str>>) -> bool {
+    /// Whether a target may receive new requests at all.
+    fn accepts_requests(&self, now: Instant, member: &Member, homes: &BTreeSet<Arc<str>>) -> bool {
         if member.registration.state != State::Ready
-            || member.misdirected
-            || self.evacuated.contains(&member.registration.zone)
+            || member.is_misdirected
+            || self.evacuated_zones.contains(&member.registration.zone)
             || !(homes.is_empty() || homes.contains(&member.region))
         {
             return false;
         }
-        let may_probe = member.eject.is_due(now) && member.in_flight == 0;
-        if !member.eject.is_in() && !may_probe {
+        let may_probe = member.outlier_detector.is_probe_due(now) && member.in_flight == 0;
+        if !member.outlier_detector.is_in_use() && !may_probe {
             return false;
         }
-        let any_cold = self.switches.cold_rate == Switch::Off;
-        any_cold || !member.is_cold(now) || self.may_use_cold(now, member)
+        let ignores_cold_rate = self.switches.cold_rate == Switch::Off;
+        ignores_cold_rate || !member.is_cold(now) || self.may_use_cold(now, member)
     }
 
+    /// Whether a target's load is below the admission limit.
     fn has_room(&self, now: Instant, key: TargetKey) -> bool {
         if self.switches.early_refusal == Switch::Off {
             return true;
         }
         self.members.get(&key).is_some_and(|member| {
-            let patience = self.habit(member.service()).admission.patience();
-            member.load(now) < f64::from(member.registration.slots) * patience
+            let max_load_factor = self.stats(member.service()).admission.max_load_factor();
+            member.load(now) < f64::from(member.registration.slots) * max_load_factor
         })
     }
 }
--- a/src/steer/fleet/cost.rs
+++ b/src/steer/fleet/cost.rs
@@ -1,120 +1,141 @@
-//! What a request costs at a target: the time until it begins to work there, and the bytes on the way.
+//! Cost of a request at a target: the expected time until the target starts on it, plus the cost of
+//! its bytes on the network, in seconds.
 
 use std::time::{Duration, Instant};
 
-use super::habit::Habit;
+use super::habit::ServiceStats;
 use super::member::Member;
-use super::{Ask, Fleet, Seen};
+use super::{Fleet, Observation, TargetQuery};
 use crate::border::settings::Switch;
 use crate::inventory::TargetKey;
 
-/// A round trip to another region while it is not measured, in seconds.
-const UNKNOWN_WAY: f64 = 0.05;
+/// Assumed round trip to another region while it is not measured, in seconds.
+const DEFAULT_ROUND_TRIP_S: f64 = 0.05;
 /// Weight of one slower sample in the measured round trip.
-const WAY_WEIGHT: f64 = 0.05;
-/// Weight of one answer in the measured time of work.
-const WORK_WEIGHT: f64 = 0.1;
-/// Seconds of waiting that a byte between availability zones is worth.
-const ZONE_PRICE: f64 = 1.0e-6;
-/// Seconds of waiting that a byte between regions is worth.
-const REGION_PRICE: f64 = 2.2e-6;
+const ROUND_TRIP_WEIGHT: f64 = 0.05;
+/// Weight of one answer in a target's measured service time.
+const SERVICE_TIME_WEIGHT: f64 = 0.1;
+/// Cost of a byte between availability zones, in seconds of waiting.
+const ZONE_BYTE_COST_S: f64 = 1.0e-6;
+/// Cost of a byte between regions, in seconds of waiting.
+const REGION_BYTE_COST_S: f64 = 2.2e-6;
 
 impl Fleet {
-    /// The time in seconds until a target is expected to begin its work, and what its way costs.
-    pub(super) fn cost(&self, now: Instant, key: TargetKey, ask: &Ask<'_>, connected: bool) -> f64 {
+    /// Returns the time in seconds until a target is expected to start on a request, plus the cost
+    /// of its bytes.
+    pub(super) fn cost(
+        &self,
+        now: Instant,
+        key: TargetKey,
+        query: &TargetQuery<'_>,
+        is_connected: bool,
+    ) -> f64 {
         let Some(member) = self.members.get(&key) else {
             return f64::INFINITY;
         };
-        let habit = self.habit(ask.service);
-        let way = self.way(member);
-        let opening = if connected { 0.0 } else { way };
-        let work = member.work(now, habit.work);
+        let stats = self.stats(query.service);
+        let round_trip = self.round_trip(member);
+        let connect_time = if is_connected { 0.0 } else { round_trip };
+        let service_time = member.service_time(now, stats.service_time);
         let slots = f64::from(member.registration.slots.max(1));
-        let wait = work * (member.load(now) + 1.0 - slots).max(0.0) / slots;
-        let bytes = (ask.bytes as f64 + habit.answer) * self.price(member);
-        let visit = if self.may_be_new(key, ask) {
-            habit.gain()
+        let wait = service_time * (member.load(now) + 1.0 - slots).max(0.0) / slots;
+        let bytes = (query.body_bytes as f64 + stats.answer_bytes) * self.byte_cost(member);
+        let first_visit = if self.may_be_uncached(key, query) {
+            stats.first_visit_penalty()
         } else {
             0.0
         };
-        way + opening + wait + bytes + visit
+        round_trip + connect_time + wait + bytes + first_visit
     }
 
-    /// Whether the object of a request may be new to a target, as it is not known to have it.
-    fn may_be_new(&self, key: TargetKey, ask: &Ask<'_>) -> bool {
-        let object = ask.object.filter(|_| self.switches.warmth == Switch::On);
-        object.is_some_and(|object| !self.warmth.has(object, key))
+    /// Whether the object of a request may be new to a target, as the target is not known to have
+    /// it.
+    fn may_be_uncached(&self, key: TargetKey, query: &TargetQuery<'_>) -> bool {
+        let object = query.object.filter(|_| self.switches.warmth == Switch::On);
+        object.is_some_and(|object| !self.object_locations.is_holder(object, key))
     }
 
-    /// Seconds of waiting that a byte to a target and back is worth: links between availability zones
-    /// and more so between regions are limited and paid for.
-    fn price(&self, member: &Member) -> f64 {
+    /// Returns the cost of a byte to or from a target in seconds of waiting: links between
+    /// availability zones, and more so between regions, are limited and paid for.
+    fn byte_cost(&self, member: &Member) -> f64 {
         if member.registration.zone == self.zone {
             0.0
         } else if member.region == self.region {
-            ZONE_PRICE
+            ZONE_BYTE_COST_S
         } else {
-            REGION_PRICE
+            REGION_BYTE_COST_S
         }
     }
 
-    /// A round trip to a target, in seconds.
-    fn way(&self, member: &Member) -> f64 {
-        let measured = self.ways.get(&member.region).copied();
+    /// Returns the round trip to a target in seconds.
+    fn round_trip(&self, member: &Member) -> f64 {
+        let measured = self.round_trips.get(&member.region).copied();
         measured.unwrap_or(if member.region == self.region {
             0.0
         } else {
-            UNKNOWN_WAY
+            DEFAULT_ROUND_TRIP_S
         })
     }
 
-    /// What requests for a service are like, as far as is known.
-    pub(super) fn habit(&self, service: &str) -> Habit {
-        self.habits.get(service).copied().unwrap_or_default()
+    /// Returns the statistics of a service, or the defaults.
+    pub(super) fn stats(&self, service: &str) -> ServiceStats {
+        self.service_stats.get(service).copied().unwrap_or_default()
     }
 
-    /// Takes in how long it took to connect to a target: a round trip.
-    pub fn connected(&mut self, key: TargetKey, took: Duration) {
+    /// Records the time to connect to a target, as a round trip.
+    pub fn record_connect(&mut self, key: TargetKey, elapsed: Duration) {
         let Some(member) = self.members.get(&key) else {
             return;
         };
-        let took = took.as_secs_f64();
-        let way = self.ways.entry(member.region.clone()).or_insert(took);
-        // Waiting to be accepted adds to it, nothing takes from it.
-        *way = if took < *way {
-            took
+        let elapsed = elapsed.as_secs_f64();
+        let round_trip = self
+            .round_trips
+            .entry(member.region.clone())
+            .or_insert(elapsed);
+        // Time in the accept queue makes a sample longer, nothing makes it shorter.
+        *round_trip = if elapsed < *round_trip {
+            elapsed
         } else {
-            *way + (took - *way) * WAY_WEIGHT
+            *round_trip + (elapsed - *round_trip) * ROUND_TRIP_WEIGHT
         };
     }
 
-    /// Takes in how long an answer took. What it waited for a slot is in it too, so a target that
-    /// is busier than it says looks slow.
-    pub(super) fn worked(&mut self, now: Instant, key: TargetKey, took: Duration, seen: &Seen) {
+    /// Records the time of an answer. It includes the wait for a slot, so a target that is busier
+    /// than it reports has a long service time.
+    pub(super) fn record_answer(
+        &mut self,
+        now: Instant,
+        key: TargetKey,
+        elapsed: Duration,
+        observation: &Observation,
+    ) {
         let Some(member) = self.members.get(&key) else {
             return;
         };
-        let work = (took.as_secs_f64() - self.way(member)).max(0.0);
-        let habit = self
-            .habits
+        let service_time = (elapsed.as_secs_f64() - self.round_trip(member)).max(0.0);
+        let stats = self
+            .service_stats
             .entry(member.registration.service.clone())
             .or_default();
-        habit.worked(work);
-        if let Some(bytes) = seen.bytes {
-            habit.carried(bytes);
+        stats.record_service_time(service_time);
+        if let Some(bytes) = observation.body_bytes {
+            stats.record_answer_bytes(bytes);
         }
-        if let Some(object) = seen.object {
-            let is_first = !self.warmth.has(object, key);
-            habit.visited(is_first, work);
-            if let (false, Some(goal)) = (is_first, seen.goal) {
-                habit.admission.answered(took > goal);
+        if let Some(object) = observation.object {
+            let is_first = !self.object_locations.is_holder(object, key);
+            stats.record_visit(is_first, service_time);
+            if let (false, Some(goal)) = (is_first, observation.goal) {
+                stats.admission.record_answer(elapsed > goal);
             }
-            self.warmth.put(now, object, key);
+            self.object_locations.record(now, object, key);
         }
-        let usual = habit.work;
+        let mean = stats.service_time;
         if let Some(member) = self.members.get_mut(&key) {
-            let before = member.work(now, usual);
-            member.work = Some((before + (work - before) * WORK_WEIGHT, now));
+            let previous = member.service_time(now, mean);
+            member.service_time = Some((
+                previous + (service_time - previous) * SERVICE_TIME_WEIGHT,
+                now,
+            ));
         }
     }
 }
--- a/src/steer/fleet/habit.rs
+++ b/src/steer/fleet/habit.rs
@@ -1,91 +1,93 @@
-//! What requests for one service are like: how long targets work on them, and how many bytes they carry.
+//! Statistics of a service's requests: service times at its targets, and answer sizes.
 
 use super::admission::Admission;
 
-/// The time a target works on a request while it is not measured, in seconds.
-const UNKNOWN_WORK: f64 = 0.1;
-/// The bytes of an answer while they are not measured.
-const UNKNOWN_ANSWER: f64 = 4096.0;
-/// Weight of one answer in what is usual for a service.
-const USUAL_WEIGHT: f64 = 0.02;
-/// Weight of one answer in the times of first and later visits, which are two kinds of a service's answers.
+/// Assumed service time while it is not measured, in seconds.
+const DEFAULT_SERVICE_TIME_S: f64 = 0.1;
+/// Assumed size of an answer's body while it is not measured, in bytes.
+const DEFAULT_ANSWER_BYTES: f64 = 4096.0;
+/// Weight of one answer in the means of a service.
+const MEAN_WEIGHT: f64 = 0.02;
+/// Weight of one answer in the times of first and repeat visits, each of which gets only some of a
+/// service's answers.
 const VISIT_WEIGHT: f64 = 0.05;
 
-/// What is left of the longest time after one more answer: a half after some 350.
-const FADE: f64 = 0.998;
-/// Answers after which the longest time says something.
-const ENOUGH: u32 = 50;
+/// Factor on the peak service time for each further answer: it halves after some 350.
+const PEAK_DECAY: f64 = 0.998;
+/// Answers needed before the peak service time is used.
+const MIN_ANSWERS: u32 = 50;
 
-/// What is known of a service's requests from their answers.
+/// Statistics of one service, measured from its answers.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Habit {
-    /// The time that targets work on a request, in seconds.
-    pub(super) work: f64,
-    /// The bytes of an answer's body.
-    pub(super) answer: f64,
-    /// How much may wait at its targets.
+pub(super) struct ServiceStats {
+    /// Mean service time in seconds.
+    pub(super) service_time: f64,
+    /// Mean size of an answer's body in bytes.
+    pub(super) answer_bytes: f64,
+    /// Limit on the queues at the service's targets.
     pub(super) admission: Admission,
-    /// The longest time of work, in seconds, which fades with each answer.
-    peak: f64,
-    /// Answers so far.
-    answers: u32,
-    /// The time of work on an object that is new to the target, in seconds, once there was one.
-    first: Option<f64>,
-    /// The same for one that the target had.
-    again: Option<f64>,
+    /// Peak service time in seconds, which decays with each answer.
+    peak_service_time: f64,
+    /// Number of answers.
+    answer_count: u32,
+    /// Mean service time of objects that are new to the target, in seconds, once there was one.
+    first_visit: Option<f64>,
+    /// Mean service time of objects that the target has cached.
+    repeat_visit: Option<f64>,
 }
 
-impl Default for Habit {
+impl Default for ServiceStats {
     fn default() -> Self {
         Self {
-            work: UNKNOWN_WORK,
-            answer: UNKNOWN_ANSWER,
+            service_time: DEFAULT_SERVICE_TIME_S,
+            answer_bytes: DEFAULT_ANSWER_BYTES,
             admission: Admission::default(),
-            peak: 0.0,
-            answers: 0,
-            first: None,
-            again: None,
+            peak_service_time: 0.0,
+            answer_count: 0,
+            first_visit: None,
+            repeat_visit: None,
         }
     }
 }
 
-impl Habit {
-    /// Takes in how long a target worked on a request.
-    pub(super) fn worked(&mut self, work: f64) {
-        approach(&mut self.work, work, USUAL_WEIGHT);
-        self.peak = work.max(self.peak * FADE);
-        self.answers = self.answers.saturating_add(1);
+impl ServiceStats {
+    /// Records the service time of a request.
+    pub(super) fn record_service_time(&mut self, service_time: f64) {
+        update_mean(&mut self.service_time, service_time, MEAN_WEIGHT);
+        self.peak_service_time = service_time.max(self.peak_service_time * PEAK_DECAY);
+        self.answer_count = self.answer_count.saturating_add(1);
     }
 
-    /// Takes in how long a target worked on an object, and whether it was new there.
-    pub(super) fn visited(&mut self, is_first: bool, work: f64) {
-        let place = if is_first {
-            &mut self.first
+    /// Records the service time of an object, and whether it was new to the target.
+    pub(super) fn record_visit(&mut self, is_first: bool, service_time: f64) {
+        let mean = if is_first {
+            &mut self.first_visit
         } else {
-            &mut self.again
+            &mut self.repeat_visit
         };
-        approach(place.get_or_insert(work), work, VISIT_WEIGHT);
+        update_mean(mean.get_or_insert(service_time), service_time, VISIT_WEIGHT);
     }
 
-    /// Takes in the bytes of an answer.
-    pub(super) fn carried(&mut self, answer: u64) {
-        approach(&mut self.answer, answer as f64, USUAL_WEIGHT);
+    /// Records the size of an answer's body.
+    pub(super) fn record_answer_bytes(&mut self, answer_bytes: u64) {
+        update_mean(&mut self.answer_bytes, answer_bytes as f64, MEAN_WEIGHT);
     }
 
-    /// How much longer a first visit takes, in seconds; nothing until both kinds are known.
-    pub(super) fn gain(&self) -> f64 {
-        match (self.first, self.again) {
-            (Some(first), Some(again)) => (first - again).max(0.0),
+    /// Returns how much longer a first visit takes, in seconds; zero until both times are known.
+    pub(super) fn first_visit_penalty(&self) -> f64 {
+        match (self.first_visit, self.repeat_visit) {
+            (Some(first_visit), Some(repeat_visit)) => (first_visit - repeat_visit).max(0.0),
             _ => 0.0,
         }
     }
 
-    /// The longest time of work among the last some hundred answers, in seconds; nothing until there were enough.
-    pub(super) fn longest(&self) -> Option<f64> {
-        (self.answers >= ENOUGH).then_some(self.peak)
+    /// Returns the peak service time over the last few hundred answers, in seconds; `None` until
+    /// there were enough.
+    pub(super) fn longest_service_time(&self) -> Option<f64> {
+        (self.answer_count >= MIN_ANSWERS).then_some(self.peak_service_time)
     }
 }
 
-fn approach(mean: &mut f64, value: f64, weight: f64) {
+fn update_mean(mean: &mut f64, value: f64, weight: f64) {
     *mean += (value - *mean) * weight;
 }
--- a/src/steer/fleet/member.rs
+++ b/src/steer/fleet/member.rs
@@ -1,107 +1,115 @@
-//! One target, as a host sees it.
+//! State of one target at this host.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use crate::inventory::Registration;
-use crate::steer::eject::Eject;
+use crate::steer::eject::OutlierDetector;
 
-/// How long a target's report of its load counts; older ones say nothing about now.
-const REPORT_AGE: Duration = Duration::from_secs(1);
+/// Time for which a target's load report is used; it loses weight with age.
+const REPORT_LIFETIME: Duration = Duration::from_secs(1);
 
-/// After this time without an answer a target is taken to work like the others of its service.
-const WORK_AGE: Duration = Duration::from_secs(4);
-/// The load that a target tells of itself.
+/// Time after which a target's measured service time has lost its weight against the mean of its
+/// service.
+const SERVICE_TIME_LIFETIME: Duration = Duration::from_secs(4);
+/// Load that a target reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
-    /// Requests it works on.
+    /// Requests that it is processing.
     pub running: u32,
-    /// Requests that wait for a slot.
+    /// Requests that are queued for a slot.
     pub waiting: u32,
-    /// Requests it works on at once.
+    /// Requests that it processes concurrently.
     pub slots: u32,
 }
 
+/// Load report that a target attached to an answer.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Report {
-    pub(super) at: Instant,
-    /// What others than this host had there.
-    pub(super) others: u32,
+pub(super) struct LoadReport {
+    pub(super) received: Instant,
+    /// Requests of other hosts at the target.
+    pub(super) other_requests: u32,
 }
 
-/// One target as this host sees it.
+/// One target.
 #[derive(Clone, Debug)]
 pub struct Member {
     pub(super) registration: Arc<Registration>,
     pub(super) region: Arc<str>,
-    /// Whether that is the region of this host.
-    pub(super) is_near: bool,
+    /// Whether it is in the region of this host.
+    pub(super) is_local: bool,
     pub(super) seed: u64,
     pub(super) in_flight: u32,
-    pub(super) report: Option<Report>,
+    pub(super) report: Option<LoadReport>,
     pub(super) cold_until: Option<Instant>,
-    pub(super) cold_token: Option<Instant>,
-    pub(super) eject: Eject,
-    pub(super) lapsed: Option<Instant>,
-    pub(super) misdirected: bool,
-    /// The time it works on a request, in seconds, and when that was last measured.
-    pub(super) work: Option<(f64, Instant)>,
-    /// Since when it has answered nothing, while it has requests.
-    pub(super) unheard: Option<Instant>,
-    /// When no connection to it could be opened last, if none was opened since.
-    pub(super) unreached: Option<Instant>,
+    /// When this host last sent a request while the target was cold.
+    pub(super) last_cold_request: Option<Instant>,
+    pub(super) outlier_detector: OutlierDetector,
+    /// When it is removed, if its registration is missing in the store.
+    pub(super) lapsed_until: Option<Instant>,
+    /// Whether another target answered at its address.
+    pub(super) is_misdirected: bool,
+    /// Its mean service time in seconds, and when that was last measured.
+    pub(super) service_time: Option<(f64, Instant)>,
+    /// Since when it has sent no answer, while it has requests.
+    pub(super) silent_since: Option<Instant>,
+    /// When a connection to it last failed, if none was opened since.
+    pub(super) connect_failed_at: Option<Instant>,
 }
 
 impl Member {
-    /// A digest of its identity and of its process.
+    /// Returns a digest of its identity and process.
     pub fn digest(&self) -> u64 {
         self.seed ^ self.registration.born.unwrap_or_default()
     }
 
-    /// The identity of its process.
+    /// Returns the identity of its process.
     pub fn id(&self) -> &Arc<str> {
         &self.registration.id
     }
 
-    /// Where it listens.
+    /// Returns the address at which it listens.
     pub fn address(&self) -> SocketAddr {
         self.registration.address
     }
 
-    /// The region it is in.
+    /// Returns its region.
     pub fn region(&self) -> &Arc<str> {
         &self.region
     }
 
-    /// The service it belongs to.
+    /// Returns its service.
     pub fn service(&self) -> &Arc<str> {
         &self.registration.service
     }
 
-    /// Counts a request that begins.
-    pub(super) fn begin(&mut self, now: Instant) {
+    /// Counts a request that is being sent to it.
+    pub(super) fn begin_request(&mut self, now: Instant) {
         if self.in_flight == 0 {
-            self.unheard = Some(now);
+            self.silent_since = Some(now);
         }
         self.in_flight += 1;
     }
 
+    /// Returns its estimated load in requests: those of this host, and those that it reported of
+    /// other hosts.
     pub(super) fn load(&self, now: Instant) -> f64 {
         let others = self.report.map_or(0.0, |report| {
-            let age = now.saturating_duration_since(report.at);
-            let left = 1.0 - age.as_secs_f64() / REPORT_AGE.as_secs_f64();
-            f64::from(report.others) * left.max(0.0)
+            let age = now.saturating_duration_since(report.received);
+            let weight = 1.0 - age.as_secs_f64() / REPORT_LIFETIME.as_secs_f64();
+            f64::from(report.other_requests) * weight.max(0.0)
         });
         f64::from(self.in_flight) + others
     }
 
-    /// The time it works on a request, in seconds; what is usual if there was no answer lately.
-    pub(super) fn work(&self, now: Instant, usual: f64) -> f64 {
-        self.work.map_or(usual, |(work, at)| {
-            let age = now.saturating_duration_since(at);
-            let left = (1.0 - age.as_secs_f64() / WORK_AGE.as_secs_f64()).max(0.0);
-            usual + (work - usual) * left
+    /// Returns its service time in seconds; it approaches `mean`, that of its service, while there
+    /// are no answers.
+    pub(super) fn service_time(&self, now: Instant, mean: f64) -> f64 {
+        self.service_time.map_or(mean, |(service_time, measured)| {
+            let age = now.saturating_duration_since(measured);
+            let weight = (1.0 - age.as_secs_f64() / SERVICE_TIME_LIFETIME.as_secs_f64()).max(0.0);
+            mean + (service_time - mean) * weight
         })
     }
 
@@ -110,20 +118,20 @@
     }
 }
 
-/// What a host believes of a target.
+/// Estimated state of a target, for metrics.
 #[derive(Clone, Copy, Debug)]
-pub struct Belief<'a> {
+pub struct TargetEstimate<'a> {
     /// The identity of its process.
     pub target: &'a Arc<str>,
     /// The service it belongs to.
     pub service: &'a Arc<str>,
-    /// Requests it has, of all hosts.
+    /// Requests in flight from all hosts.
     pub load: f64,
-    /// The time it works on a request, in seconds.
-    pub work: f64,
-    /// Whether it is in use, as far as failures go.
-    pub is_in: bool,
-    /// The requests a second that it takes from all hosts, if it names them.
+    /// Service time in seconds.
+    pub service_time: f64,
+    /// Whether it is not ejected.
+    pub is_in_use: bool,
+    /// The requests a second that it accepts from all hosts, if it names a rate.
     pub rate: Option<f64>,
     /// If it is cold, the requests a second that this host may send to it.
     pub cold_rate: Option<f64>,
--- a/src/steer/fleet/ranking.rs
+++ b/src/steer/fleet/ranking.rs
@@ -1,8 +1,9 @@
-//! The first targets for each key, so that a choice looks at few targets however many there are.
+//! Cache of the first targets by rendezvous hashing for each key, so that a choice inspects few
+//! targets however many there are.
 //!
-//! To draw for all targets of a service takes longer the more there are. Those that come first for a key stay the same while
-//! targets only change their state, so they are remembered; one that joins takes its place among them, one that leaves is
-//! dropped.
+//! Ranking all targets of a service takes time in proportion to their number. The first targets of
+//! a key do not change while targets only change their state, so they are cached; a target that
+//! joins is inserted, and one that leaves is removed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,190 +11,203 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::{Ask, Fleet};
+use super::{Fleet, TargetQuery};
 use crate::border::settings::Switch;
 use crate::inventory::TargetKey;
 
-/// Targets on one side that are remembered for a key. With a half of all targets closed to requests one choice in 256 looks at
-/// all.
-const FIRST: usize = 8;
-/// Keys of a service in one generation; two are kept, some 1 MB.
-const KEYS: usize = 4096;
-/// How long the count of open slots holds for each target that it takes a look at, so that counting takes the same part of a
-/// processor however many targets there are.
-const COUNT_AGE: Duration = Duration::from_micros(40);
-
-/// How early a target comes for a key; the greatest draw comes first.
-pub(super) fn draw(key: u64, seed: u64) -> u64 {
+/// Targets that are cached for a key, for the own region and for all others each. While half of all
+/// targets are closed to requests one choice in 256 inspects all targets.
+const MAX_RANKED: usize = 8;
+/// Keys of a service in one generation; two generations are kept, some 1 MB.
+const MAX_KEYS: usize = 4096;
+/// Lifetime of the slot count for each target that counting inspects, so that counting takes a
+/// constant share of processor time however many targets there are.
+const SLOT_COUNT_LIFETIME: Duration = Duration::from_micros(40);
+
+/// Returns the rendezvous weight of a target for a key; the greatest weight comes first.
+pub(super) fn rendezvous_weight(key: u64, seed: u64) -> u64 {
     xxh3_64_with_seed(&key.to_le_bytes(), seed)
 }
 
-/// The first targets on one side, those of the own region or all others.
+/// The first targets of one side: of the own region, or of all others.
 #[derive(Clone, Debug, Default)]
-struct Side {
-    /// In the order of their draws.
-    first: Vec<TargetKey>,
-    /// Whether there are no others.
-    is_all: bool,
+struct RankedSide {
+    /// By descending weight.
+    targets: Vec<TargetKey>,
+    /// Whether the side has no other targets.
+    is_complete: bool,
 }
 
-impl Side {
-    fn new(mut draws: Vec<(u64, TargetKey)>) -> Self {
-        let is_all = draws.len() <= FIRST;
-        draws.sort_unstable_by(|one, other| other.cmp(one));
-        draws.truncate(FIRST);
+impl RankedSide {
+    fn new(mut weights: Vec<(u64, TargetKey)>) -> Self {
+        let is_complete = weights.len() <= MAX_RANKED;
+        weights.sort_unstable_by(|one, other| other.cmp(one));
+        weights.truncate(MAX_RANKED);
         Self {
-            first: draws.into_iter().map(|(_, key)| key).collect(),
-            is_all,
+            targets: weights.into_iter().map(|(_, key)| key).collect(),
+            is_complete,
         }
     }
 
-    /// Whether so few are left that others may come before long.
-    fn is_worn(&self) -> bool {
-        !self.is_all && self.first.len() < FIRST / 2
+    /// Whether so few are left that unranked targets may soon come next.
+    fn is_depleted(&self) -> bool {
+        !self.is_complete && self.targets.len() < MAX_RANKED / 2
     }
 }
 
-/// The first targets for a key.
+/// The first targets of a key.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Ranking {
-    near: Side,
-    far: Side,
+    local: RankedSide,
+    remote: RankedSide,
 }
 
 impl Ranking {
-    /// The first targets of the own region or elsewhere, and whether there are no others.
-    pub(super) fn side(&self, near: bool) -> (&[TargetKey], bool) {
-        let side = if near { &self.near } else { &self.far };
-        (&side.first, side.is_all)
+    /// Returns the first targets of the own region or elsewhere, and whether there are no others.
+    pub(super) fn side(&self, local: bool) -> (&[TargetKey], bool) {
+        let side = if local { &self.local } else { &self.remote };
+        (&side.targets, side.is_complete)
     }
 
-    fn side_mut(&mut self, near: bool) -> &mut Side {
-        if near {
-            &mut self.near
+    fn side_mut(&mut self, local: bool) -> &mut RankedSide {
+        if local {
+            &mut self.local
         } else {
-            &mut self.far
+            &mut self.remote
         }
     }
 
-    fn drop(&mut self, target: TargetKey) {
-        self.near.first.retain(|key| *key != target);
-        self.far.first.retain(|key| *key != target);
+    fn remove(&mut self, target: TargetKey) {
+        self.local.targets.retain(|key| *key != target);
+        self.remote.targets.retain(|key| *key != target);
     }
 }
 
-/// The slots of the own region that were open to requests.
+/// Usable slots of the own region.
 #[derive(Clone, Copy, Debug)]
-struct Count {
-    at: Instant,
+struct SlotCount {
+    counted_at: Instant,
     slots: u32,
 }
 
-/// What is remembered for one service.
+/// Cached rankings of one service.
 #[derive(Debug, Default)]
 pub(super) struct Rankings {
-    young: BTreeMap<u64, Ranking>,
-    old: BTreeMap<u64, Ranking>,
-    count: Option<Count>,
+    recent: BTreeMap<u64, Ranking>,
+    previous: BTreeMap<u64, Ranking>,
+    slot_count: Option<SlotCount>,
 }
 
 impl Rankings {
     fn get(&self, key: u64) -> Option<&Ranking> {
-        self.young.get(&key).or_else(|| self.old.get(&key))
+        self.recent.get(&key).or_else(|| self.previous.get(&key))
     }
 
-    fn put(&mut self, key: u64, ranking: Ranking) {
-        if self.young.len() >= KEYS {
-            self.old = std::mem::take(&mut self.young);
+    fn insert(&mut self, key: u64, ranking: Ranking) {
+        if self.recent.len() >= MAX_KEYS {
+            self.previous = std::mem::take(&mut self.recent);
         }
-        self.young.insert(key, ranking);
+        self.recent.insert(key, ranking);
     }
 
-    fn all(&mut self) -> impl Iterator<Item = (&u64, &mut Ranking)> {
-        self.young.iter_mut().chain(&mut self.old)
+    fn all_mut(&mut self) -> impl Iterator<Item = (&u64, &mut Ranking)> {
+        self.recent.iter_mut().chain(&mut self.previous)
     }
 }
 
 impl Fleet {
-    /// What is remembered for the key of a request; nothing where keys are not used.
-    pub(super) fn ranking(&self, ask: &Ask<'_>) -> Option<&Ranking> {
-        self.rankings.get(ask.service)?.get(ask.key)
+    /// Returns the cached ranking of a request's key; `None` while affinity is switched off.
+    pub(super) fn ranking(&self, query: &TargetQuery<'_>) -> Option<&Ranking> {
+        self.rankings.get(query.service)?.get(query.affinity_key)
     }
 
-    /// Sees to it that the first targets for the key of a request are known.
-    pub(super) fn rank(&mut self, ask: &Ask<'_>) {
+    /// Computes the ranking of a request's key unless it is cached.
+    pub(super) fn ensure_ranking(&mut self, query: &TargetQuery<'_>) {
         if self.switches.affinity == Switch::Off {
             return;
         }
-        let known = self.ranking(ask);
-        if known.is_some_and(|known| !known.near.is_worn() && !known.far.is_worn()) {
+        let known = self.ranking(query);
+        if known.is_some_and(|known| !known.local.is_depleted() && !known.remote.is_depleted()) {
             return;
         }
-        let (mut near, mut far) = (Vec::new(), Vec::new());
-        for key in self.services.get(ask.service).into_iter().flatten() {
-            self.looks.set(self.looks.get() + 1);
+        let (mut local, mut remote) = (Vec::new(), Vec::new());
+        for key in self.services.get(query.service).into_iter().flatten() {
+            self.inspected.set(self.inspected.get() + 1);
             if let Some(member) = self.members.get(key) {
-                let side = if member.is_near { &mut near } else { &mut far };
-                side.push((draw(ask.key, member.seed), *key));
+                let side = if member.is_local {
+                    &mut local
+                } else {
+                    &mut remote
+                };
+                side.push((rendezvous_weight(query.affinity_key, member.seed), *key));
             }
         }
         let ranking = Ranking {
-            near: Side::new(near),
-            far: Side::new(far),
+            local: RankedSide::new(local),
+            remote: RankedSide::new(remote),
         };
-        let rankings = self.rankings.entry(ask.service.clone()).or_default();
-        rankings.put(ask.key, ranking);
+        let rankings = self.rankings.entry(query.service.clone()).or_default();
+        rankings.insert(query.affinity_key, ranking);
     }
 
-    /// Gives a target that has joined its place among those that are remembered.
-    pub(super) fn join_rankings(&mut self, target: TargetKey) {
+    /// Inserts a target that has joined into the cached rankings.
+    pub(super) fn add_to_rankings(&mut self, target: TargetKey) {
         let Some(member) = self.members.get(&target) else {
             return;
         };
         let Some(rankings) = self.rankings.get_mut(member.service()) else {
             return;
         };
-        rankings.count = None;
+        rankings.slot_count = None;
         let members = &self.members;
-        for (key, ranking) in rankings.all() {
-            let side = ranking.side_mut(member.is_near);
-            let own = draw(*key, member.seed);
-            let place = side.first.partition_point(|other| {
+        for (key, ranking) in rankings.all_mut() {
+            let side = ranking.side_mut(member.is_local);
+            let weight = rendezvous_weight(*key, member.seed);
+            let position = side.targets.partition_point(|other| {
                 let other = members.get(other);
-                other.is_some_and(|other| draw(*key, other.seed) > own)
+                other.is_some_and(|other| rendezvous_weight(*key, other.seed) > weight)
             });
-            // Behind the last one there may be others before it.
-            if place < side.first.len() || side.is_all {
-                side.is_all &= side.first.len() < FIRST;
-                side.first.insert(place, target);
-                side.first.truncate(FIRST);
+            // Behind the last cached target there may be uncached ones that come before it.
+            if position < side.targets.len() || side.is_complete {
+                side.is_complete &= side.targets.len() < MAX_RANKED;
+                side.targets.insert(position, target);
+                side.targets.truncate(MAX_RANKED);
             }
         }
     }
 
-    /// Drops a target that has left.
-    pub(super) fn leave_rankings(&mut self, service: &Arc<str>, target: TargetKey) {
+    /// Removes a target that has left from the cached rankings.
+    pub(super) fn remove_from_rankings(&mut self, service: &Arc<str>, target: TargetKey) {
         if let Some(rankings) = self.rankings.get_mut(service) {
-            rankings.all().for_each(|(_, ranking)| ranking.drop(target));
+            rankings
+                .all_mut()
+                .for_each(|(_, ranking)| ranking.remove(target));
         }
     }
 
-    /// Counts the slots of targets of the own region that a request without homes may use, unless that was done just now.
-    pub(super) fn count_open(&mut self, now: Instant, ask: &Ask<'_>) {
-        let targets = self.services.get(ask.service).map_or(0, Vec::len);
-        let known = self.rankings.get(ask.service).and_then(|known| known.count);
-        let age = COUNT_AGE.saturating_mul(targets as u32);
-        if known.is_some_and(|known| now.saturating_duration_since(known.at) < age) {
+    /// Counts the slots of targets of the own region that a request without home regions may use,
+    /// unless the last count is recent.
+    pub(super) fn refresh_slot_count(&mut self, now: Instant, query: &TargetQuery<'_>) {
+        let targets = self.services.get(query.service).map_or(0, Vec::len);
+        let known = self
+            .rankings
+            .get(query.service)
+            .and_then(|known| known.slot_count);
+        let age = SLOT_COUNT_LIFETIME.saturating_mul(targets as u32);
+        if known.is_some_and(|known| now.saturating_duration_since(known.counted_at) < age) {
             return;
         }
-        let slots = self.open_slots(now, ask);
-        let rankings = self.rankings.entry(ask.service.clone()).or_default();
-        rankings.count = Some(Count { at: now, slots });
+        let slots = self.count_local_slots(now, query);
+        let rankings = self.rankings.entry(query.service.clone()).or_default();
+        rankings.slot_count = Some(SlotCount {
+            counted_at: now,
+            slots,
+        });
     }
 
-    /// The slots that were counted last.
+    /// Returns the last slot count.
     pub(super) fn counted_slots(&self, service: &str) -> Option<u32> {
-        let count = self.rankings.get(service)?.count?;
-        Some(count.slots)
+        let slot_count = self.rankings.get(service)?.slot_count?;
+        Some(slot_count.slots)
     }
 }
--- a/src/steer/fleet/silence.rs
+++ b/src/steer/fleet/silence.rs
@@ -1,10 +1,12 @@
-//! Targets that have stopped to answer, before any deadline shows it.
+//! Detection of targets that have stopped answering, before any deadline expires.
 //!
-//! A target that loses power takes requests without a word, and each of them is only given up when its time is over.
-//! Those that must not run twice are lost then. So a target that has answered none of several requests for longer than its
-//! service ever takes gets no new ones while others are left, and requests that may be repeated are taken elsewhere. With
-//! Targets to which no connection can be opened are passed over for a moment, likewise. With
-//! two of four targets of a region dark, at most half of the requests are lost that were lost without it (replay in virtual time).
+//! A target that loses power accepts no packets and sends no error, and each of its requests is
+//! given up only at its deadline. Requests that must not run twice are lost then. So a target that
+//! has answered none of several requests for longer than its service ever takes receives no new
+//! ones while there are other targets, and requests that may be repeated are sent elsewhere.
+//! Targets that refuse connections are skipped for a moment as well. With two of four targets of a
+//! region without power, at most half as many requests are lost as without this detection (replay
+//! in virtual time).
 
 use std::time::{Duration, Instant};
 
@@ -13,47 +15,50 @@
 use crate::border::settings::Switch;
 use crate::inventory::TargetKey;
 
-/// How many times as long as the longest of the last answers a target may be silent.
-const TIMES: f64 = 1.5;
-/// The shortest silence that says something: lost packets are sent again after 0.2 s and more.
-const SHORTEST: Duration = Duration::from_millis(400);
-/// How long a target is passed over to which no connection could be opened: it stays registered for seconds after a crash, and
-/// each request that tries it loses a round trip.
-const REST: Duration = Duration::from_millis(500);
-/// Requests that have to be at a target: one alone may have met a long object.
-const SEVERAL: u32 = 2;
+/// Maximum silence of a target in multiples of its service's peak service time.
+const SILENCE_FACTOR: f64 = 1.5;
+/// Lower bound of the silence limit: lost packets are retransmitted after 0.2 s and more.
+const MIN_SILENCE_LIMIT: Duration = Duration::from_millis(400);
+/// Time for which a target is skipped after a failed connection: it stays registered for seconds
+/// after a crash, and each request that tries it loses a round trip.
+const UNREACHABLE_PAUSE: Duration = Duration::from_millis(500);
+/// Requests that have to be in flight at a silent target: a single one may concern an object that
+/// takes long.
+const MIN_SILENT_REQUESTS: u32 = 2;
 
 impl Fleet {
-    /// How long targets of a service may be silent, once it is known how long they take.
-    pub fn patience(&self, service: &str) -> Option<Duration> {
+    /// Returns the maximum silence of a service's targets, once its service times are known.
+    pub fn silence_limit(&self, service: &str) -> Option<Duration> {
         if self.switches.silence == Switch::Off {
             return None;
         }
-        let longest = self.habit(service).longest()?;
-        Some(Duration::from_secs_f64(longest * TIMES).max(SHORTEST))
+        let longest = self.stats(service).longest_service_time()?;
+        Some(Duration::from_secs_f64(longest * SILENCE_FACTOR).max(MIN_SILENCE_LIMIT))
     }
 
-    /// Whether a target has answered nothing for too long.
+    /// Whether a target has sent no answer for too long.
     pub fn is_silent(&self, now: Instant, key: TargetKey) -> bool {
         let member = self.members.get(&key);
-        member.is_some_and(|member| member.is_silent(now, self.patience(member.service())))
+        member.is_some_and(|member| member.is_silent(now, self.silence_limit(member.service())))
     }
 }
 
 impl Member {
-    /// Whether it is passed over, as no connection to it could be opened just now.
-    pub(super) fn is_unreached(&self, now: Instant) -> bool {
-        let since = self.unreached;
-        since.is_some_and(|since| now.saturating_duration_since(since) < REST)
+    /// Whether it is skipped after a failed connection.
+    pub(super) fn is_unreachable(&self, now: Instant) -> bool {
+        let since = self.connect_failed_at;
+        since.is_some_and(|since| now.saturating_duration_since(since) < UNREACHABLE_PAUSE)
     }
 
-    /// Whether it has answered nothing for longer than `patience`; no without one.
-    pub(super) fn is_silent(&self, now: Instant, patience: Option<Duration>) -> bool {
-        if self.in_flight < SEVERAL {
+    /// Whether it has sent no answer for longer than `silence_limit`; `false` without a limit.
+    pub(super) fn is_silent(&self, now: Instant, silence_limit: Option<Duration>) -> bool {
+        if self.in_flight < MIN_SILENT_REQUESTS {
             return false;
         }
-        match (self.unheard, patience) {
-            (Some(since), Some(patience)) => now.saturating_duration_since(since) > patience,
+        match (self.silent_since, silence_limit) {
+            (Some(since), Some(silence_limit)) => {
+                now.saturating_duration_since(since) > silence_limit
+            }
             _ => false,
         }
     }
--- a/src/steer/fleet/switches.rs
+++ b/src/steer/fleet/switches.rs
@@ -1,40 +1,40 @@
-//! Mechanisms that can be switched off, to measure what each is worth.
+//! Mechanisms that can be switched off to measure the effect of each.
 
 use serde::Deserialize;
 
 use crate::border::settings::Switch;
 
-/// Which mechanisms of a host are in use; all, unless the settings say otherwise.
+/// Which mechanisms of a host are on; all of them by default.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Switches {
-    /// Targets are chosen by the object of a request; off: at random.
+    /// Targets are selected by the object of a request; off: at random.
     pub affinity: Switch,
-    /// Each object may use a target of another region.
+    /// An object may also use a target of another region.
     pub far: Switch,
-    /// Requests change their region slowly.
+    /// The share of requests that leave their region changes slowly.
     pub drift: Switch,
-    /// Few hosts use a cold target, each at a part of its rate.
+    /// Only a few hosts use a cold target, each with a share of its rate.
     pub cold_rate: Switch,
-    /// Targets that fail are taken out for a while.
+    /// Targets that fail are ejected for a while.
     pub ejection: Switch,
-    /// Requests that no target has room for are refused at once.
+    /// Requests for which no target has room are refused at once.
     pub early_refusal: Switch,
-    /// Targets that have an object are preferred.
+    /// Targets that have an object cached are preferred.
     pub warmth: Switch,
-    /// Targets that have stopped to answer get nothing.
+    /// Targets that have stopped answering receive no requests.
     pub silence: Switch,
-    /// Repeats keep to a budget.
+    /// Repeated requests are limited by a budget.
     pub repeat_budget: Switch,
-    /// The store is read at once at the start, and requests wait for it.
+    /// The store is read immediately at the start, and requests wait for it.
     pub start_read: Switch,
-    /// Few hosts watch the store; off: all do.
+    /// Only a few hosts watch the store; off: all do.
     pub few_watchers: Switch,
-    /// Look-ups name hosts by what they can carry; off: all alike.
+    /// Lookups weight hosts by their capacity; off: all alike.
     pub strength: Switch,
-    /// Look-ups name as few hosts as carry a zone's callers with ease; off: all that serve.
+    /// Lookups return the fewest hosts that can easily serve a zone's callers; off: all that serve.
     pub few_hosts: Switch,
-    /// Refused callers come back when there may be room; off: after a fixed time.
+    /// Refused callers retry when there may be room; off: after a fixed time.
     pub room_pause: Switch,
 }
 
--- a/src/steer/fleet/throttled.rs
+++ b/src/steer/fleet/throttled.rs
@@ -1,4 +1,4 @@
-//! Targets that name the rate that they take: who shares it out, and whether a request may be sent.
+//! Rate limits that targets name: their allocation to hosts, and permission to send requests.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -7,126 +7,143 @@
 use rand::Rng;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::cold::Peer;
+use super::cold::FleetHost;
 use super::member::Member;
 use super::Fleet;
 use crate::inventory::TargetKey;
 use crate::steer::throttle::{Assignment, Claim, Grant, RateUpdate};
 
-/// Whether a request may be sent to a target that was chosen for it.
+/// Whether a request may be sent to the target that was selected for it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Leave {
-    /// It may.
-    Given,
-    /// It may not; the target is passed over until there may be room.
-    Refused,
-    /// The host of this name is to be asked.
+pub enum Permission {
+    /// It may be sent.
+    Granted,
+    /// It may not be sent; the target is skipped until there may be capacity.
+    Denied,
+    /// The host of this name has to be sent a claim.
     Ask(Arc<str>, Claim),
 }
 
 impl Fleet {
-    /// Whether a request may be sent now to a target that was chosen for it. Each leave is for one request.
-    pub fn leave(
+    /// Requests permission to send one request to the target that was selected for it.
+    pub fn request_permission(
         &mut self,
         now: Instant,
         (key, fit): (TargetKey, Assignment),
         rng: &mut impl Rng,
-    ) -> Leave {
+    ) -> Permission {
         let Some(member) = self.members.get(&key) else {
-            return Leave::Refused;
+            return Permission::Denied;
         };
         let target = member.digest();
-        let Some(news) = self.throttle.current_update(now, target) else {
-            return Leave::Given;
+        let Some(update) = self.throttle.current_update(now, target) else {
+            return Permission::Granted;
         };
-        if news.1.is_none() || self.throttle.spend(now, target) {
-            return Leave::Given;
+        if update.1.is_none() || self.throttle.spend(now, target) {
+            return Permission::Granted;
         }
-        let mut keepers: Vec<Peer> = self.keepers(member).into_iter().cloned().collect();
-        self.claims = self.claims.wrapping_add(1);
-        let claim = Claim(self.claims, news, fit);
-        if keepers.iter().any(|keeper| keeper.seed == self.own.seed) {
-            let grant = self.throttle.grant(now, &claim, true, self.hosts.len());
-            self.throttle.record_grant(now, self.own.seed, &grant);
+        let mut allocators: Vec<FleetHost> = self.allocators(member).into_iter().cloned().collect();
+        self.claim_count = self.claim_count.wrapping_add(1);
+        let claim = Claim(self.claim_count, update, fit);
+        if allocators
+            .iter()
+            .any(|allocator| allocator.seed == self.own_host.seed)
+        {
+            let grant = self
+                .throttle
+                .grant(now, &claim, true, self.live_hosts.len());
+            self.throttle.record_grant(now, self.own_host.seed, &grant);
             if self.throttle.spend(now, target) {
-                return Leave::Given;
+                return Permission::Granted;
             }
         }
-        keepers.retain(|keeper| {
-            keeper.seed != self.own.seed && !self.throttle.is_paused(now, target, keeper.seed, fit)
+        allocators.retain(|allocator| {
+            allocator.seed != self.own_host.seed
+                && !self.throttle.is_paused(now, target, allocator.seed, fit)
         });
-        match keepers.into_iter().choose(rng) {
-            Some(keeper) => Leave::Ask(keeper.name, claim),
+        match allocators.into_iter().choose(rng) {
+            Some(allocator) => Permission::Ask(allocator.name, claim),
             None => {
                 self.throttle.close(now, target, fit);
-                Leave::Refused
+                Permission::Denied
             }
         }
     }
 
-    /// Whether a request may be sent after its claim was answered: granted, or the target names no rate any more.
-    pub fn take_leave(&mut self, now: Instant, key: TargetKey) -> bool {
+    /// Whether a request may be sent after its claim was answered: it was granted, or the target no
+    /// longer names a rate.
+    pub fn use_grant(&mut self, now: Instant, key: TargetKey) -> bool {
         let Some(target) = self.members.get(&key).map(Member::digest) else {
             return false;
         };
         self.throttle.rate(target).is_none() || self.throttle.spend(now, target)
     }
 
-    /// Answers a claim of another host. One that this host takes for none of its own is refused: its keepers are others.
+    /// Answers a claim of another host. If this host is not an allocator of the target the grant is
+    /// empty.
     pub fn grant(&mut self, now: Instant, claim: &Claim) -> Grant {
         let target = claim.1 .0;
         self.throttle.merge_update(now, &claim.1);
-        let hosts = self.hosts.len();
-        let keepers = self.throttle.allocator_count(target, hosts);
-        let known = self.members.values().find(|one| one.digest() == target);
-        let is_keeper = known.is_some_and(|member| self.is_among(keepers, member));
-        self.throttle.grant(now, claim, is_keeper, hosts)
+        let hosts = self.live_hosts.len();
+        let allocators = self.throttle.allocator_count(target, hosts);
+        let known = self
+            .members
+            .values()
+            .find(|member| member.digest() == target);
+        let is_allocator = known.is_some_and(|member| self.is_among_first(allocators, member));
+        self.throttle.grant(now, claim, is_allocator, hosts)
     }
 
-    /// Takes in the answer of the host `keeper` to a claim.
-    pub fn granted(&mut self, now: Instant, keeper: &str, grant: &Grant) {
-        let keeper = xxh3_64(keeper.as_bytes());
-        self.throttle.record_grant(now, keeper, grant);
+    /// Records the answer of the host `allocator` to a claim.
+    pub fn record_grant(&mut self, now: Instant, allocator: &str, grant: &Grant) {
+        let allocator = xxh3_64(allocator.as_bytes());
+        self.throttle.record_grant(now, allocator, grant);
     }
 
-    /// Notes that a claim had no answer.
-    pub fn unanswered(&mut self, now: Instant, keeper: &str, claim: &Claim) {
-        let keeper = xxh3_64(keeper.as_bytes());
-        self.throttle.record_timeout(now, claim.1 .0, keeper);
+    /// Records that a claim was not answered.
+    pub fn record_unanswered_claim(&mut self, now: Instant, allocator: &str, claim: &Claim) {
+        let allocator = xxh3_64(allocator.as_bytes());
+        self.throttle.record_timeout(now, claim.1 .0, allocator);
     }
 
-    /// Takes in what a target's answer to a request said that was sent at `at`; gives what all hosts are to be told.
-    pub fn state(
+    /// Records the rate that a target's answer names; the request was sent at `sent_at`. Returns
+    /// the update to broadcast to all hosts, if any.
+    pub fn observe_rate(
         &mut self,
         now: Instant,
         key: TargetKey,
-        at: Instant,
+        sent_at: Instant,
         rate: Option<f64>,
     ) -> Option<RateUpdate> {
         let target = self.members.get(&key)?.digest();
-        self.throttle.observe(now, target, at, rate)
+        self.throttle.observe(now, target, sent_at, rate)
     }
 
-    /// Takes in what another host knows; gives the target that began or ended to name a rate by that.
-    pub fn hear(&mut self, now: Instant, news: &RateUpdate) -> Option<Arc<str>> {
-        if !self.throttle.merge_update(now, news) {
+    /// Merges the rate that another host has. Returns the target if it thereby started or stopped
+    /// naming a rate.
+    pub fn merge_rate(&mut self, now: Instant, update: &RateUpdate) -> Option<Arc<str>> {
+        if !self.throttle.merge_update(now, update) {
             return None;
         }
-        let known = self.members.values().find(|one| one.digest() == news.0);
+        let known = self
+            .members
+            .values()
+            .find(|member| member.digest() == update.0);
         known.map(|member| member.id().clone())
     }
 
-    /// What this host knows of the rates that targets name.
-    pub fn news(&self, now: Instant) -> impl Iterator<Item = RateUpdate> + '_ {
+    /// Returns the rates that targets name, to be sent to other hosts.
+    pub fn rate_updates(&self, now: Instant) -> impl Iterator<Item = RateUpdate> + '_ {
         self.throttle.updates(now)
     }
 
-    /// Forgets rates that are of no more use.
+    /// Removes expired rates.
     pub fn expire_rates(&mut self, now: Instant) {
         self.throttle.expire(now);
     }
 
-    /// The time until a target may get something, if it gets nothing just now as all that it takes is given out.
+    /// Returns the time until a target may receive requests, or `None` if it is not closed by its
+    /// rate.
     pub(super) fn closed_for(
         &self,
         now: Instant,
@@ -134,22 +151,23 @@
         fit: Assignment,
     ) -> Option<Duration> {
         self.throttle
-            .closed_for(now, member.digest(), fit, self.hosts.len())
+            .closed_for(now, member.digest(), fit, self.live_hosts.len())
     }
 
-    /// Whether a target names the rate that it takes.
+    /// Whether a target names a rate.
     pub(super) fn is_limited(&self, member: &Member) -> bool {
         self.throttle.rate(member.digest()).is_some()
     }
 
-    /// The hosts that share out a target's rate, the first of all that are alive; none while these are not known.
-    fn keepers(&self, member: &Member) -> Vec<&Peer> {
-        let count = self
+    /// Returns the hosts that allocate a target's rate: the first of all live hosts, or none while
+    /// these are not known.
+    fn allocators(&self, member: &Member) -> Vec<&FleetHost> {
+        let allocator_count = self
             .throttle
-            .allocator_count(member.digest(), self.hosts.len());
-        let mut hosts: Vec<&Peer> = self.hosts.iter().collect();
+            .allocator_count(member.digest(), self.live_hosts.len());
+        let mut hosts: Vec<&FleetHost> = self.live_hosts.iter().collect();
         hosts.sort_by_key(|host| std::cmp::Reverse(host.rank(member)));
-        hosts.truncate(count);
+        hosts.truncate(allocator_count);
         hosts
     }
 }
--- a/src/steer/fleet/warmth.rs
+++ b/src/steer/fleet/warmth.rs
@@ -1,64 +1,69 @@
-//! Which targets handled an object lately, as far as this host knows, and how much faster that makes them.
+//! Targets that handled an object lately, as far as this host has observed.
 //!
-//! A target answers faster for an object that it handled before. So a target that is known to have an object is worth
-//! a longer way or a queue, up to the time that a first visit takes longer; and where the first choice for an
-//! object has changed, as after a restart, the object stays where it is as long as that is quicker.
+//! A target answers faster for an object that it handled before, as it has it cached. So such a
+//! target is worth a longer round trip or a queue, up to the extra time of a first visit; and where
+//! the first choice of an object has changed, as after a restart, the object stays where it is as
+//! long as that is faster.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use crate::inventory::TargetKey;
 
-/// Targets that are remembered for an object: its usual one and one more.
-const HOLDERS: usize = 2;
-/// Objects of one generation; two are kept, some 2 MB.
-const OBJECTS: usize = 20_000;
-/// The longest time of one generation. What was not asked for in two of them may long have been dropped.
-const AGE: Duration = Duration::from_secs(20);
+/// Targets that are stored for an object: its usual one and one more.
+const HOLDERS_PER_OBJECT: usize = 2;
+/// Objects of one generation; two generations are kept, some 2 MB.
+const MAX_OBJECTS: usize = 20_000;
+/// Maximum age of one generation. Targets may have evicted an object that was not requested in two
+/// of them.
+const GENERATION_LIFETIME: Duration = Duration::from_secs(20);
 
-type Holders = [Option<TargetKey>; HOLDERS];
+type Holders = [Option<TargetKey>; HOLDERS_PER_OBJECT];
 
-/// What this host knows of where objects were handled, bounded.
+/// Targets by object, bounded in size.
 #[derive(Debug)]
-pub(super) struct Warmth {
-    young: BTreeMap<u64, Holders>,
-    old: BTreeMap<u64, Holders>,
-    turned: Instant,
+pub(super) struct ObjectLocations {
+    recent: BTreeMap<u64, Holders>,
+    previous: BTreeMap<u64, Holders>,
+    rotated: Instant,
 }
 
-impl Warmth {
+impl ObjectLocations {
     pub(super) fn new(now: Instant) -> Self {
         Self {
-            young: BTreeMap::new(),
-            old: BTreeMap::new(),
-            turned: now,
+            recent: BTreeMap::new(),
+            previous: BTreeMap::new(),
+            rotated: now,
         }
     }
 
-    /// The targets that handled an object, the last one first.
+    /// Returns the targets that handled an object, the latest first.
     pub(super) fn holders(&self, object: u64) -> impl Iterator<Item = TargetKey> {
-        let holders = self.young.get(&object).or_else(|| self.old.get(&object));
+        let holders = self
+            .recent
+            .get(&object)
+            .or_else(|| self.previous.get(&object));
         holders.copied().unwrap_or_default().into_iter().flatten()
     }
 
     /// Whether a target is known to have an object.
-    pub(super) fn has(&self, object: u64, target: TargetKey) -> bool {
+    pub(super) fn is_holder(&self, object: u64, target: TargetKey) -> bool {
         self.holders(object).any(|holder| holder == target)
     }
 
-    /// Notes that a target has handled an object.
-    pub(super) fn put(&mut self, now: Instant, object: u64, target: TargetKey) {
-        let age = now.saturating_duration_since(self.turned);
-        if self.young.len() >= OBJECTS || age >= AGE {
-            self.old = std::mem::take(&mut self.young);
-            self.turned = now;
+    /// Records that a target has handled an object.
+    pub(super) fn record(&mut self, now: Instant, object: u64, target: TargetKey) {
+        let age = now.saturating_duration_since(self.rotated);
+        if self.recent.len() >= MAX_OBJECTS || age >= GENERATION_LIFETIME {
+            self.previous = std::mem::take(&mut self.recent);
+            self.rotated = now;
         }
         let others = self.holders(object).filter(|other| *other != target);
         let mut holders = Holders::default();
         let kept = std::iter::once(target).chain(others);
-        for (place, target) in holders.iter_mut().zip(kept) {
-            *place = Some(target);
+        for (slot, target) in holders.iter_mut().zip(kept) {
+            *slot = Some(target);
         }
-        self.young.insert(object, holders);
+        self.recent.insert(object, holders);
     }
 }
--- a/src/steer/group.rs
+++ b/src/steer/group.rs
@@ -16,7 +16,7 @@
 use rand::{Rng, RngExt};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::eject::{Sign, Standing, LATENCY_RATIO};
+use super::eject::{Comparison, Outcome, MAX_LATENCY_RATIO};
 use super::pick::Picker;
 use super::queue::{Entry, Queue};
 use super::throttle::Bucket;
@@ -456,7 +456,7 @@
             member.is_serving()
                 && member.in_flight == 0
                 && member.limit.hard() > 0
-                && member.eject.is_due(now)
+                && member.eject.is_probe_due(now)
                 && !member.has_tried(ask)
                 && member.opens_in(now).is_zero()
                 && left > PROBE_SLACK * self.tally.median
@@ -472,7 +472,7 @@
         Grant {
             target: member.key,
             at: now,
-            probe: !member.eject.is_in(),
+            probe: !member.eject.is_in_use(),
         }
     }
 
@@ -550,20 +550,20 @@
         let Some(sign) = sign(report, tally.median) else {
             return;
         };
-        if !member.eject.is_in() {
-            if grant.probe && member.eject.probe(now, sign, rng) {
+        if !member.eject.is_in_use() {
+            if grant.probe && member.eject.record_probe(now, sign, rng) {
                 member.warm.start(now);
             }
             self.refresh(now);
             return;
         }
         member.eject.record(sign);
-        let standing = Standing {
-            ratio: member.estimate.ratio(tally.median),
-            samples: member.estimate.samples(),
-            success: tally.success,
-            down: member.health == Health::Down,
-            cold: member.warm.is_cold(),
+        let standing = Comparison {
+            latency_ratio: member.estimate.ratio(tally.median),
+            latency_samples: member.estimate.samples(),
+            group_success_rate: tally.success,
+            is_down: member.health == Health::Down,
+            is_warming_up: member.warm.is_cold(),
         };
         let after = f64::from(tally.ejected + member.slots);
         let allowed = f64::from(tally.slots) * EJECT_SHARE;
@@ -641,7 +641,7 @@
         let ejections = self
             .members
             .iter()
-            .filter_map(|member| member.eject.until());
+            .filter_map(|member| member.eject.ejected_until());
         rests.chain(ejections).filter(|&at| at > now).min()
     }
 
@@ -675,7 +675,7 @@
     pub fn is_ejected(&self, target: TargetKey) -> bool {
         self.index
             .get(&target)
-            .is_some_and(|&place| !self.members[place].eject.is_in())
+            .is_some_and(|&place| !self.members[place].eject.is_in_use())
     }
 
     fn refresh_if_old(&mut self, now: Instant) {
@@ -729,8 +729,11 @@
             limit: used().map(|member| fair(&self.config, member)).sum(),
             median: typical.unwrap_or(self.tally.median),
             others: median(used().map(|member| member.estimate.others())).unwrap_or(0.0),
-            success: used().map(|member| member.eject.success()).sum::<f64>() / count,
-            probes: serving(&self.members).any(|member| member.eject.is_due(now)),
+            success: used()
+                .map(|member| member.eject.success_rate())
+                .sum::<f64>()
+                / count,
+            probes: serving(&self.members).any(|member| member.eject.is_probe_due(now)),
             change: self.next_change(now),
         };
         let seat = |member| Seat::new(&self.config, &self.tally, member, now);
@@ -750,8 +753,8 @@
             let soonest = self
                 .members
                 .iter_mut()
-                .filter(|member| member.is_serving() && !member.eject.is_in())
-                .min_by_key(|member| member.eject.until());
+                .filter(|member| member.is_serving() && !member.eject.is_in_use())
+                .min_by_key(|member| member.eject.ejected_until());
             let Some(member) = soonest else {
                 return;
             };
@@ -767,7 +770,7 @@
 
 /// Targets that take work in the ordinary way.
 fn used(members: &[Member]) -> impl Iterator<Item = &Member> {
-    serving(members).filter(|member| member.eject.is_in())
+    serving(members).filter(|member| member.eject.is_in_use())
 }
 
 /// What a target adds to the limit of the whole group.
@@ -779,13 +782,13 @@
 }
 
 /// What a request's end shows of its target, if anything.
-fn sign(report: &Report, median: f64) -> Option<Sign> {
-    let slow = report.latency.as_secs_f64() > LATENCY_RATIO * median;
+fn sign(report: &Report, median: f64) -> Option<Outcome> {
+    let slow = report.latency.as_secs_f64() > MAX_LATENCY_RATIO * median;
     match report.end {
-        End::Answered if slow => Some(Sign::Slow),
-        End::Answered => Some(Sign::Good),
-        End::ConnectFailed | End::Broken => Some(Sign::Bad),
-        End::TimedOut if slow => Some(Sign::Bad),
+        End::Answered if slow => Some(Outcome::Slow),
+        End::Answered => Some(Outcome::Good),
+        End::ConnectFailed | End::Broken => Some(Outcome::Bad),
+        End::TimedOut if slow => Some(Outcome::Bad),
         End::Refused | End::TimedOut | End::Cancelled => None,
     }
 }
--- a/src/steer/group/member.rs
+++ b/src/steer/group/member.rs
@@ -5,7 +5,7 @@
 
 use super::{Ask, Config, Health, Pick, Source, State, Switch, Tally};
 use crate::catalog::{self, TargetKey};
-use crate::steer::eject::Eject;
+use crate::steer::eject::OutlierDetector;
 use crate::steer::limit::Limit;
 use crate::steer::pick::Estimate;
 use crate::steer::throttle::{Assignment, Bucket};
@@ -28,7 +28,7 @@
     pub(super) in_flight: u32,
     pub(super) limit: Limit,
     pub(super) warm: Warm,
-    pub(super) eject: Eject,
+    pub(super) eject: OutlierDetector,
     pub(super) estimate: Estimate,
     pub(super) refusals: u32,
     pub(super) rest: Option<Instant>,
@@ -56,7 +56,7 @@
             in_flight: 0,
             limit: Limit::new(target.slots, target.connections, hosts),
             warm: Warm::new(target.warm),
-            eject: Eject::new(),
+            eject: OutlierDetector::new(),
             estimate: Estimate::new(),
             refusals: 0,
             rest: None,
@@ -162,5 +162,5 @@
 /// Whether a target may be used at all, up to its limit.
 fn is_usable(config: &Config, member: &Member, now: Instant) -> bool {
     let rests = config.eject == Switch::On && member.rests(now);
-    member.is_serving() && member.eject.is_in() && !rests
+    member.is_serving() && member.eject.is_in_use() && !rests
 }
--- a/tests/affinity.rs
+++ b/tests/affinity.rs
@@ -8,7 +8,9 @@
 
 use proptest::prelude::*;
 use ragwortfold::inventory::{Registration, State, TargetKey};
-use ragwortfold::steer::fleet::{Ask, End, Fleet, Load, Refusal, Seen, CARETAKERS};
+use ragwortfold::steer::fleet::{
+    End, Fleet, Load, Observation, Refusal, TargetQuery, CHECKERS_PER_TARGET,
+};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
@@ -49,7 +51,7 @@
     fn new(host: &str, zone: &str) -> Self {
         let mut fleet = Fleet::new(Instant::now(), host.into(), zone.into(), regions(), BURST);
         fleet.set_cold_rate("books".into(), RATE);
-        fleet.set_hosts(vec![(host.into(), regions()[zone].clone())]);
+        fleet.set_live_hosts(vec![(host.into(), regions()[zone].clone())]);
         Self {
             fleet,
             now: Instant::now(),
@@ -75,13 +77,13 @@
     }
 
     fn choose(&mut self, key: u64, tried: &[TargetKey]) -> Result<TargetKey, Refusal> {
-        let ask = Ask {
+        let ask = TargetQuery {
             service: &"books".into(),
-            key,
+            affinity_key: key,
             object: None,
             homes: &self.homes,
             tried: tried.to_vec(),
-            bytes: 0,
+            body_bytes: 0,
         };
         self.fleet.choose(self.now, &ask, |_| true)
     }
@@ -98,9 +100,9 @@
     }
 
     fn finish(&mut self, target: TargetKey, end: End, load: Option<Load>) {
-        let seen = Seen {
+        let seen = Observation {
             load,
-            ..Seen::default()
+            ..Observation::default()
         };
         self.fleet
             .finish(self.now, target, end, seen, &mut self.rng);
@@ -208,13 +210,13 @@
     for _ in 1..SLOTS {
         assert_eq!(world.choose(7, &[]), Ok(near));
     }
-    let ask = Ask {
+    let ask = TargetQuery {
         service: &"books".into(),
-        key: 7,
+        affinity_key: 7,
         object: None,
         homes: &BTreeSet::new(),
         tried: Vec::new(),
-        bytes: 0,
+        body_bytes: 0,
     };
     let unconnected = world.fleet.choose(world.now, &ask, |target| target == near);
     assert_eq!(unconnected, Ok(near));
@@ -280,7 +282,7 @@
     };
     an_evacuated_zone_is_left: |world, _, _| {
         let zones = [Arc::from("n-a"), Arc::from("n-b")].into();
-        world.fleet.evacuate(world.now, zones, Duration::from_secs(3));
+        world.fleet.set_evacuated_zones(world.now, zones, Duration::from_secs(3));
     };
     a_target_whose_address_another_has_is_left: |world, target, _| {
         world.finish(target, End::Misdirected, None);
@@ -325,9 +327,11 @@
                 cold.cold_left = Duration::from_secs(9);
             }
             world.fleet.register(world.now, cold);
-            world.fleet.set_hosts(names.clone());
+            world.fleet.set_live_hosts(names.clone());
             if chill {
-                world.fleet.chill(world.now, "t", Duration::from_secs(9));
+                world
+                    .fleet
+                    .mark_cold(world.now, "t", Duration::from_secs(9));
             }
             world
         })
@@ -377,10 +381,10 @@
     let zones = BTreeSet::from([Arc::from("n-a")]);
     world
         .fleet
-        .evacuate(world.now, zones, Duration::from_secs(3));
+        .set_evacuated_zones(world.now, zones, Duration::from_secs(3));
     world
         .fleet
-        .evacuate(world.now, BTreeSet::new(), Duration::from_secs(3));
+        .set_evacuated_zones(world.now, BTreeSet::new(), Duration::from_secs(3));
     let first = world.choose(1, &[]).unwrap();
     world.finish(first, End::Answered, None);
     assert_eq!(world.choose(1, &[]), Err(Refusal::NoTarget));
@@ -396,8 +400,8 @@
     let mut all: BTreeMap<Arc<str>, BTreeSet<_>> = BTreeMap::new();
     for (host, zone) in [("h1", "n-a"), ("h2", "n-b"), ("h3", "s-a")] {
         let mut world = World::with_targets(host, zone);
-        world.fleet.set_hosts(names.clone());
-        for (_, member) in world.fleet.charges() {
+        world.fleet.set_live_hosts(names.clone());
+        for (_, member) in world.fleet.assigned_targets() {
             all.entry(member.id().clone()).or_default().insert(host);
         }
     }
@@ -410,7 +414,7 @@
     let expected: Vec<Arc<str>> = ["t1", "t2", "t3", "t4", "t5", "t6"].map(Arc::from).into();
     assert_eq!(all.keys().cloned().collect::<Vec<_>>(), expected);
     assert!(
-        all.values().all(|hosts| hosts.len() == CARETAKERS),
+        all.values().all(|hosts| hosts.len() == CHECKERS_PER_TARGET),
         "{all:?}"
     );
 }
@@ -541,10 +545,10 @@
     world.fleet.register(world.now, born(Some(5)));
     let former = world.choose(1, &[]).unwrap();
     for _ in 0..5 {
-        world.fleet.hold(world.now, former);
+        world.fleet.count_request(world.now, former);
         world.finish(former, End::Broken, None);
     }
-    world.fleet.hold(world.now, former);
+    world.fleet.count_request(world.now, former);
     world.finish(former, End::Misdirected, None);
     assert_eq!(world.choose(1, &[]), Err(Refusal::NoTarget));
     let cold = Registration {
@@ -588,9 +592,9 @@
     fleet.register(world.now, cold);
     world.fleet = fleet;
     assert_eq!(world.choose(1, &[]), Err(Refusal::NoTarget));
-    assert_eq!(world.fleet.charges().count(), 0);
+    assert_eq!(world.fleet.assigned_targets().count(), 0);
     let hosts = vec![("h1".into(), "n".into()), ("h2".into(), "n".into())];
-    world.fleet.set_hosts(hosts);
+    world.fleet.set_live_hosts(hosts);
     assert!(world.choose(1, &[]).is_ok());
 }
 
@@ -632,7 +636,9 @@
     let ids: Vec<String> = (0..draining + going)
         .map(|number| format!("t{number:02}"))
         .collect();
-    let lost = world.fleet.losing_most(ids.iter().map(String::as_str));
+    let lost = world
+        .fleet
+        .services_losing_most(ids.iter().map(String::as_str));
     !lost.is_empty()
 }
 
--- a/tests/charge.rs
+++ b/tests/charge.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use ragwortfold::inventory::{Registration, State, TargetKey};
-use ragwortfold::steer::fleet::{Fleet, CARETAKERS, LEAST, SPARE};
+use ragwortfold::steer::fleet::{Fleet, CHECKERS_PER_TARGET, MAX_CHECK_FACTOR, MIN_CHECKS};
 
 const ZONES: usize = 9;
 const HOSTS: usize = 300;
@@ -51,8 +51,8 @@
             fleet.register(now, registration(target));
         }
         let heard = (0..HOSTS).filter(|other| *other == own || hears(own, *other));
-        fleet.set_hosts(heard.map(|other| (name(other), region(other))).collect());
-        fleet.set_told(told(own));
+        fleet.set_live_hosts(heard.map(|other| (name(other), region(other))).collect());
+        fleet.set_host_count(told(own));
         fleet
     };
     (0..HOSTS).map(host).collect()
@@ -60,7 +60,10 @@
 
 /// The questions of all hosts in one round.
 fn round(fleets: &mut [Fleet]) -> usize {
-    fleets.iter_mut().map(|fleet| fleet.questions().len()).sum()
+    fleets
+        .iter_mut()
+        .map(|fleet| fleet.next_checks().len())
+        .sum()
 }
 
 /// A load of questions that stays below a bound.
@@ -78,24 +81,24 @@
 }
 
 bounded! {
-    hosts_that_hear_all_ask_each_target_twice: |_, _| true, |_| Some(HOSTS) => CARETAKERS * TARGETS;
-    hosts_that_hear_nobody_ask_little: |_, _| false, |_| Some(HOSTS) => SPARE * CARETAKERS * TARGETS;
-    zones_that_are_parted_ask_little: |own, other| own % ZONES == other % ZONES, |_| Some(HOSTS) => SPARE * CARETAKERS * TARGETS;
+    hosts_that_hear_all_ask_each_target_twice: |_, _| true, |_| Some(HOSTS) => CHECKERS_PER_TARGET * TARGETS;
+    hosts_that_hear_nobody_ask_little: |_, _| false, |_| Some(HOSTS) => MAX_CHECK_FACTOR * CHECKERS_PER_TARGET * TARGETS;
+    zones_that_are_parted_ask_little: |own, other| own % ZONES == other % ZONES, |_| Some(HOSTS) => MAX_CHECK_FACTOR * CHECKERS_PER_TARGET * TARGETS;
     hosts_that_were_replaced_ask_little: |own, other| own >= HOSTS / 2 && other >= HOSTS / 2,
-        |own| (own >= HOSTS / 2).then_some(HOSTS) => SPARE * CARETAKERS * TARGETS;
+        |own| (own >= HOSTS / 2).then_some(HOSTS) => MAX_CHECK_FACTOR * CHECKERS_PER_TARGET * TARGETS;
     hosts_that_were_never_told_ask_nobody: |_, _| false, |_| None => 0;
 }
 
 #[test]
 fn a_host_alone_asks_all_targets_in_turn() {
     let mut fleets = fleets(|_, _| false, |_| Some(HOSTS));
-    let rounds = TARGETS * HOSTS / (SPARE * CARETAKERS * TARGETS) + 1;
-    let asked: BTreeSet<TargetKey> = (0..rounds).flat_map(|_| fleets[0].questions()).collect();
+    let rounds = TARGETS * HOSTS / (MAX_CHECK_FACTOR * CHECKERS_PER_TARGET * TARGETS) + 1;
+    let asked: BTreeSet<TargetKey> = (0..rounds).flat_map(|_| fleets[0].next_checks()).collect();
     assert_eq!(asked.len(), TARGETS);
 }
 
 #[test]
 fn a_small_fleet_may_ask_at_least_a_few() {
     let mut fleets = fleets(|_, _| false, |_| Some(100_000));
-    assert_eq!(fleets[0].questions().len(), LEAST);
+    assert_eq!(fleets[0].next_checks().len(), MIN_CHECKS);
 }
--- a/tests/drift.rs
+++ b/tests/drift.rs
@@ -8,7 +8,7 @@
 
 use ragwortfold::inventory::{Registration, State};
 use ragwortfold::steer::drift::Drift;
-use ragwortfold::steer::fleet::{Ask, End, Fleet, Seen};
+use ragwortfold::steer::fleet::{End, Fleet, Observation, TargetQuery};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
@@ -107,23 +107,29 @@
         };
         fleet.register(start, registration);
     }
-    fleet.set_goal("books".into(), Duration::from_millis(800));
-    fleet.set_share(Some(0.2));
+    fleet.set_latency_goal("books".into(), Duration::from_millis(800));
+    fleet.set_caller_share(Some(0.2));
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let (mut away, mut all) = (0, 0);
     for request in 0..rate {
         let now = start + Duration::from_millis(request * 1000 / rate);
-        let ask = Ask {
+        let ask = TargetQuery {
             service: &"books".into(),
-            key: request.wrapping_mul(STRIDE),
+            affinity_key: request.wrapping_mul(STRIDE),
             object: None,
             homes: &BTreeSet::new(),
             tried: Vec::new(),
-            bytes: 0,
+            body_bytes: 0,
         };
         let target = fleet.choose(now, &ask, |_| true).unwrap();
         let is_away = &**fleet.member(target).unwrap().region() == "s";
-        fleet.finish(now, target, End::Cancelled, Seen::default(), &mut rng);
+        fleet.finish(
+            now,
+            target,
+            End::Cancelled,
+            Observation::default(),
+            &mut rng,
+        );
         if now >= start + Duration::from_millis(300) {
             all += 1;
             away += u32::from(is_away);
--- a/tests/ranking.rs
+++ b/tests/ranking.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use ragwortfold::border::settings::Switch;
 use ragwortfold::inventory::{Registration, State};
-use ragwortfold::steer::fleet::{Ask, End, Fleet, Refusal, Seen, Switches};
+use ragwortfold::steer::fleet::{End, Fleet, Observation, Refusal, Switches, TargetQuery};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
@@ -60,13 +60,13 @@
 
     /// The target that gets a request with a key, which ends at once.
     fn chosen(&mut self, key: u64) -> Result<Arc<str>, Refusal> {
-        let ask = Ask {
+        let ask = TargetQuery {
             service: &"books".into(),
-            key,
+            affinity_key: key,
             object: None,
             homes: &BTreeSet::new(),
             tried: Vec::new(),
-            bytes: 0,
+            body_bytes: 0,
         };
         let target = self.fleet.choose(self.now, &ask, |_| true)?;
         let id = self.fleet.member(target).unwrap().id().clone();
@@ -74,7 +74,7 @@
             self.now,
             target,
             End::Cancelled,
-            Seen::default(),
+            Observation::default(),
             &mut self.rng,
         );
         Ok(id)
@@ -90,12 +90,12 @@
     for key in 0..50 {
         world.chosen(key).unwrap();
     }
-    let before = world.fleet.looks();
+    let before = world.fleet.inspected_targets();
     for request in 0..REQUESTS {
         world.now += Duration::from_millis(10);
         world.chosen(u64::from(request % 50)).unwrap();
     }
-    (world.fleet.looks() - before) as f64 / f64::from(REQUESTS)
+    (world.fleet.inspected_targets() - before) as f64 / f64::from(REQUESTS)
 }
 
 #[test]
--- a/tests/replay/mod.rs
+++ b/tests/replay/mod.rs
@@ -11,7 +11,9 @@
 use std::time::{Duration, Instant};
 
 use ragwortfold::inventory::{Registration, State, TargetKey};
-use ragwortfold::steer::fleet::{Ask, End, Fleet, Leave, Load, Refusal, Seen, Switches};
+use ragwortfold::steer::fleet::{
+    End, Fleet, Load, Observation, Permission, Refusal, Switches, TargetQuery,
+};
 use ragwortfold::steer::throttle::{Claim, Grant, RateUpdate};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -149,15 +151,15 @@
 
 impl Request {
     /// What its host asks the fleet for it.
-    fn ask<'a>(&self, service: &'a Arc<str>, homes: &'a BTreeSet<Arc<str>>) -> Ask<'a> {
+    fn ask<'a>(&self, service: &'a Arc<str>, homes: &'a BTreeSet<Arc<str>>) -> TargetQuery<'a> {
         let draw = draw(self.object);
-        Ask {
+        TargetQuery {
             service,
-            key: draw,
+            affinity_key: draw,
             homes,
             tried: self.tried.clone(),
             object: Some(draw),
-            bytes: 0,
+            body_bytes: 0,
         }
     }
 }
@@ -307,7 +309,7 @@
             } else {
                 whole.clone()
             };
-            self.hosts[at].fleet.set_hosts(known);
+            self.hosts[at].fleet.set_live_hosts(known);
         }
     }
 
@@ -343,10 +345,10 @@
         }
         let other = self.hosts.iter().position(|other| other.is_up);
         let news: Vec<RateUpdate> = other
-            .map(|other| self.hosts[other].fleet.news(self.now).collect())
+            .map(|other| self.hosts[other].fleet.rate_updates(self.now).collect())
             .unwrap_or_default();
         for news in &news {
-            host.fleet.hear(self.now, news);
+            host.fleet.merge_rate(self.now, news);
         }
         self.hosts[at] = host;
         self.learn();
@@ -596,7 +598,7 @@
             } => self.unanswered(request, keeper, target, &claim),
             Event::News { host, news } => {
                 if self.hosts[host].is_up {
-                    self.hosts[host].fleet.hear(self.now, &news);
+                    self.hosts[host].fleet.merge_rate(self.now, &news);
                 }
             }
             Event::Repeat => self.repeat(),
@@ -650,7 +652,9 @@
         let Some((target, sent)) = request.target else {
             return;
         };
-        let news = self.hosts[at].fleet.state(self.now, target, sent, rate);
+        let news = self.hosts[at]
+            .fleet
+            .observe_rate(self.now, target, sent, rate);
         if let Some(news) = news {
             for host in 0..self.hosts.len() {
                 if host != at {
@@ -663,7 +667,7 @@
     /// Each host repeats what it knows of rates to two others.
     fn repeat(&mut self) {
         for at in 0..self.hosts.len() {
-            let news: Vec<RateUpdate> = self.hosts[at].fleet.news(self.now).collect();
+            let news: Vec<RateUpdate> = self.hosts[at].fleet.rate_updates(self.now).collect();
             self.hosts[at].fleet.expire_rates(self.now);
             if news.is_empty() || !self.hosts[at].is_up {
                 continue;
@@ -696,7 +700,7 @@
     fn granted(&mut self, number: usize, keeper: usize, target: TargetKey, grant: &Grant) {
         let (name, _) = self.named(keeper);
         let at = self.requests[number].host;
-        self.hosts[at].fleet.granted(self.now, &name, grant);
+        self.hosts[at].fleet.record_grant(self.now, &name, grant);
         if self.requests[number].claimed == Some(grant.0) {
             self.requests[number].claimed = None;
             self.go_on(number, target);
@@ -710,7 +714,9 @@
         self.requests[number].claimed = None;
         let (name, _) = self.named(keeper);
         let at = self.requests[number].host;
-        self.hosts[at].fleet.unanswered(self.now, &name, claim);
+        self.hosts[at]
+            .fleet
+            .record_unanswered_claim(self.now, &name, claim);
         self.go_on(number, target);
     }
 
@@ -721,7 +727,7 @@
             return;
         }
         let at = request.host;
-        if self.hosts[at].fleet.take_leave(self.now, target) {
+        if self.hosts[at].fleet.use_grant(self.now, target) {
             self.dispatch(number, target);
         } else if self.now >= self.requests[number].seeks_until {
             self.refuse(number);
@@ -738,7 +744,7 @@
     /// Looks for a target to which a request may be sent.
     fn seek(&mut self, number: usize) {
         match self.find(number) {
-            Ok((target, Leave::Ask(name, claim))) => {
+            Ok((target, Permission::Ask(name, claim))) => {
                 let asker = self.requests[number].host;
                 let keeper = (0..self.hosts.len()).find(|at| self.named(*at).0 == name);
                 let keeper = keeper.unwrap();
@@ -764,7 +770,7 @@
     }
 
     /// The target to ask for, or that may be used.
-    fn find(&mut self, number: usize) -> Result<(TargetKey, Leave), Refusal> {
+    fn find(&mut self, number: usize) -> Result<(TargetKey, Permission), Refusal> {
         let request = &self.requests[number];
         let host = &mut self.hosts[request.host];
         let (service, homes) = (SERVICE.into(), BTreeSet::new());
@@ -775,8 +781,11 @@
                 .fleet
                 .propose(self.now, &ask, |target| met.contains(&target));
             let (target, fit) = proposed?;
-            match host.fleet.leave(self.now, (target, fit), &mut self.rng) {
-                Leave::Refused => {}
+            match host
+                .fleet
+                .request_permission(self.now, (target, fit), &mut self.rng)
+            {
+                Permission::Denied => {}
                 leave => return Ok((target, leave)),
             }
         }
@@ -796,7 +805,7 @@
             .unwrap();
         let way = way(host.region, self.sites[site].region);
         if host.met.insert(target) {
-            host.fleet.connected(target, 2 * way);
+            host.fleet.record_connect(target, 2 * way);
         }
         request.tried.push(target);
         request.target = Some((target, self.now));
@@ -901,16 +910,16 @@
         let Some((target, sent)) = request.target.take() else {
             return;
         };
-        let seen = Seen {
+        let seen = Observation {
             load: Some(Load {
                 running: load.0,
                 waiting: load.1,
                 slots: self.scene.slots,
             }),
-            took: (end == End::Answered).then_some(self.now - sent),
+            response_time: (end == End::Answered).then_some(self.now - sent),
             object: Some(draw(request.object)),
             goal: Some(self.scene.aim),
-            bytes: Some(self.scene.bytes),
+            body_bytes: Some(self.scene.bytes),
         };
         let fleet = &mut self.hosts[request.host].fleet;
         fleet.finish(self.now, target, end, seen, &mut self.rng);
@@ -933,7 +942,9 @@
         request.tried.clear();
         let (service, homes) = (SERVICE.into(), BTreeSet::new());
         let ask = request.ask(&service, &homes);
-        let room = self.hosts[request.host].fleet.room_in(self.now, &ask);
+        let room = self.hosts[request.host]
+            .fleet
+            .time_until_room(self.now, &ask);
         let pause = pause(room, self.rng.random_range(0.0..1.0));
         self.plan(pause, Event::Return { request: number });
     }
@@ -951,7 +962,7 @@
             self.now,
             target,
             End::Cancelled,
-            Seen::default(),
+            Observation::default(),
             &mut self.rng,
         );
         self.end(number, Outcome::Failed);
--- a/tests/throttle.rs
+++ b/tests/throttle.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use ragwortfold::inventory::{Registration, State};
-use ragwortfold::steer::fleet::{Ask, Fleet, Leave};
+use ragwortfold::steer::fleet::{Fleet, Permission, TargetQuery};
 use ragwortfold::steer::throttle::{Assignment, Bucket, Claim, Rate, RateUpdate, Throttle};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -370,33 +370,33 @@
     let now = Instant::now();
     let regions: BTreeMap<Arc<str>, Arc<str>> = [("z".into(), "r".into())].into();
     let mut fleet = Fleet::new(now, "h".into(), "z".into(), regions, 5.0);
-    fleet.set_hosts(vec![("h".into(), "r".into())]);
+    fleet.set_live_hosts(vec![("h".into(), "r".into())]);
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let register = |fleet: &mut Fleet, born| {
         fleet.register(now, registration(born));
-        let ask = Ask {
+        let ask = TargetQuery {
             service: &"books".into(),
-            key: 1,
+            affinity_key: 1,
             object: None,
             homes: &BTreeSet::new(),
             tried: Vec::new(),
-            bytes: 0,
+            body_bytes: 0,
         };
         fleet.propose(now, &ask, |_| true).map(|(key, _)| key)
     };
     let first = register(&mut fleet, 1).unwrap();
-    fleet.state(now, first, now, Some(1.0));
+    fleet.observe_rate(now, first, now, Some(1.0));
     assert_eq!(
-        fleet.leave(now, (first, Assignment::Primary), &mut rng),
-        Leave::Refused
+        fleet.request_permission(now, (first, Assignment::Primary), &mut rng),
+        Permission::Denied
     );
     let second = register(&mut fleet, 2).unwrap();
     assert_ne!(first, second);
     assert_eq!(
-        fleet.leave(now, (second, Assignment::Primary), &mut rng),
-        Leave::Given
+        fleet.request_permission(now, (second, Assignment::Primary), &mut rng),
+        Permission::Granted
     );
-    assert_eq!(fleet.news(now).count(), 0);
+    assert_eq!(fleet.rate_updates(now).count(), 0);
 }
 
 fn registration(born: u64) -> Registration {
