--- a/src/account.rs
+++ b/src/account.rs
@@ -1,8 +1,8 @@
-//! Client accounts: whose request it is, and whether it may run.
+//! Client accounts: identification of callers by their keys.
 //!
-//! A caller's key is kept and passed between hosts as a digest only. What a request without a valid key is told depends on how
-//! new the host's configuration surely is: a key that is unknown here may have been added, and one that is known here may have
-//! been withdrawn.
+//! A caller's key is stored and passed between hosts only as a digest. The answer to a request
+//! without a valid key depends on how recent the host's configuration is: a key that is unknown
+//! here may have been added, and one that is known here may have been revoked.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -12,127 +12,129 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// The bytes of a digest.
-const LENGTH: usize = 32;
+/// Length of a digest in bytes.
+const DIGEST_BYTES: usize = 32;
 
-/// The SHA-256 digest of a caller's key. The key itself can't be got back from it.
+/// SHA-256 digest of a caller's key. The key can't be recovered from it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(into = "Bytes", try_from = "Bytes")]
-pub struct Key([u8; LENGTH]);
+pub struct KeyDigest([u8; DIGEST_BYTES]);
 
-/// Bytes of another length than a digest has.
+/// Error for bytes that do not have the length of a digest.
 #[derive(Debug, thiserror::Error)]
-#[error("{0} bytes are no digest of a key")]
-pub struct Length(usize);
+#[error("{0} bytes are not a valid key digest")]
+pub struct InvalidDigestLength(usize);
 
-impl Key {
-    /// The digest of a key as a caller sends it.
+impl KeyDigest {
+    /// Returns the digest of a key as a caller sends it.
     pub fn new(secret: &[u8]) -> Self {
         Self(Sha256::digest(secret).into())
     }
 }
 
-impl From<Key> for Bytes {
-    fn from(key: Key) -> Self {
+impl From<KeyDigest> for Bytes {
+    fn from(key: KeyDigest) -> Self {
         Self::copy_from_slice(&key.0)
     }
 }
 
-impl TryFrom<Bytes> for Key {
-    type Error = Length;
+impl TryFrom<Bytes> for KeyDigest {
+    type Error = InvalidDigestLength;
 
-    fn try_from(bytes: Bytes) -> Result<Self, Length> {
-        let digest = <[u8; LENGTH]>::try_from(&bytes[..]);
-        digest.map(Self).map_err(|_| Length(bytes.len()))
+    fn try_from(bytes: Bytes) -> Result<Self, InvalidDigestLength> {
+        let digest = <[u8; DIGEST_BYTES]>::try_from(&bytes[..]);
+        digest
+            .map(Self)
+            .map_err(|_| InvalidDigestLength(bytes.len()))
     }
 }
 
-impl fmt::Debug for Key {
-    /// Leaves the digest out: with few possible keys it would tell the key.
+impl fmt::Debug for KeyDigest {
+    /// Omits the digest: if there are few possible keys, it would reveal the key.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Key")
     }
 }
 
-/// How much an account may ask of all hosts together.
+/// Limit on an account's requests at all hosts together.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Quota {
     /// Requests a second.
     pub rate: f64,
-    /// Requests at once beyond that.
+    /// Requests in a burst beyond that rate.
     pub burst: f64,
 }
 
 /// A client account.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Account {
-    /// Its name, which targets are told.
+    /// Name, which is sent to targets.
     pub name: Arc<str>,
-    /// Its keys.
-    pub keys: BTreeSet<Key>,
-    /// How much it may ask; without one it is not limited.
+    /// Digests of its keys.
+    pub keys: BTreeSet<KeyDigest>,
+    /// Limit on its requests; not limited if absent.
     pub quota: Option<Quota>,
-    /// Its rank, 0 first, which goes before that of a route.
+    /// Priority, which overrides that of a route; 0 is the most urgent.
     pub priority: Option<u32>,
-    /// The only regions that may serve it; any, if empty.
+    /// Regions that may serve its requests; any if empty.
     pub homes: BTreeSet<Arc<str>>,
 }
 
-/// Why accounts can't be used.
+/// Error in the accounts of a configuration.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Fault {
-    /// A key has to tell whose request it is.
-    #[error("{one} and {other} have a key in common")]
+pub enum AccountError {
+    /// Two accounts have the same key, so it does not identify one of them.
+    #[error("accounts {one} and {other} share a key")]
     SharedKey {
         /// One of the accounts.
         one: Arc<str>,
         /// Another one.
         other: Arc<str>,
     },
-    /// A quota is no number of requests.
-    #[error("{account}: the quota is not above zero")]
+    /// A quota is not a valid number of requests.
+    #[error("account {account}: the quota is not above zero")]
     Quota {
         /// The account.
         account: Arc<str>,
     },
 }
 
-/// What a request says of its caller.
+/// Credential of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Credential {
-    /// Nothing.
+    /// The request has no credential.
     #[default]
     Missing,
-    /// Something that is not one key.
+    /// The credential is not a single key.
     Unreadable,
     /// A key.
-    Key(Key),
+    Key(KeyDigest),
 }
 
-/// How new the configuration of a host surely is.
+/// How recent the configuration of a host is known to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Knowledge {
-    /// As new as a decision needs.
+pub enum ConfigFreshness {
+    /// Recent enough for any decision.
     Current,
-    /// It may be an old one, and the deployment lets hosts go on with what they know.
-    Old,
-    /// It may be an old one, and no key may be used by it.
+    /// It may be outdated, and the deployment lets hosts continue with it.
+    Stale,
+    /// It may be outdated, and must not be used to accept keys.
     Expired,
 }
 
-/// Who sends a request, as far as that matters to its target.
+/// Caller of a request, as far as it matters to its target.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Caller {
     /// The deployment has no accounts.
     Unnamed,
-    /// Nobody in particular, on a route that is open to all.
+    /// An unidentified caller, on a route that is open to all.
     Public,
-    /// An account.
+    /// A client account.
     Account(Arc<Account>),
 }
 
 impl Caller {
-    /// The account, if the request is one's.
+    /// Returns the account, if the caller has one.
     pub fn account(&self) -> Option<&Arc<Account>> {
         match self {
             Self::Account(account) => Some(account),
@@ -141,23 +143,23 @@
     }
 }
 
-/// Why a request may not run.
+/// Why a request must not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
-    /// No configuration that may be in force allows it.
+    /// No configuration that may be in force permits it.
     NoAccount,
-    /// Another host may know better.
-    Unsure,
+    /// This host can't decide; another host may have a more recent configuration.
+    Undecided,
 }
 
-/// All accounts of a configuration, to be found by their keys.
+/// All accounts of a configuration, indexed by their keys.
 #[derive(Clone, Debug, Default)]
 pub struct Accounts {
-    by_key: BTreeMap<Key, Arc<Account>>,
+    by_key: BTreeMap<KeyDigest, Arc<Account>>,
 }
 
 impl Accounts {
-    /// Accounts that were checked.
+    /// Returns the index of accounts that were validated.
     pub fn new(accounts: &[Arc<Account>]) -> Self {
         let by_key = accounts.iter().flat_map(|account| {
             let keys = account.keys.iter();
@@ -168,50 +170,52 @@
         }
     }
 
-    /// Who sends a request with `credential`, on a route that is `open` to all or not.
+    /// Returns the caller that sends a request with `credential`, on a route that is `open` to all
+    /// or not.
     ///
     /// # Errors
     ///
-    /// The request may not run.
-    pub fn caller(
+    /// The request must not run.
+    pub fn identify(
         &self,
         credential: Credential,
         open: bool,
-        knowledge: Knowledge,
+        freshness: ConfigFreshness,
     ) -> Result<Caller, Denial> {
         let account = match credential {
             Credential::Key(key) => self.by_key.get(&key).cloned(),
             Credential::Missing | Credential::Unreadable => None,
         };
-        match (account, knowledge) {
+        match (account, freshness) {
             (account, _) if open => Ok(account.map_or(Caller::Public, Caller::Account)),
-            (_, Knowledge::Expired) => Err(Denial::Unsure),
+            (_, ConfigFreshness::Expired) => Err(Denial::Undecided),
             (Some(account), _) => Ok(Caller::Account(account)),
-            (None, Knowledge::Current) => Err(Denial::NoAccount),
-            (None, Knowledge::Old) => Err(Denial::Unsure),
+            (None, ConfigFreshness::Current) => Err(Denial::NoAccount),
+            (None, ConfigFreshness::Stale) => Err(Denial::Undecided),
         }
     }
 }
 
-/// Checks that accounts can be told apart and that their quotas are numbers of requests.
+/// Checks that no two accounts share a key and that their quotas are valid numbers of requests.
 ///
 /// # Errors
 ///
-/// The first fault that is found.
-pub fn check(accounts: &[Arc<Account>]) -> Result<(), Fault> {
-    let mut holders: BTreeMap<Key, &Arc<str>> = BTreeMap::new();
+/// The first error found.
+pub fn validate(accounts: &[Arc<Account>]) -> Result<(), AccountError> {
+    let mut names_by_key: BTreeMap<KeyDigest, &Arc<str>> = BTreeMap::new();
     for account in accounts {
-        let sound = |number: f64| number.is_finite() && number >= 0.0;
+        let is_valid = |number: f64| number.is_finite() && number >= 0.0;
         let quota = account.quota;
-        if quota.is_some_and(|quota| !sound(quota.burst) || !sound(quota.rate) || quota.rate == 0.0)
-        {
-            return Err(Fault::Quota {
+        if quota.is_some_and(|quota| {
+            !is_valid(quota.burst) || !is_valid(quota.rate) || quota.rate == 0.0
+        }) {
+            return Err(AccountError::Quota {
                 account: account.name.clone(),
             });
         }
         for key in &account.keys {
-            if let Some(other) = holders.insert(*key, &account.name) {
-                return Err(Fault::SharedKey {
+            if let Some(other) = names_by_key.insert(*key, &account.name) {
+                return Err(AccountError::SharedKey {
                     one: other.clone(),
                     other: account.name.clone(),
                 });
@@ -221,29 +225,30 @@
     Ok(())
 }
 
-/// The regions in which a request may run: those that both its route and its account allow. An empty set allows any.
+/// Returns the regions that may serve a request: those that both its route and its account allow.
+/// An empty set allows any.
 ///
 /// # Errors
 ///
-/// There is none.
-pub fn homes(
+/// No region is allowed by both.
+pub fn allowed_regions(
     route: &BTreeSet<Arc<str>>,
     account: &BTreeSet<Arc<str>>,
-) -> Result<BTreeSet<Arc<str>>, NoHome> {
+) -> Result<BTreeSet<Arc<str>>, NoCommonRegion> {
     if account.is_empty() {
         return Ok(route.clone());
     }
     if route.is_empty() {
         return Ok(account.clone());
     }
-    let both: BTreeSet<_> = route.intersection(account).cloned().collect();
-    if both.is_empty() {
-        return Err(NoHome);
+    let common: BTreeSet<_> = route.intersection(account).cloned().collect();
+    if common.is_empty() {
+        return Err(NoCommonRegion);
     }
-    Ok(both)
+    Ok(common)
 }
 
-/// No region may serve a request.
+/// Error: the route and the account of a request have no region in common.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no region may serve both the route and the account")]
-pub struct NoHome;
+pub struct NoCommonRegion;
--- a/src/host/admission.rs
+++ b/src/host/admission.rs
@@ -84,10 +84,12 @@
 pub(crate) fn admit(host: &Host, route: &Route, head: &Head) -> Result<Admitted, Refused> {
     let core = &mut *host.core.borrow_mut();
     let knowledge = core.knowledge(moment());
-    let caller = core.table.caller(route, head.credential, knowledge);
+    let caller = core
+        .table
+        .identify_caller(route, head.credential, knowledge);
     let caller = caller.map_err(|denial| match denial {
         Denial::NoAccount => Refused::NoAccount,
-        Denial::Unsure => Refused::Unsure(core.proof.age(moment())),
+        Denial::Undecided => Refused::Unsure(core.proof.age(moment())),
     })?;
     let Some(account) = caller.account() else {
         return Ok(Admitted {
@@ -95,7 +97,7 @@
             homes: route.homes.clone(),
         });
     };
-    let homes = account::homes(&route.homes, &account.homes)
+    let homes = account::allowed_regions(&route.homes, &account.homes)
         .map_err(|_| Refused::NoHome(account.name.clone()))?;
     if let Some(ledger) = &mut core.ledger {
         if let Err(refusal) = ledger.admit(now(), account) {
--- a/src/host/core.rs
+++ b/src/host/core.rs
@@ -8,16 +8,16 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::log::{self, Event};
-use crate::account::Knowledge;
+use crate::account::ConfigFreshness;
 use crate::control::presence::{self, Naming, Presence, Record, Sight};
 use crate::control::proof::{Moment, Proof, CAUTION};
 use crate::control::replica::{Effect, Outage, Replica, Update};
-use crate::inventory::{Config, Registration, Route, State, Table};
+use crate::inventory::{Config, Registration, Route, RouteTable, State};
 use crate::port::{Bounds, Entry, Kind, Settings, Value};
 use crate::steer::allowance::Ledger;
 use crate::steer::fleet::Fleet;
 use crate::steer::quarantine::Quarantine;
-use crate::steer::retry::Budgets;
+use crate::steer::retry::SharedBudgets;
 
 /// How long targets that are missing after the store was away may take to register again.
 const RETURN: Duration = Duration::from_secs(2);
@@ -28,14 +28,14 @@
 
 /// The state of a host.
 pub(crate) struct Core {
-    pub(crate) table: Table,
+    pub(crate) table: RouteTable,
     pub(crate) replica: Replica,
     pub(crate) fleet: Fleet,
     pub(crate) presence: Presence,
     pub(crate) rng: Pcg64Mcg,
     /// The version of the own registration in the store.
     pub(crate) registered: Option<u64>,
-    pub(crate) budgets: Budgets,
+    pub(crate) budgets: SharedBudgets,
     /// Requests that crash targets.
     pub(crate) quarantine: Quarantine,
     /// What accounts may still ask, if quotas are kept.
@@ -65,8 +65,8 @@
             strength: settings.strength,
         };
         let seed = xxhash_rust::xxh3::xxh3_64_with_seed(own.host.as_bytes(), own.incarnation);
-        let mut budgets =
-            Budgets::new(settings.bounds.repeats).with_switch(settings.switches.repeat_budget);
+        let mut budgets = SharedBudgets::new(settings.bounds.repeats)
+            .with_switch(settings.switches.repeat_budget);
         // Until the others are known, the floor that all share is theirs.
         budgets.set_hosts(usize::MAX);
         let region = settings.regions.get(&settings.zone);
@@ -81,7 +81,7 @@
             ledger,
             proof: Proof::new(),
             term,
-            table: Table::new(),
+            table: RouteTable::new(),
             replica: Replica::new(),
             fleet: Fleet::new(
                 now,
@@ -111,7 +111,7 @@
 
     /// Takes bounds over.
     pub(crate) fn set_bounds(&mut self, bounds: Bounds) {
-        self.budgets.set_terms(bounds.repeats);
+        self.budgets.set_limits(bounds.repeats);
     }
 
     /// Takes in what changed in the store.
@@ -179,12 +179,12 @@
     }
 
     /// How new the configuration surely is.
-    pub(crate) fn knowledge(&self, moment: Moment) -> Knowledge {
+    pub(crate) fn knowledge(&self, moment: Moment) -> ConfigFreshness {
         match self.term {
-            Some(term) if self.proof.holds(moment, term) => Knowledge::Current,
-            Some(_) => Knowledge::Expired,
-            None if self.presence.sight() >= Sight::Relayed => Knowledge::Current,
-            None => Knowledge::Old,
+            Some(term) if self.proof.holds(moment, term) => ConfigFreshness::Current,
+            Some(_) => ConfigFreshness::Expired,
+            None if self.presence.sight() >= Sight::Relayed => ConfigFreshness::Current,
+            None => ConfigFreshness::Stale,
         }
     }
 
--- a/src/host/exchange.rs
+++ b/src/host/exchange.rs
@@ -26,7 +26,7 @@
 use crate::port::{Answer, Head};
 use crate::steer::fingerprint::Fingerprint;
 use crate::steer::fleet::{End, Member, Observation, Refusal, TargetQuery};
-use crate::steer::pause::Refused;
+use crate::steer::pause::RefusedRequest;
 
 /// How long a connection may take to be established: a round trip between regions and a lost
 /// first packet's worth of waiting would be longer, but another target is the better use of the time.
@@ -126,7 +126,10 @@
     let Some(service) = host.core.borrow_mut().part(&exchange.route) else {
         return answer::not_run(host, "no service for this route\n");
     };
-    host.core.borrow_mut().budgets.request(now(), &service);
+    host.core
+        .borrow_mut()
+        .budgets
+        .record_request(now(), &service);
     let ask = TargetQuery {
         service: &service,
         affinity_key: key(&exchange),
@@ -275,8 +278,14 @@
         Stop::Refused(_) => core.fleet.time_until_room(now(), ask),
         _ => Duration::ZERO,
     };
-    let rank = core.table.rank(&exchange.route, &exchange.admitted.caller);
-    Refused { room, rank }.pause(core.rng.random_range(0.0..1.0))
+    let rank = core
+        .table
+        .relative_priority(&exchange.route, &exchange.admitted.caller);
+    RefusedRequest {
+        time_until_room: room,
+        rank,
+    }
+    .retry_after(core.rng.random_range(0.0..1.0))
 }
 
 /// Why a request is not sent once more, if it is not. Taking from the budget comes last, so that
@@ -297,7 +306,7 @@
         Some(Stop::Time)
     } else if exchange.body == Kept::Start {
         Some(Stop::Body)
-    } else if !host.core.borrow_mut().budgets.take(now(), ask.service) {
+    } else if !host.core.borrow_mut().budgets.try_take(now(), ask.service) {
         Some(Stop::Budget)
     } else {
         None
@@ -469,7 +478,11 @@
     exchange.route.repeat != Repeat::Never
         && exchange.body == Kept::Whole
         && sent + 1 < exchange.route.attempts as usize
-        && host.core.borrow_mut().budgets.has(now(), ask.service)
+        && host
+            .core
+            .borrow_mut()
+            .budgets
+            .has_remaining(now(), ask.service)
 }
 
 /// An open connection to a target: one that was kept, or a new one.
--- a/src/host/metrics.rs
+++ b/src/host/metrics.rs
@@ -36,7 +36,7 @@
     let core = &mut *host.core.borrow_mut();
     let now = now();
     metrics.revision(core.table.version().unwrap_or_default());
-    for (service, left) in core.budgets.left(now) {
+    for (service, left) in core.budgets.remaining(now) {
         metrics.repeats(service, left);
     }
     for belief in core.fleet.estimates(now) {
--- a/src/inventory.rs
+++ b/src/inventory.rs
@@ -1,7 +1,8 @@
-//! What a deployment with self-registered targets consists of: routes, services, targets.
+//! Configuration and targets of a deployment whose targets register themselves: routes, services,
+//! targets.
 //!
-//! The configuration comes whole and replaces the one before. Targets come and go one by one, each
-//! under the identity of its process, so a restarted target is another target.
+//! A configuration is complete and replaces the previous one. Targets register and leave one by
+//! one, each under the identity of its process, so a restarted target is another target.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,131 +11,132 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::account::{Account, Accounts, Caller, Credential, Denial, Knowledge};
+use crate::account::{Account, Accounts, Caller, ConfigFreshness, Credential, Denial};
 use crate::catalog::Repeat;
 
-/// Names a target for as long as this process lives; never used twice.
+/// Identifies a target during the lifetime of this process; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TargetKey(u32);
 
-/// A share of a route's requests that belongs to one service.
+/// A service of a route, with its share of the requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Part {
-    /// The service.
+pub struct WeightedService {
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Its weight among the parts of the route.
+    /// Weight relative to the other services of the route.
     pub weight: f64,
 }
 
-/// Where requests of one host name and path prefix go, and on what terms.
+/// Destination and terms of the requests for one host name and path prefix.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// The route's own name, for logs and metrics.
+    /// Name of the route in logs and metrics.
     pub name: Arc<str>,
-    /// The host name it belongs to.
+    /// Host name that it matches.
     pub host: Arc<str>,
-    /// The beginning of the paths it takes; starts and ends with a slash.
+    /// Path prefix that it matches; starts and ends with a slash.
     pub prefix: Arc<str>,
-    /// One service, or several by weight.
-    pub parts: Vec<Part>,
+    /// One service, or several with weights.
+    pub parts: Vec<WeightedService>,
     /// Whether a request may run more than once.
     pub repeat: Repeat,
-    /// The longest time a caller is kept waiting.
+    /// Maximum time for which a caller waits.
     pub timeout: Duration,
-    /// The time within which an answer is worth most.
+    /// Latency goal: the time within which an answer is worth most.
     pub goal: Duration,
-    /// The most targets that one request may be sent to.
+    /// Maximum number of targets that one request is sent to.
     pub attempts: u32,
-    /// Its rank, 0 first.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
     /// Whether targets answer faster for objects that they handled lately.
     pub affinity: bool,
-    /// The only regions that may serve it; any, if empty.
+    /// Regions that may serve it; any if empty.
     pub homes: BTreeSet<Arc<str>>,
-    /// Whether it takes requests without a key, where there are accounts.
+    /// Whether it accepts requests without a key, in a deployment with accounts.
     pub open: bool,
 }
 
-/// What all targets of one service have in common.
+/// Properties shared by all targets of one service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// The path of its health check.
+    /// Path of its health check.
     pub health_path: Arc<str>,
     /// Connections that one target accepts from all callers together.
     pub max_connections: u32,
-    /// How long a target stays cold after its start.
+    /// Time for which a target stays cold after its start.
     pub cold: Duration,
-    /// Requests a second that a cold target bears.
+    /// Requests a second that a cold target can process.
     pub cold_rate: f64,
 }
 
-/// Bounds on what a caller may send.
+/// Limits on what callers may send.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Limits {
-    /// The longest request head, in bytes.
+    /// Maximum size of a request head in bytes.
     pub head_bytes: usize,
-    /// The longest request body, in bytes.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: u64,
-    /// The longest time that a request head may take to arrive.
+    /// Maximum time for a request head to arrive.
     pub head_timeout: Duration,
-    /// How long a connection may stay without a request.
+    /// Maximum time for which a connection may stay idle.
     pub idle_timeout: Duration,
 }
 
-/// One configuration, complete.
+/// A complete configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Config {
-    /// Grows from each configuration to the next.
+    /// Version, which increases with each configuration.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Route>,
     /// All services by name.
     pub services: BTreeMap<Arc<str>, Service>,
-    /// Bounds on requests.
+    /// Limits on requests.
     pub limits: Limits,
-    /// All client accounts; none, if the deployment has no accounts.
+    /// All client accounts; `None` if the deployment has no accounts.
     pub accounts: Option<Vec<Arc<Account>>>,
 }
 
-/// Whether a target takes new requests.
+/// Whether a target accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// It does.
+    /// It accepts new requests.
     Ready,
-    /// It is about to leave.
+    /// It is shutting down and accepts no new ones.
     Draining,
 }
 
-/// What a target says of itself in the platform's store.
+/// Registration of a target in the platform's store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Registration {
-    /// The identity of its process.
+    /// Identity of its process.
     pub id: Arc<str>,
-    /// The service it belongs to.
+    /// Service that it belongs to.
     pub service: Arc<str>,
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: Arc<str>,
-    /// Requests that it works on at once.
+    /// Requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub state: State,
-    /// How much longer it stays cold.
+    /// Time for which it stays cold.
     pub cold_left: Duration,
-    /// When its process started, in Unix milliseconds, if it says so. A target that starts again may do
-    /// so under the identity that it had, and knows nothing of before.
+    /// Start time of its process in Unix milliseconds, if it reports one. A restarted target may
+    /// register under its previous identity without any state of the previous process.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub born: Option<u64>,
 }
 
 impl Registration {
-    /// Whether this is of an earlier process than `other`.
-    pub fn is_before(&self, other: &Self) -> bool {
+    /// Whether this registration is from an earlier process than `other`.
+    pub fn is_older_than(&self, other: &Self) -> bool {
         self.born < other.born && self.born.is_some()
     }
 
-    /// Whether this and `other` are of one process, which does the same work in the same place.
+    /// Whether this registration and `other` are from one process, with the same service, address
+    /// and zone.
     pub fn is_same_process(&self, other: &Self) -> bool {
         let restarted = self.born != other.born && self.born.is_some() && other.born.is_some();
         !restarted
@@ -144,26 +146,26 @@
     }
 }
 
-/// The configuration in force, laid out for finding routes.
+/// The configuration in force, indexed for route lookups.
 #[derive(Debug, Default)]
-pub struct Table {
+pub struct RouteTable {
     version: Option<u64>,
-    hosts: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Arc<Route>>>,
+    routes_by_host: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Arc<Route>>>,
     services: BTreeMap<Arc<str>, Service>,
     limits: Option<Limits>,
     accounts: Option<Accounts>,
-    /// The priority of the least urgent routes and accounts.
-    last_priority: u32,
+    /// Priority of the least urgent routes and accounts.
+    lowest_priority: u32,
 }
 
-impl Table {
-    /// An empty table, as before the first configuration.
+impl RouteTable {
+    /// Returns an empty table, as before the first configuration.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes a configuration over as a whole unless it is older than the one in force; says
-    /// whether it did.
+    /// Replaces the configuration unless the new one is older than or the same as the one in force.
+    /// Returns whether it did.
     pub fn replace(&mut self, config: Config) -> bool {
         if self
             .version
@@ -174,82 +176,83 @@
         let routes = config.routes.iter().map(|route| route.priority);
         let accounts = config.accounts.iter().flatten();
         let priorities = routes.chain(accounts.filter_map(|account| account.priority));
-        self.last_priority = priorities.max().unwrap_or_default();
+        self.lowest_priority = priorities.max().unwrap_or_default();
         self.accounts = config.accounts.as_deref().map(Accounts::new);
-        let mut hosts: BTreeMap<Arc<str>, BTreeMap<_, _>> = BTreeMap::new();
+        let mut routes_by_host: BTreeMap<Arc<str>, BTreeMap<_, _>> = BTreeMap::new();
         for route in config.routes {
-            hosts
+            routes_by_host
                 .entry(route.host.clone())
                 .or_default()
                 .insert(route.prefix.clone(), Arc::new(route));
         }
         self.version = Some(config.version);
-        self.hosts = hosts;
+        self.routes_by_host = routes_by_host;
         self.services = config.services;
         self.limits = Some(config.limits);
         true
     }
 
-    /// The version in force, none before the first configuration.
+    /// Returns the version in force, `None` before the first configuration.
     pub fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// The bounds in force.
+    /// Returns the limits in force.
     pub fn limits(&self) -> Option<Limits> {
         self.limits
     }
 
-    /// A service by name.
+    /// Returns a service by name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// All services.
+    /// Returns all services.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.services.values()
     }
 
-    /// How urgent requests of a caller on a route are: from 0 for the most urgent of all to 1 for the least urgent.
-    pub fn rank(&self, route: &Route, caller: &Caller) -> f64 {
+    /// Returns the relative priority of a caller's requests on a route: from 0 for the most urgent
+    /// of all to 1 for the least urgent.
+    pub fn relative_priority(&self, route: &Route, caller: &Caller) -> f64 {
         let account = caller.account().and_then(|account| account.priority);
-        f64::from(account.unwrap_or(route.priority)) / f64::from(self.last_priority.max(1))
+        f64::from(account.unwrap_or(route.priority)) / f64::from(self.lowest_priority.max(1))
     }
 
-    /// Who sends a request with `credential` on `route`.
+    /// Returns the caller that sends a request with `credential` on `route`.
     ///
     /// # Errors
     ///
-    /// The request may not run.
-    pub fn caller(
+    /// The request must not run.
+    pub fn identify_caller(
         &self,
         route: &Route,
         credential: Credential,
-        knowledge: Knowledge,
+        freshness: ConfigFreshness,
     ) -> Result<Caller, Denial> {
         let Some(accounts) = &self.accounts else {
             return Ok(Caller::Unnamed);
         };
-        accounts.caller(credential, route.open, knowledge)
+        accounts.identify(credential, route.open, freshness)
     }
 
-    /// The route with the longest prefix of `path` on `host`.
+    /// Returns the route with the longest prefix of `path` on `host`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        let routes = self.hosts.get(host)?;
+        let routes = self.routes_by_host.get(host)?;
         path.rmatch_indices('/')
             .find_map(|(at, _)| routes.get(&path[..=at]))
     }
 }
 
-/// Gives out keys for targets.
+/// Allocates target keys.
 #[derive(Debug, Default)]
-pub struct Keys {
+pub struct TargetKeyAllocator {
     next: u32,
 }
 
-impl Keys {
-    /// A key that was not given out before.
-    pub fn take(&mut self) -> TargetKey {
+impl TargetKeyAllocator {
+    /// Returns a key that was not allocated before.
+    pub fn allocate(&mut self) -> TargetKey {
         let key = TargetKey(self.next);
         self.next += 1;
         key
--- a/src/port.rs
+++ b/src/port.rs
@@ -20,7 +20,7 @@
 use crate::inventory::{Config, Registration};
 use crate::steer::allowance::Excess;
 use crate::steer::fleet::{Load, Switches};
-use crate::steer::retry::Terms;
+use crate::steer::retry::RetryLimits;
 use crate::steer::throttle::Rate;
 
 /// What a process learns at its start and when it is told to read its settings again.
@@ -66,7 +66,7 @@
     /// The longest time for which an answer to a look-up counts.
     pub lookup_ttl: Duration,
     /// Repeats allowed, by all hosts together.
-    pub repeats: Terms,
+    pub repeats: RetryLimits,
     /// Requests that a cold target bears at once beyond its rate, from all hosts together.
     pub cold_burst: f64,
     /// Time between two heartbeats of a target to the store; its registration runs out after three without one.
--- a/src/steer/budgets.rs
+++ b/src/steer/budgets.rs
@@ -1,8 +1,8 @@
-//! The retry and hedge budgets of one service, and the switches of a host.
+//! Retry and hedge budgets of one service, and the switches of a host.
 
 use std::time::Instant;
 
-use super::hedge::Hedge;
+use super::hedge::HedgePolicy;
 use super::retry;
 use crate::border::settings::{Steer, Switch};
 use crate::catalog::Limits;
@@ -27,28 +27,28 @@
 
 /// The budgets of one service.
 #[derive(Debug)]
-pub(crate) struct Budgets {
+pub(crate) struct ServiceBudgets {
     pub(crate) retry: retry::Budget,
-    pub(crate) hedge: Hedge,
+    pub(crate) hedge: HedgePolicy,
 }
 
-impl Budgets {
+impl ServiceBudgets {
     pub(crate) fn new(now: Instant, limits: &Limits, switches: Switches) -> Self {
         Self {
             retry: retry::Budget::new(now, limits.retry).with_switch(switches.retry),
-            hedge: Hedge::new(now, limits.hedge).with_switch(switches.hedge),
+            hedge: HedgePolicy::new(now, limits.hedge).with_switch(switches.hedge),
         }
     }
 
-    /// Takes the limits of a new configuration.
+    /// Applies the limits of a new configuration.
     pub(crate) fn set_limits(&mut self, limits: &Limits) {
         self.retry.set_share(limits.retry);
         self.hedge.set_share(limits.hedge);
     }
 
     /// Counts a request of the service.
-    pub(crate) fn request(&mut self, now: Instant) {
-        self.retry.request(now);
-        self.hedge.request(now);
+    pub(crate) fn record_request(&mut self, now: Instant) {
+        self.retry.record_request(now);
+        self.hedge.record_request(now);
     }
 }
--- a/src/steer/drift.rs
+++ b/src/steer/drift.rs
@@ -1,160 +1,176 @@
-//! The part of a host's requests that runs in other regions: it moves slowly, and by keys.
+//! Drift: the share of a host's requests that run in other regions. It changes slowly, and it is
+//! selected by keys.
 //!
-//! Requests overflow to other regions when the targets of the own one are full or have nothing cached.
-//! A request that overflows comes to a target that has nothing cached for it, and when that ends all
-//! would come back at once. So a part of the keys, by their hashes always the same ones, goes away
-//! for good: it grows while more than [`STEP`] of the requests overflow beside it, shrinks while less
-//! do, and changes by little in each second.
+//! Requests overflow to other regions when the targets of the own region are full or have nothing
+//! cached. A request that overflows arrives at a target without its object in the cache, and all of
+//! them would return at once when the overflow ends. So a share of the keys, always the same ones
+//! by their hashes, is permanently served elsewhere: the share grows while more than
+//! [`MAX_RETURN_STEP`] of the requests overflow in addition to it, shrinks while fewer do, and
+//! changes by a limited step each second.
 
 use std::time::{Duration, Instant};
 
-/// The span over which the part is measured.
-const SPAN: Duration = Duration::from_secs(1);
-/// How much of all requests may come back in one span: two of them stay under the usual cap on
-/// shifts, 0.15 in 2 s, with room for what single hosts see differently.
-const STEP: f64 = 0.05;
-/// How much more of all requests may go away in one span than in the one before, while they could
-/// stay.
-const STEP_AWAY: f64 = 0.06;
-/// Requests in a span that are enough to measure.
-const ENOUGH: u32 = 4;
-/// How long a region's slots alone tell what it lacks. What comes back after that is little of what moves in the two seconds for
-/// which operators cap it.
-const TRIAL: Duration = Duration::from_millis(200);
-/// For how long fewer slots of the own region are taken for a loss. What such a loss moves has to leave at once, and its
-/// targets may take as long to come back.
-const LOSS: Duration = Duration::from_secs(10);
-/// The part of the slots that may be missing without being a loss: single targets come and go on any day.
-const USUAL: f64 = 0.9;
+/// Span over which the share is measured.
+const MEASUREMENT_SPAN: Duration = Duration::from_secs(1);
+/// Share of all requests that may return in one span: two steps stay below the usual cap on shifts,
+/// 0.15 in 2 s, with a margin for differences between hosts.
+const MAX_RETURN_STEP: f64 = 0.05;
+/// Share of all requests by which those that leave may exceed the previous span, while there is
+/// capacity for them in the region.
+const MAX_LEAVE_STEP: f64 = 0.06;
+/// Requests in a span that are enough to measure the share.
+const MIN_SPAN_REQUESTS: u32 = 4;
+/// Time for which the share is determined by the region's slots alone. Requests that return after
+/// that are few compared with those that move in the two seconds to which operators' caps apply.
+const INITIAL_SHARE_TRIAL: Duration = Duration::from_millis(200);
+/// Time for which a decrease in the region's usable slots counts as a loss. Requests that such a
+/// loss displaces have to leave at once, and its targets may take as long to return.
+const SLOT_LOSS_SPAN: Duration = Duration::from_secs(10);
+/// Share of the slots below which the others count as lost: single targets come and go every day.
+const USUAL_SLOTS_SHARE: f64 = 0.9;
 
-/// The part of the requests that goes to other regions.
+/// The share of requests that run in other regions.
 #[derive(Clone, Copy, Debug)]
 pub struct Drift {
-    begun: Instant,
-    all: u32,
-    far: u32,
-    floor: f64,
-    last: f64,
-    /// Whether it is still to be seen that the part is needed with which this began.
+    span_start: Instant,
+    requests: u32,
+    remote_requests: u32,
+    /// Share of the keys that have to leave, and the measured share of the previous span.
+    remote_share: f64,
+    last_share: f64,
+    /// Whether it is still to be measured that the initial share is needed.
     is_on_trial: bool,
-    room: Room,
+    slot_history: SlotHistory,
 }
 
 impl Drift {
-    /// Nothing was sent yet.
+    /// Returns a drift of zero without measurements.
     pub fn new(now: Instant) -> Self {
         Self {
-            begun: now,
-            all: 0,
-            far: 0,
-            floor: 0.0,
-            last: 0.0,
+            span_start: now,
+            requests: 0,
+            remote_requests: 0,
+            remote_share: 0.0,
+            last_share: 0.0,
             is_on_trial: false,
-            room: Room::new(now),
+            slot_history: SlotHistory::new(now),
         }
     }
 
-    /// Sends `part` of the requests away from the start.
-    pub fn with_part(mut self, part: f64) -> Self {
-        self.floor = part;
-        self.last = part;
-        self.is_on_trial = part > 0.0;
+    /// Sets the share of requests that leave from the start.
+    pub fn with_initial_share(mut self, share: f64) -> Self {
+        self.remote_share = share;
+        self.last_share = share;
+        self.is_on_trial = share > 0.0;
         self
     }
 
-    /// Sends nothing away from soon after the first request on, if the requests a second so far show that the region has plenty.
-    /// Slots alone say only that it has fewer than others, not that it needs more.
-    pub fn judge(&mut self, now: Instant, has_plenty: impl FnOnce(f64) -> bool) {
-        let age = now.saturating_duration_since(self.begun);
-        if !self.is_on_trial || age < TRIAL {
+    /// Sets the share to zero after [`INITIAL_SHARE_TRIAL`], if the requests a second so far show
+    /// that the region has ample capacity. Its slots alone only show that it has fewer than other
+    /// regions, not that it needs more.
+    pub fn review_initial_share(
+        &mut self,
+        now: Instant,
+        has_ample_capacity: impl FnOnce(f64) -> bool,
+    ) {
+        let age = now.saturating_duration_since(self.span_start);
+        if !self.is_on_trial || age < INITIAL_SHARE_TRIAL {
             return;
         }
         self.is_on_trial = false;
-        if age < SPAN && has_plenty(f64::from(self.all) / age.as_secs_f64()) {
-            self.floor = 0.0;
-            self.last = 0.0;
+        if age < MEASUREMENT_SPAN
+            && has_ample_capacity(f64::from(self.requests) / age.as_secs_f64())
+        {
+            self.remote_share = 0.0;
+            self.last_share = 0.0;
         }
     }
 
     /// Counts a request.
-    pub fn count(&mut self, now: Instant, far: bool) {
-        self.roll(now);
-        self.all += 1;
-        self.far += u32::from(far);
+    pub fn record_request(&mut self, now: Instant, is_remote: bool) {
+        self.advance_span(now);
+        self.requests += 1;
+        self.remote_requests += u32::from(is_remote);
     }
 
-    /// Whether one more request may go away, if it could as well stay.
+    /// Whether another request may leave the region that could as well stay.
     pub fn may_leave(&mut self, now: Instant) -> bool {
-        self.roll(now);
-        let most = f64::from(self.all.max(ENOUGH)) * (self.last + STEP_AWAY);
-        f64::from(self.far) < most
+        self.advance_span(now);
+        let limit =
+            f64::from(self.requests.max(MIN_SPAN_REQUESTS)) * (self.last_share + MAX_LEAVE_STEP);
+        f64::from(self.remote_requests) < limit
     }
 
-    /// Notes the slots of the own region that may be used. Tells whether some were lost lately, so that requests have to
-    /// leave however many they are.
-    pub fn has_lost(&mut self, now: Instant, slots: u32) -> bool {
-        self.room.note(now, slots);
-        self.room.has_lost()
+    /// Records the usable slots of the own region. Returns whether some were lost lately, so that
+    /// requests have to leave however many they are.
+    pub fn has_lost_slots(&mut self, now: Instant, slots: u32) -> bool {
+        self.slot_history.record_slots(now, slots);
+        self.slot_history.has_lost_slots()
     }
 
-    /// Whether a request has to stay away, although it could come back.
-    pub fn holds(&mut self, now: Instant, key: u64) -> bool {
-        self.roll(now);
-        (key as f64 / u64::MAX as f64) < self.floor
+    /// Whether the key of a request belongs to the share that has to leave, although the request
+    /// could stay.
+    pub fn has_to_leave(&mut self, now: Instant, key: u64) -> bool {
+        self.advance_span(now);
+        (key as f64 / u64::MAX as f64) < self.remote_share
     }
 
-    fn roll(&mut self, now: Instant) {
-        let spans = now.saturating_duration_since(self.begun).as_secs_f64() / SPAN.as_secs_f64();
+    /// Updates the share from the finished span, if one has ended.
+    fn advance_span(&mut self, now: Instant) {
+        let spans = now.saturating_duration_since(self.span_start).as_secs_f64()
+            / MEASUREMENT_SPAN.as_secs_f64();
         if spans < 1.0 {
             return;
         }
-        let least = self.floor - STEP * spans.floor();
-        let most = self.floor + STEP_AWAY;
-        if self.all >= ENOUGH {
-            self.last = f64::from(self.far) / f64::from(self.all);
-            self.floor = (self.last - STEP).clamp(least, most).max(0.0);
+        let min_share = self.remote_share - MAX_RETURN_STEP * spans.floor();
+        let max_share = self.remote_share + MAX_LEAVE_STEP;
+        if self.requests >= MIN_SPAN_REQUESTS {
+            self.last_share = f64::from(self.remote_requests) / f64::from(self.requests);
+            self.remote_share = (self.last_share - MAX_RETURN_STEP)
+                .clamp(min_share, max_share)
+                .max(0.0);
         } else {
-            self.last = self.floor;
-            self.floor = least.max(0.0);
+            self.last_share = self.remote_share;
+            self.remote_share = min_share.max(0.0);
         }
-        self.begun = now;
-        self.all = 0;
-        self.far = 0;
+        self.span_start = now;
+        self.requests = 0;
+        self.remote_requests = 0;
     }
 }
 
-/// The slots of a region that may be used, now and before.
+/// Usable slots of a region, now and before.
 #[derive(Clone, Copy, Debug)]
-struct Room {
-    now: u32,
-    /// The most in this span of [`LOSS`] and in the one before it.
-    most: u32,
-    before: u32,
-    begun: Instant,
+struct SlotHistory {
+    current: u32,
+    /// Maximum in the current span of [`SLOT_LOSS_SPAN`] and in the previous one.
+    max_current: u32,
+    max_previous: u32,
+    span_start: Instant,
 }
 
-impl Room {
+impl SlotHistory {
     fn new(now: Instant) -> Self {
         Self {
-            now: 0,
-            most: 0,
-            before: 0,
-            begun: now,
+            current: 0,
+            max_current: 0,
+            max_previous: 0,
+            span_start: now,
         }
     }
 
-    fn note(&mut self, now: Instant, slots: u32) {
-        if now.saturating_duration_since(self.begun) >= LOSS {
-            self.before = self.most;
-            self.most = 0;
-            self.begun = now;
+    fn record_slots(&mut self, now: Instant, slots: u32) {
+        if now.saturating_duration_since(self.span_start) >= SLOT_LOSS_SPAN {
+            self.max_previous = self.max_current;
+            self.max_current = 0;
+            self.span_start = now;
         }
-        self.now = slots;
-        self.most = self.most.max(slots);
+        self.current = slots;
+        self.max_current = self.max_current.max(slots);
     }
 
-    fn has_lost(&self) -> bool {
-        let most = f64::from(self.most.max(self.before));
-        f64::from(self.now) < most * USUAL
+    fn has_lost_slots(&self) -> bool {
+        let max_slots = f64::from(self.max_current.max(self.max_previous));
+        f64::from(self.current) < max_slots * USUAL_SLOTS_SHARE
     }
 }
--- a/src/steer/engine.rs
+++ b/src/steer/engine.rs
@@ -13,7 +13,7 @@
 use rand::Rng;
 
 use super::attempt::Reason;
-use super::budgets::{Budgets, Switches};
+use super::budgets::{ServiceBudgets, Switches};
 use super::fingerprint::Fingerprint;
 use super::goal::{goal, Hold, Standing, View};
 use super::group::{self, Group};
@@ -23,7 +23,7 @@
 use super::quarantine::{Notice, Quarantine, MAX_VERDICT_WAIT};
 use super::shift::{self, Caps, Kind as Kindred, Shift};
 use super::split::Split;
-use super::tally::Tally;
+use super::tally::AdmissionCounts;
 use super::throttle::Throttle;
 use crate::border::settings::{self as border, Switch};
 use crate::catalog::{Catalog, HostKey, RegionKey, Repeat, ServiceKey, State, TargetKey, ZoneKey};
@@ -142,7 +142,7 @@
     /// Callers' requests that wait for a target of this zone, should they have to go elsewhere.
     spare: BTreeMap<Id, Ask>,
     switches: Switches,
-    budgets: BTreeMap<ServiceKey, Budgets>,
+    budgets: BTreeMap<ServiceKey, ServiceBudgets>,
     quotas: Quotas,
     passes: BTreeMap<HostKey, u32>,
     /// Mean time that a request of a service holds a slot, in seconds.
@@ -151,7 +151,7 @@
     free: BTreeMap<(ServiceKey, ZoneKey), u32>,
     /// When the first configuration came.
     started: Option<Instant>,
-    tallies: BTreeMap<ServiceKey, Tally>,
+    tallies: BTreeMap<ServiceKey, AdmissionCounts>,
     shifts: BTreeMap<(ServiceKey, RegionKey), Shift>,
     /// Until when the budget of a service and locality is taken for spent, by kind of move.
     spent: BTreeMap<(ServiceKey, RegionKey, Kindred), Instant>,
@@ -222,8 +222,11 @@
         let mut loads = BTreeMap::new();
         for (&service, group) in &self.groups {
             let free = group.headroom();
-            let tally = self.tallies.entry(service).or_insert(Tally::new(now));
-            let (admitted, refused) = tally.rates(now);
+            let tally = self
+                .tallies
+                .entry(service)
+                .or_insert(AdmissionCounts::new(now));
+            let (admitted, refused) = tally.take_rates(now);
             loads.insert(
                 service,
                 Load {
@@ -479,18 +482,20 @@
         let budgets = self
             .budgets
             .entry(ask.service)
-            .or_insert_with(|| Budgets::new(now, &limits, switches));
+            .or_insert_with(|| ServiceBudgets::new(now, &limits, switches));
         let headroom = match self.groups.get(&ask.service).map(Group::headroom) {
-            Some(free) if free.queued == 0 && free.in_flight < free.limit => hedge::Headroom::Known,
-            _ => hedge::Headroom::Lacking,
+            Some(free) if free.queued == 0 && free.in_flight < free.limit => {
+                hedge::Headroom::Confirmed
+            }
+            _ => hedge::Headroom::Unconfirmed,
         };
         let allowed = match ask.kind {
             Kind::First => {
-                budgets.request(now);
+                budgets.record_request(now);
                 true
             }
-            Kind::Retry => budgets.retry.take(now),
-            Kind::Hedge => budgets.hedge.take(now, headroom),
+            Kind::Retry => budgets.retry.try_take(now),
+            Kind::Hedge => budgets.hedge.try_hedge(now, headroom),
         };
         (!allowed).then(|| Refusal::new(Reason::Limited))
     }
@@ -630,8 +635,10 @@
         }
     }
 
-    fn tally(&mut self, now: Instant, service: ServiceKey) -> &mut Tally {
-        self.tallies.entry(service).or_insert(Tally::new(now))
+    fn tally(&mut self, now: Instant, service: ServiceKey) -> &mut AdmissionCounts {
+        self.tallies
+            .entry(service)
+            .or_insert(AdmissionCounts::new(now))
     }
 
     fn go(&mut self, now: Instant, grant: group::Grant) -> Verdict {
@@ -851,7 +858,7 @@
 
     fn learn(&mut self, now: Instant, service: ServiceKey, latency: Duration) {
         if let Some(budgets) = self.budgets.get_mut(&service) {
-            budgets.hedge.record(now, latency);
+            budgets.hedge.record_latency(now, latency);
         }
         self.learn_work(service, latency.as_secs_f64());
     }
--- a/src/steer/fleet.rs
+++ b/src/steer/fleet.rs
@@ -39,7 +39,7 @@
 use super::eject::{Comparison, Outcome, OutlierDetector};
 use super::throttle::{Assignment, Throttle};
 use crate::border::settings::Switch;
-use crate::inventory::{Keys, Registration, State, TargetKey};
+use crate::inventory::{Registration, State, TargetKey, TargetKeyAllocator};
 
 pub use self::charge::{CHECKERS_PER_TARGET, MAX_CHECK_FACTOR, MIN_CHECKS};
 pub use self::member::{Load, Member, TargetEstimate};
@@ -133,7 +133,7 @@
     /// Statistics of each service's requests.
     service_stats: BTreeMap<Arc<str>, ServiceStats>,
     object_locations: ObjectLocations,
-    key_allocator: Keys,
+    key_allocator: TargetKeyAllocator,
     ids: BTreeMap<Arc<str>, TargetKey>,
     members: BTreeMap<TargetKey, Member>,
     services: BTreeMap<Arc<str>, Vec<TargetKey>>,
@@ -203,7 +203,7 @@
             query_count: 0,
             region,
             regions,
-            key_allocator: Keys::default(),
+            key_allocator: TargetKeyAllocator::default(),
             ids: BTreeMap::new(),
             members: BTreeMap::new(),
             services: BTreeMap::new(),
@@ -229,7 +229,7 @@
             .map(|left| now + left);
         let known = self.ids.get(&registration.id);
         if let Some(member) = known.and_then(|key| self.members.get_mut(key)) {
-            if registration.is_before(&member.registration) {
+            if registration.is_older_than(&member.registration) {
                 return;
             }
             if registration.is_same_process(&member.registration) {
@@ -249,7 +249,7 @@
             .get(&registration.zone)
             .unwrap_or(&registration.zone)
             .clone();
-        let key = self.key_allocator.take();
+        let key = self.key_allocator.allocate();
         self.ids.insert(registration.id.clone(), key);
         self.services
             .entry(registration.service.clone())
@@ -439,7 +439,7 @@
             // Requests that are bound to regions are no measure of the drift of the others.
             let drift = self.drifts.get_mut(query.service);
             if let Some(drift) = drift.filter(|_| query.homes.is_empty()) {
-                drift.count(now, member.region != self.region);
+                drift.record_request(now, member.region != self.region);
             }
             member.begin_request(now);
             if member.is_cold(now) {
--- a/src/steer/fleet/choice.rs
+++ b/src/steer/fleet/choice.rs
@@ -159,10 +159,10 @@
         let (local, remote): (Vec<_>, Vec<_>) =
             choices.iter().partition(|key| self.is_local(**key));
         let drift = self.drift(now, query.service);
-        let has_lost = drift.has_lost(now, local_slots);
+        let has_lost = drift.has_lost_slots(now, local_slots);
         if remote.is_empty() || (local.is_empty() && has_lost) {
             choices
-        } else if !local.is_empty() && drift.holds(now, query.affinity_key) {
+        } else if !local.is_empty() && drift.has_to_leave(now, query.affinity_key) {
             remote
         } else if drift.may_leave(now) {
             choices
@@ -179,7 +179,7 @@
     fn drift(&mut self, now: Instant, service: &Arc<str>) -> &mut Drift {
         if !self.drifts.contains_key(service) {
             let missing_share = self.missing_share(service);
-            let drift = Drift::new(now).with_part(missing_share);
+            let drift = Drift::new(now).with_initial_share(missing_share);
             self.drifts.insert(service.clone(), drift);
         }
         let (latency_goal, caller_share) =
@@ -187,7 +187,7 @@
         let local_slots = self.counted_slots(service).unwrap_or_default();
         let drift = self.drifts.entry(service.clone());
         let drift = drift.or_insert_with(|| Drift::new(now));
-        drift.judge(now, |rate| {
+        drift.review_initial_share(now, |rate| {
             let needed_slots =
                 latency_goal
                     .zip(caller_share)
--- a/src/steer/group.rs
+++ b/src/steer/group.rs
@@ -228,7 +228,7 @@
             None => {
                 let mut member = Member::new(key, target, hosts);
                 if self.known {
-                    member.warm.start(now);
+                    member.warm.restart(now);
                 }
                 self.members.push(member);
                 self.index.insert(key, self.members.len() - 1);
@@ -244,7 +244,7 @@
             .with_size(target.slots, target.connections, hosts);
         member.warm = member.warm.with_ramp(target.warm);
         if !was && member.is_serving() {
-            member.warm.start(now);
+            member.warm.restart(now);
         }
     }
 
@@ -273,7 +273,7 @@
         let back = !was && member.is_serving();
         let cools = back || (fresh && source == Source::Header);
         if cools {
-            member.warm.start(now);
+            member.warm.restart(now);
         }
         if cools || was != member.is_serving() {
             self.refresh(now);
@@ -340,7 +340,7 @@
         let mut serving = self
             .members
             .iter()
-            .filter(|member| member.is_serving() && member.limit.hard() > 0)
+            .filter(|member| member.is_serving() && member.limit.connection_share() > 0)
             .peekable();
         if serving.peek().is_none() {
             return Some(Reason::NoTarget);
@@ -356,7 +356,7 @@
             .deadline
             .checked_sub(Duration::from_secs_f64(self.hold))
             .unwrap_or(now);
-        let expected = self.expected(self.queue.ahead(ask.priority) + 1);
+        let expected = self.expected(self.queue.count_ahead(ask.priority) + 1);
         if now + expected > start_by {
             return Verdict::Refuse(self.refusal(Reason::Deadline));
         }
@@ -368,7 +368,7 @@
             id,
             priority: ask.priority,
             start_by,
-            since: now,
+            enqueued_at: now,
             item: ask,
         };
         let Some(out) = self.queue.push(entry) else {
@@ -389,7 +389,7 @@
     }
 
     fn is_overloaded(&self, now: Instant) -> bool {
-        self.queue.busy_since().is_some_and(|since| {
+        self.queue.nonempty_since().is_some_and(|since| {
             now.saturating_duration_since(since).as_secs_f64() > self.hold * SPIKE
         })
     }
@@ -455,7 +455,7 @@
         self.members.iter().position(|member| {
             member.is_serving()
                 && member.in_flight == 0
-                && member.limit.hard() > 0
+                && member.limit.connection_share() > 0
                 && member.eject.is_probe_due(now)
                 && !member.has_tried(ask)
                 && member.opens_in(now).is_zero()
@@ -499,7 +499,7 @@
 
     fn learn(&mut self, now: Instant, place: usize, report: &Report) {
         let member = &mut self.members[place];
-        let full = member.in_flight >= member.limit.whole(member.warm.fraction());
+        let full = member.in_flight >= member.limit.max_in_flight(member.warm.fraction());
         if let Some(load) = report.load {
             member.estimate.report(now, load, member.in_flight);
         }
@@ -511,13 +511,13 @@
                 member.refusals = 0;
                 member.rest = None;
                 member.estimate.record(now, report.latency);
-                member.warm.answer(now);
+                member.warm.record_answer(now);
                 let ratio = member.estimate.ratio(self.baseline);
-                member.limit.answer(now, full, ratio, report.load);
+                member.limit.record_answer(now, full, ratio, report.load);
                 self.hold += (seconds - self.hold) * HOLD_WEIGHT;
             }
             End::Refused => {
-                member.limit.refuse(now);
+                member.limit.record_refusal(now);
                 member.start_rest(now);
             }
             End::ConnectFailed | End::Broken => member.start_rest(now),
@@ -552,7 +552,7 @@
         };
         if !member.eject.is_in_use() {
             if grant.probe && member.eject.record_probe(now, sign, rng) {
-                member.warm.start(now);
+                member.warm.restart(now);
             }
             self.refresh(now);
             return;
@@ -589,7 +589,7 @@
             return None;
         }
         let mut queue = std::mem::replace(&mut self.queue, Queue::new(Order::Fifo, 0));
-        let found = queue.pop_fit(TRIES, |entry| {
+        let found = queue.pop_matching(TRIES, |entry| {
             if entry.start_by <= now {
                 return None;
             }
@@ -603,7 +603,7 @@
     /// be met any more, and those that had to make room.
     pub fn expire(&mut self, now: Instant) -> Vec<(Id, Refusal)> {
         let mut out = std::mem::take(&mut self.shed);
-        while let Some(entry) = self.queue.pop_due(now) {
+        while let Some(entry) = self.queue.pop_expired(now) {
             out.push((entry.id, self.refusal(Reason::Deadline)));
         }
         if self.members.iter().any(Member::is_serving) {
@@ -632,7 +632,7 @@
             return Some(now);
         }
         let change = self.next_change(now);
-        self.queue.next_due().into_iter().chain(change).min()
+        self.queue.next_expiry().into_iter().chain(change).min()
     }
 
     /// When a target's rest or ejection ends next.
@@ -706,7 +706,7 @@
     fn refresh(&mut self, now: Instant) {
         self.restore_excess(now);
         for member in &mut self.members {
-            member.limit.fade(now);
+            member.limit.decay_excess(now);
         }
         let latencies = used(&self.members).filter_map(|member| member.estimate.latency());
         let typical = median(latencies).map(|found| found.max(f64::MIN_POSITIVE));
@@ -777,7 +777,7 @@
 fn fair(config: &Config, member: &Member) -> f64 {
     match config.limit {
         Switch::On => member.limit.value() * fraction(config, member),
-        Switch::Off => f64::from(member.limit.hard()),
+        Switch::Off => f64::from(member.limit.connection_share()),
     }
 }
 
--- a/src/steer/group/member.rs
+++ b/src/steer/group/member.rs
@@ -8,8 +8,8 @@
 use crate::steer::eject::OutlierDetector;
 use crate::steer::limit::Limit;
 use crate::steer::pick::Estimate;
+use crate::steer::slow_start::SlowStart;
 use crate::steer::throttle::{Assignment, Bucket};
-use crate::steer::warm::Warm;
 
 /// The first rest of a target after a refusal or a failure; doubles with each in a row.
 const REST: Duration = Duration::from_millis(5);
@@ -27,7 +27,7 @@
     pub(super) health: Health,
     pub(super) in_flight: u32,
     pub(super) limit: Limit,
-    pub(super) warm: Warm,
+    pub(super) warm: SlowStart,
     pub(super) eject: OutlierDetector,
     pub(super) estimate: Estimate,
     pub(super) refusals: u32,
@@ -55,7 +55,7 @@
             health: Health::Up,
             in_flight: 0,
             limit: Limit::new(target.slots, target.connections, hosts),
-            warm: Warm::new(target.warm),
+            warm: SlowStart::new(target.warm),
             eject: OutlierDetector::new(),
             estimate: Estimate::new(),
             refusals: 0,
@@ -154,8 +154,8 @@
 /// Requests allowed at a target.
 pub(super) fn allowed(config: &Config, member: &Member) -> u32 {
     match config.limit {
-        Switch::On => member.limit.whole(fraction(config, member)),
-        Switch::Off => member.limit.hard(),
+        Switch::On => member.limit.max_in_flight(fraction(config, member)),
+        Switch::Off => member.limit.connection_share(),
     }
 }
 
--- a/src/steer/hedge.rs
+++ b/src/steer/hedge.rs
@@ -1,4 +1,4 @@
-//! When a second copy of an idempotent request is sent.
+//! Hedged requests: when a second copy of an idempotent request is sent.
 
 use std::time::{Duration, Instant};
 
@@ -7,83 +7,84 @@
 use super::retry::{Budget, Switch};
 
 /// The latency quantile after which a copy is sent.
-const QUANTILE: f64 = 0.95;
-/// Samples needed before the quantile means something.
+const DELAY_QUANTILE: f64 = 0.95;
+/// Samples needed before the quantile is used.
 const MIN_SAMPLES: u64 = 100;
-/// No copy is sent sooner than this.
+/// Minimum delay before a copy is sent.
 const MIN_DELAY: Duration = Duration::from_millis(1);
-/// Samples are kept for one to two of these.
-const WINDOW: Duration = Duration::from_secs(15);
-/// The quantile is worked out anew after this many samples.
-const REFRESH: u32 = 64;
-/// Largest latency told apart, in microseconds.
-const MAX_MICROS: u64 = 60_000_000;
-/// Copies allowed in each window of the budget, whatever the share.
-const FLOOR: u32 = 1;
-
-/// Whether the place that would take a copy is known to have room.
+/// Rotation period of the samples; each is kept for one to two periods.
+const SAMPLE_WINDOW: Duration = Duration::from_secs(15);
+/// Number of new samples after which the quantile is recomputed.
+const SAMPLES_PER_UPDATE: u32 = 64;
+/// Maximum latency that is distinguished, in microseconds.
+const MAX_LATENCY_MICROS: u64 = 60_000_000;
+/// Copies allowed in each window of the budget, regardless of the share.
+const BUDGET_FLOOR: u32 = 1;
+
+/// Whether the target of a copy is known to have capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Headroom {
-    /// It has room.
-    Known,
-    /// It has none, or nothing recent is known.
-    Lacking,
+    /// It has capacity.
+    Confirmed,
+    /// It has none, or there is no recent report.
+    Unconfirmed,
 }
 
-/// Decides on second copies for one class.
+/// Hedging decisions for one class of requests.
 #[derive(Clone, Debug)]
-pub struct Hedge {
+pub struct HedgePolicy {
     switch: Switch,
     budget: Budget,
-    newer: Histogram<u64>,
-    older: Histogram<u64>,
-    rotated: Instant,
-    fresh: u32,
+    recent: Histogram<u64>,
+    previous: Histogram<u64>,
+    last_rotation: Instant,
+    new_samples: u32,
     delay: Option<Duration>,
 }
 
-impl Hedge {
-    /// Allows copies up to `share` of the requests.
+impl HedgePolicy {
+    /// Returns a policy that allows copies up to `share` of the requests.
     pub fn new(now: Instant, share: f64) -> Self {
         Self {
             switch: Switch::On,
-            budget: Budget::new(now, share).with_floor(FLOOR),
-            newer: histogram(),
-            older: histogram(),
-            rotated: now,
-            fresh: 0,
+            budget: Budget::new(now, share).with_floor(BUDGET_FLOOR),
+            recent: histogram(),
+            previous: histogram(),
+            last_rotation: now,
+            new_samples: 0,
             delay: None,
         }
     }
 
-    /// When off, no copy is ever sent.
+    /// Sets whether copies are sent at all.
     pub fn with_switch(mut self, switch: Switch) -> Self {
         self.switch = switch;
         self
     }
 
-    /// Changes the share, as a new configuration does.
+    /// Sets the share, for a new configuration.
     pub fn set_share(&mut self, share: f64) {
         self.budget.set_share(share);
     }
 
-    /// Counts a request; its copy doesn't count.
-    pub fn request(&mut self, now: Instant) {
-        self.budget.request(now);
+    /// Counts a request, but not its copy.
+    pub fn record_request(&mut self, now: Instant) {
+        self.budget.record_request(now);
     }
 
-    /// Notes the latency of an answered try, counted from its own start.
-    pub fn record(&mut self, now: Instant, latency: Duration) {
+    /// Records the latency of an answered attempt, measured from its own start.
+    pub fn record_latency(&mut self, now: Instant, latency: Duration) {
         self.rotate(now);
-        let micros = u64::try_from(latency.as_micros()).unwrap_or(MAX_MICROS);
-        self.newer.saturating_record(micros);
-        self.fresh += 1;
-        if self.fresh >= REFRESH || self.delay.is_none() {
-            self.refresh();
+        let micros = u64::try_from(latency.as_micros()).unwrap_or(MAX_LATENCY_MICROS);
+        self.recent.saturating_record(micros);
+        self.new_samples += 1;
+        if self.new_samples >= SAMPLES_PER_UPDATE || self.delay.is_none() {
+            self.update_delay();
         }
     }
 
-    /// How long after its start a try gets a copy, or nothing while too little is known.
+    /// Returns the delay from the start of an attempt to its copy; `None` while there are too few
+    /// samples.
     pub fn delay(&mut self, now: Instant) -> Option<Duration> {
         if self.switch == Switch::Off {
             return None;
@@ -92,43 +93,44 @@
         self.delay
     }
 
-    /// Asks, once the delay has passed, whether the copy may go; draws on the budget if so.
-    pub fn take(&mut self, now: Instant, headroom: Headroom) -> bool {
-        self.switch == Switch::On && headroom == Headroom::Known && self.budget.take(now)
+    /// Returns whether a copy may be sent after the delay has passed, and charges the budget if so.
+    pub fn try_hedge(&mut self, now: Instant, headroom: Headroom) -> bool {
+        self.switch == Switch::On && headroom == Headroom::Confirmed && self.budget.try_take(now)
     }
 
-    /// Lets old samples go.
+    /// Drops samples older than two rotation periods.
     fn rotate(&mut self, now: Instant) {
-        let age = now.saturating_duration_since(self.rotated);
-        if age < WINDOW {
+        let age = now.saturating_duration_since(self.last_rotation);
+        if age < SAMPLE_WINDOW {
             return;
         }
-        std::mem::swap(&mut self.newer, &mut self.older);
-        self.newer.reset();
-        if age >= 2 * WINDOW {
-            self.older.reset();
+        std::mem::swap(&mut self.recent, &mut self.previous);
+        self.recent.reset();
+        if age >= 2 * SAMPLE_WINDOW {
+            self.previous.reset();
         }
-        self.rotated = now;
-        self.refresh();
+        self.last_rotation = now;
+        self.update_delay();
     }
 
-    fn refresh(&mut self) {
-        self.fresh = 0;
-        if self.newer.len() + self.older.len() < MIN_SAMPLES {
+    /// Recomputes the delay from the samples.
+    fn update_delay(&mut self) {
+        self.new_samples = 0;
+        if self.recent.len() + self.previous.len() < MIN_SAMPLES {
             self.delay = None;
             return;
         }
-        let mut sum = self.older.clone();
-        // Both have the same bounds, so that adding can't fail.
-        if sum.add(&self.newer).is_err() {
+        let mut sum = self.previous.clone();
+        // Both histograms have the same bounds, so that adding them can't fail.
+        if sum.add(&self.recent).is_err() {
             self.delay = None;
             return;
         }
-        let micros = sum.value_at_quantile(QUANTILE);
+        let micros = sum.value_at_quantile(DELAY_QUANTILE);
         self.delay = Some(Duration::from_micros(micros).max(MIN_DELAY));
     }
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_MICROS, 2).expect("the bounds are constant and valid")
+    Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, 2).expect("the bounds are constant and valid")
 }
--- a/src/steer/queue.rs
+++ b/src/steer/queue.rs
@@ -1,79 +1,79 @@
-//! The bounded queue of requests that wait for a target, by priority and deadline.
+//! Bounded queue of requests that wait for a target, ordered by priority and deadline.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
-/// Identifies a waiting request; the owner of the queue gives it out.
+/// Identifies a waiting request; assigned by the owner of the queue.
 pub type Id = u64;
-/// Priority first, then the place that the order gives; the least goes first.
+/// Sort key: the priority, then the position within it; the lowest key is served first.
 type Rank = (Reverse<u8>, u64);
 
-/// Which of the requests of one priority goes first.
+/// Order of the requests of one priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// The oldest.
+    /// The oldest request first.
     Fifo,
-    /// The newest.
+    /// The newest request first.
     Lifo,
 }
 
-/// A waiting request and what its owner keeps with it.
+/// A waiting request and the item that its owner attached.
 #[derive(Clone, Debug)]
 pub struct Entry<T> {
-    /// The request.
+    /// Identifier of the request.
     pub id: Id,
-    /// Higher goes first.
+    /// Priority; higher ones are served first.
     pub priority: u8,
-    /// The last time at which it may start and still meet its deadline.
+    /// Latest time at which it may start and still meet its deadline.
     pub start_by: Instant,
-    /// When it came.
-    pub since: Instant,
-    /// What its owner keeps.
+    /// When it was added.
+    pub enqueued_at: Instant,
+    /// Item attached by the owner.
     pub item: T,
 }
 
-/// The queue.
+/// Bounded priority queue.
 #[derive(Clone, Debug)]
 pub struct Queue<T> {
     order: Order,
-    bound: usize,
-    serial: u64,
+    capacity: usize,
+    next_serial: u64,
     entries: BTreeMap<Rank, Entry<T>>,
     ranks: BTreeMap<Id, Rank>,
-    due: BTreeSet<(Instant, Id)>,
-    counts: BTreeMap<Reverse<u8>, usize>,
-    busy_since: Option<Instant>,
+    deadlines: BTreeSet<(Instant, Id)>,
+    priority_counts: BTreeMap<Reverse<u8>, usize>,
+    nonempty_since: Option<Instant>,
 }
 
 impl<T> Queue<T> {
-    /// An empty queue for at most `bound` requests.
-    pub fn new(order: Order, bound: usize) -> Self {
+    /// Returns an empty queue for at most `capacity` requests.
+    pub fn new(order: Order, capacity: usize) -> Self {
         Self {
             order,
-            bound,
-            serial: 0,
+            capacity,
+            next_serial: 0,
             entries: BTreeMap::new(),
             ranks: BTreeMap::new(),
-            due: BTreeSet::new(),
-            counts: BTreeMap::new(),
-            busy_since: None,
+            deadlines: BTreeSet::new(),
+            priority_counts: BTreeMap::new(),
+            nonempty_since: None,
         }
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Since when the queue has not been empty.
-    pub fn busy_since(&self) -> Option<Instant> {
-        self.busy_since
+    /// Returns since when the queue has not been empty.
+    pub fn nonempty_since(&self) -> Option<Instant> {
+        self.nonempty_since
     }
 
     /// Whether a request waits under `id`.
@@ -81,87 +81,89 @@
         self.ranks.contains_key(&id)
     }
 
-    /// Requests that would go before a new one of `priority`.
-    pub fn ahead(&self, priority: u8) -> usize {
+    /// Returns the number of requests that would be served before a new one of `priority`.
+    pub fn count_ahead(&self, priority: u8) -> usize {
         let before = Reverse(priority);
-        self.counts
+        self.priority_counts
             .range(..=before)
             .filter(|(&rank, _)| self.order == Order::Fifo || rank < before)
             .map(|(_, count)| count)
             .sum()
     }
 
-    /// Adds a request. A full queue gives back the one that has to leave for it: the last of the
-    /// lowest priority, which may be the new one itself.
+    /// Adds a request. A full queue returns the request that it drops: the last one of the lowest
+    /// priority, which may be the new one.
     pub fn push(&mut self, entry: Entry<T>) -> Option<Entry<T>> {
         if self.entries.is_empty() {
-            self.busy_since = Some(entry.since);
+            self.nonempty_since = Some(entry.enqueued_at);
         }
-        let place = match self.order {
-            Order::Fifo => self.serial,
-            Order::Lifo => u64::MAX - self.serial,
+        let position = match self.order {
+            Order::Fifo => self.next_serial,
+            Order::Lifo => u64::MAX - self.next_serial,
         };
-        let rank = (Reverse(entry.priority), place);
-        self.serial += 1;
-        *self.counts.entry(rank.0).or_default() += 1;
+        let rank = (Reverse(entry.priority), position);
+        self.next_serial += 1;
+        *self.priority_counts.entry(rank.0).or_default() += 1;
         self.ranks.insert(entry.id, rank);
-        self.due.insert((entry.start_by, entry.id));
+        self.deadlines.insert((entry.start_by, entry.id));
         self.entries.insert(rank, entry);
-        if self.entries.len() > self.bound {
+        if self.entries.len() > self.capacity {
             return self.pop_last();
         }
         None
     }
 
-    /// Takes out the first request for which `fits` finds something, looking at `tries` of them.
-    pub fn pop_fit<G>(
+    /// Removes and returns the first request for which `matches` returns a value, among the first
+    /// `max_tries` requests.
+    pub fn pop_matching<G>(
         &mut self,
-        tries: usize,
-        mut fits: impl FnMut(&Entry<T>) -> Option<G>,
+        max_tries: usize,
+        mut matches: impl FnMut(&Entry<T>) -> Option<G>,
     ) -> Option<(Entry<T>, G)> {
         let (rank, found) = self
             .entries
             .iter()
-            .take(tries)
-            .find_map(|(&rank, entry)| Some((rank, fits(entry)?)))?;
-        Some((self.take(rank)?, found))
+            .take(max_tries)
+            .find_map(|(&rank, entry)| Some((rank, matches(entry)?)))?;
+        Some((self.remove_rank(rank)?, found))
     }
 
-    /// Takes out the request that goes last.
+    /// Removes and returns the last request.
     pub fn pop_last(&mut self) -> Option<Entry<T>> {
         let (&rank, _) = self.entries.last_key_value()?;
-        self.take(rank)
+        self.remove_rank(rank)
     }
 
-    /// Takes out a request whose time to start has passed.
-    pub fn pop_due(&mut self, now: Instant) -> Option<Entry<T>> {
-        let &(start_by, id) = self.due.first()?;
+    /// Removes and returns a request whose latest start time has passed.
+    pub fn pop_expired(&mut self, now: Instant) -> Option<Entry<T>> {
+        let &(start_by, id) = self.deadlines.first()?;
         if start_by > now {
             return None;
         }
         self.remove(id)
     }
 
-    /// Takes out the request of `id`.
+    /// Removes and returns the request `id`.
     pub fn remove(&mut self, id: Id) -> Option<Entry<T>> {
         let rank = *self.ranks.get(&id)?;
-        self.take(rank)
+        self.remove_rank(rank)
     }
 
-    /// The first time at which a request has to leave.
-    pub fn next_due(&self) -> Option<Instant> {
-        self.due.first().map(|&(at, _)| at)
+    /// Returns the earliest time at which a request expires.
+    pub fn next_expiry(&self) -> Option<Instant> {
+        self.deadlines.first().map(|&(at, _)| at)
     }
 
-    fn take(&mut self, rank: Rank) -> Option<Entry<T>> {
+    /// Removes the request with a sort key from all indexes.
+    fn remove_rank(&mut self, rank: Rank) -> Option<Entry<T>> {
         let entry = self.entries.remove(&rank)?;
         self.ranks.remove(&entry.id);
-        self.due.remove(&(entry.start_by, entry.id));
-        if let Some(count) = self.counts.get_mut(&rank.0) {
+        self.deadlines.remove(&(entry.start_by, entry.id));
+        if let Some(count) = self.priority_counts.get_mut(&rank.0) {
             *count -= 1;
         }
         if self.entries.is_empty() {
-            self.busy_since = None;
+            self.nonempty_since = None;
         }
         Some(entry)
     }
--- a/src/steer/retry.rs
+++ b/src/steer/retry.rs
@@ -1,4 +1,4 @@
-//! The retry budget.
+//! Retry budgets.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,20 +6,20 @@
 
 pub use crate::border::settings::Switch;
 
-/// The window over which retries are counted, unless it is set.
-const WINDOW: Duration = Duration::from_secs(10);
-/// Parts of the window; it slides by one at a time.
-const PARTS: usize = 10;
-/// Retries a quiet service may make in each window.
+/// Default window over which retries are counted.
+const DEFAULT_WINDOW: Duration = Duration::from_secs(10);
+/// Parts of the window; it advances by one part at a time.
+const WINDOW_PARTS: usize = 10;
+/// Default number of retries in each window that a service with few requests may make.
 pub const DEFAULT_FLOOR: u32 = 3;
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Part {
+struct WindowPart {
     requests: u64,
-    extra: u64,
+    extra_sends: u64,
 }
 
-/// Extra sends allowed as a share of requests over a sliding window, with a small floor.
+/// Budget of extra sends, as a share of the requests in a sliding window, with a small floor.
 #[derive(Clone, Debug)]
 pub struct Budget {
     share: f64,
@@ -27,142 +27,142 @@
     switch: Switch,
     window: Duration,
     start: Instant,
-    /// The newest part, counted from `start`.
+    /// Number of the newest part, counted from `start`.
     newest: u64,
-    parts: [Part; PARTS],
-    sum: Part,
+    parts: [WindowPart; WINDOW_PARTS],
+    sum: WindowPart,
 }
 
 impl Budget {
-    /// Allows extra sends up to `share` of the requests.
+    /// Returns a budget of `share` of the requests.
     pub fn new(now: Instant, share: f64) -> Self {
         Self {
             share,
             floor: DEFAULT_FLOOR,
             switch: Switch::On,
-            window: WINDOW,
+            window: DEFAULT_WINDOW,
             start: now,
             newest: 0,
-            parts: [Part::default(); PARTS],
-            sum: Part::default(),
+            parts: [WindowPart::default(); WINDOW_PARTS],
+            sum: WindowPart::default(),
         }
     }
 
-    /// Allows `floor` extra sends a window beside the share.
+    /// Sets the extra sends allowed in a window in addition to the share.
     pub fn with_floor(mut self, floor: u32) -> Self {
         self.floor = floor;
         self
     }
 
-    /// Counts over `window`.
+    /// Sets the window.
     pub fn with_window(mut self, window: Duration) -> Self {
         self.window = window;
         self
     }
 
-    /// Without the budget every extra send is allowed.
+    /// Sets whether the budget is enforced; if off, every extra send is allowed.
     pub fn with_switch(mut self, switch: Switch) -> Self {
         self.switch = switch;
         self
     }
 
-    /// Changes the share, as a new configuration does. What was counted stays.
+    /// Sets the share, for a new configuration. The counts are kept.
     pub fn set_share(&mut self, share: f64) {
         self.share = share;
     }
 
-    /// Changes the floor. What was counted stays.
+    /// Sets the floor. The counts are kept.
     pub fn set_floor(&mut self, floor: u32) {
         self.floor = floor;
     }
 
-    /// What is left of the budget.
-    pub fn left(&mut self, now: Instant) -> u64 {
-        self.slide(now);
-        (self.allowed() as u64).saturating_sub(self.sum.extra)
+    /// Returns the extra sends that are left.
+    pub fn remaining(&mut self, now: Instant) -> u64 {
+        self.advance_window(now);
+        (self.allowed_extra_sends() as u64).saturating_sub(self.sum.extra_sends)
     }
 
-    /// Counts a request. Retries and hedges don't count here.
-    pub fn request(&mut self, now: Instant) {
-        self.slide(now);
-        self.parts[self.index()].requests += 1;
+    /// Counts a request, but no retries and hedges.
+    pub fn record_request(&mut self, now: Instant) {
+        self.advance_window(now);
+        self.parts[self.current_index()].requests += 1;
         self.sum.requests += 1;
     }
 
-    /// Takes one extra send, if the budget has it.
-    pub fn take(&mut self, now: Instant) -> bool {
-        self.slide(now);
-        let fits = (self.sum.extra + 1) as f64 <= self.allowed();
-        if !fits && self.switch == Switch::On {
+    /// Charges one extra send and returns `true`, if the budget allows it.
+    pub fn try_take(&mut self, now: Instant) -> bool {
+        self.advance_window(now);
+        let is_within_budget = (self.sum.extra_sends + 1) as f64 <= self.allowed_extra_sends();
+        if !is_within_budget && self.switch == Switch::On {
             return false;
         }
-        self.parts[self.index()].extra += 1;
-        self.sum.extra += 1;
+        self.parts[self.current_index()].extra_sends += 1;
+        self.sum.extra_sends += 1;
         true
     }
 
-    /// Extra sends allowed in the window.
-    fn allowed(&self) -> f64 {
+    /// Returns the extra sends allowed in the window.
+    fn allowed_extra_sends(&self) -> f64 {
         f64::from(self.floor) + self.share * self.sum.requests as f64
     }
 
-    fn index(&self) -> usize {
-        (self.newest % PARTS as u64) as usize
+    fn current_index(&self) -> usize {
+        (self.newest % WINDOW_PARTS as u64) as usize
     }
 
-    /// Empties the parts that have left the window.
-    fn slide(&mut self, now: Instant) {
+    /// Clears the parts that have left the window.
+    fn advance_window(&mut self, now: Instant) {
         let age = now.saturating_duration_since(self.start);
-        let part = self.window / PARTS as u32;
+        let part = self.window / WINDOW_PARTS as u32;
         let newest = (age.as_nanos() / part.as_nanos().max(1)) as u64;
-        let passed = newest.saturating_sub(self.newest).min(PARTS as u64);
+        let passed = newest.saturating_sub(self.newest).min(WINDOW_PARTS as u64);
         self.newest = self.newest.max(newest);
         for back in 0..passed {
-            let index = ((self.newest - back) % PARTS as u64) as usize;
+            let index = ((self.newest - back) % WINDOW_PARTS as u64) as usize;
             let old = std::mem::take(&mut self.parts[index]);
             self.sum.requests -= old.requests;
-            self.sum.extra -= old.extra;
+            self.sum.extra_sends -= old.extra_sends;
         }
     }
 }
 
-/// What all hosts together may send again, of the requests for one service.
+/// Limits on the retries of all hosts together, for each service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
-    /// Repeats as a part of the requests in the window.
+pub struct RetryLimits {
+    /// Retries as a share of the requests in the window.
     pub share: f64,
-    /// Repeats in a window beside that share.
+    /// Retries in a window in addition to the share.
     pub floor: f64,
-    /// The window over which repeats are counted.
+    /// Window over which retries are counted.
     pub window: Duration,
 }
 
-/// The part of the allowed repeats that hosts share out: the rest is for hosts that start in the
-/// middle of a window and don't know what the one before has used.
-const SHARED_OUT: f64 = 0.6;
+/// Share of the allowed retries that is allocated to hosts. The rest covers hosts that start in the
+/// middle of a window and do not know what was used before.
+const ALLOCATED_SHARE: f64 = 0.6;
 
-/// The budgets of a host for each service. The floor is shared out among all hosts, so that their
-/// sum keeps to it; it follows the number of hosts that are known.
+/// Retry budgets of a host for each service. The floor is divided among all known hosts, so that
+/// their sum stays within it.
 #[derive(Clone, Debug)]
-pub struct Budgets {
-    terms: Terms,
+pub struct SharedBudgets {
+    limits: RetryLimits,
     hosts: usize,
     switch: Switch,
     budgets: BTreeMap<Arc<str>, Budget>,
 }
 
-impl Budgets {
-    /// For a host that knows of no other.
-    pub fn new(terms: Terms) -> Self {
+impl SharedBudgets {
+    /// Returns the budgets of a host that knows of no other host.
+    pub fn new(limits: RetryLimits) -> Self {
         Self {
-            terms,
+            limits,
             hosts: 1,
             switch: Switch::On,
             budgets: BTreeMap::new(),
         }
     }
 
-    /// Without the budget every repeat is allowed.
+    /// Sets whether the budgets are enforced; if off, every retry is allowed.
     pub fn with_switch(mut self, switch: Switch) -> Self {
         self.switch = switch;
         self
@@ -172,41 +172,41 @@
     pub fn set_hosts(&mut self, hosts: usize) {
         if self.hosts != hosts.max(1) {
             self.hosts = hosts.max(1);
-            self.adjust();
+            self.apply_limits();
         }
     }
 
-    /// Changes what is allowed. A window that has begun keeps its length.
-    pub fn set_terms(&mut self, terms: Terms) {
-        self.terms = terms;
-        self.adjust();
+    /// Sets the limits. A window that has started keeps its length.
+    pub fn set_limits(&mut self, limits: RetryLimits) {
+        self.limits = limits;
+        self.apply_limits();
     }
 
     /// Counts a request for a service.
-    pub fn request(&mut self, now: Instant, service: &Arc<str>) {
-        self.budget(now, service).request(now);
+    pub fn record_request(&mut self, now: Instant, service: &Arc<str>) {
+        self.budget(now, service).record_request(now);
     }
 
-    /// Takes one repeat of a request for a service, if there is one left.
-    pub fn take(&mut self, now: Instant, service: &Arc<str>) -> bool {
-        self.budget(now, service).take(now)
+    /// Charges one retry of a request for a service and returns `true`, if the budget allows it.
+    pub fn try_take(&mut self, now: Instant, service: &Arc<str>) -> bool {
+        self.budget(now, service).try_take(now)
     }
 
-    /// Whether a repeat of a request for a service is left.
-    pub fn has(&mut self, now: Instant, service: &Arc<str>) -> bool {
+    /// Whether a service has a retry left.
+    pub fn has_remaining(&mut self, now: Instant, service: &Arc<str>) -> bool {
         let is_on = self.switch == Switch::On;
-        !is_on || self.budget(now, service).left(now) > 0
+        !is_on || self.budget(now, service).remaining(now) > 0
     }
 
-    /// What is left for each service.
-    pub fn left(&mut self, now: Instant) -> impl Iterator<Item = (&Arc<str>, u64)> {
+    /// Returns the retries left for each service.
+    pub fn remaining(&mut self, now: Instant) -> impl Iterator<Item = (&Arc<str>, u64)> {
         let budgets = self.budgets.iter_mut();
-        budgets.map(move |(service, budget)| (service, budget.left(now)))
+        budgets.map(move |(service, budget)| (service, budget.remaining(now)))
     }
 
     fn budget(&mut self, now: Instant, service: &Arc<str>) -> &mut Budget {
-        let (share, floor) = self.allowed();
-        let window = self.terms.window;
+        let (share, floor) = self.host_limits();
+        let window = self.limits.window;
         let switch = self.switch;
         self.budgets.entry(service.clone()).or_insert_with(|| {
             Budget::new(now, share)
@@ -216,17 +216,18 @@
         })
     }
 
-    fn adjust(&mut self) {
-        let (share, floor) = self.allowed();
+    /// Applies the limits to all budgets.
+    fn apply_limits(&mut self) {
+        let (share, floor) = self.host_limits();
         for budget in self.budgets.values_mut() {
             budget.set_share(share);
             budget.set_floor(floor);
         }
     }
 
-    /// The share and the floor of this host.
-    fn allowed(&self) -> (f64, u32) {
-        let floor = self.terms.floor * SHARED_OUT / self.hosts as f64;
-        (self.terms.share * SHARED_OUT, floor as u32)
+    /// Returns the share and the floor of this host.
+    fn host_limits(&self) -> (f64, u32) {
+        let floor = self.limits.floor * ALLOCATED_SHARE / self.hosts as f64;
+        (self.limits.share * ALLOCATED_SHARE, floor as u32)
     }
 }
--- a/src/steer/tally.rs
+++ b/src/steer/tally.rs
@@ -1,16 +1,16 @@
-//! What a host admitted and refused of one service since it was last asked.
+//! Counts of the requests for one service that a host admitted and refused since the last query.
 
 use std::time::Instant;
 
-/// Counts since a time.
+/// Admitted and refused requests since a time.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Tally {
+pub(crate) struct AdmissionCounts {
     since: Instant,
     pub(crate) admitted: u32,
     pub(crate) refused: u32,
 }
 
-impl Tally {
+impl AdmissionCounts {
     pub(crate) fn new(now: Instant) -> Self {
         Self {
             since: now,
@@ -19,8 +19,8 @@
         }
     }
 
-    /// Requests admitted and refused per second, counted anew from `now`.
-    pub(crate) fn rates(&mut self, now: Instant) -> (f32, f32) {
+    /// Returns the requests admitted and refused per second, and restarts the counts at `now`.
+    pub(crate) fn take_rates(&mut self, now: Instant) -> (f32, f32) {
         let time = now.saturating_duration_since(self.since).as_secs_f32();
         let rate = |count: u32| {
             if time > 0.0 {
--- a/tests/account.rs
+++ b/tests/account.rs
@@ -6,13 +6,17 @@
 use std::sync::Arc;
 
 use ragwortfold::account::{
-    check, homes, Account, Accounts, Caller, Credential, Denial, Fault, Key, Knowledge, Quota,
+    allowed_regions, validate, Account, AccountError, Accounts, Caller, ConfigFreshness,
+    Credential, Denial, KeyDigest, Quota,
 };
 
 fn account(name: &str, keys: &[&str]) -> Arc<Account> {
     Arc::new(Account {
         name: name.into(),
-        keys: keys.iter().map(|key| Key::new(key.as_bytes())).collect(),
+        keys: keys
+            .iter()
+            .map(|key| KeyDigest::new(key.as_bytes()))
+            .collect(),
         quota: None,
         priority: None,
         homes: BTreeSet::new(),
@@ -20,7 +24,7 @@
 }
 
 fn key(text: &str) -> Credential {
-    Credential::Key(Key::new(text.as_bytes()))
+    Credential::Key(KeyDigest::new(text.as_bytes()))
 }
 
 /// Whose request it is, for accounts `one` with the keys k1 and k2 and `other` with k3.
@@ -29,7 +33,7 @@
         #[test]
         fn $name() {
             let accounts = Accounts::new(&[account("one", &["k1", "k2"]), account("other", &["k3"])]);
-            let caller = accounts.caller($credential, $open, Knowledge::$knowledge);
+            let caller = accounts.identify($credential, $open, ConfigFreshness::$knowledge);
             let told = caller.as_ref().map(|caller| caller.account().map(|account| &*account.name));
             let expected: Result<Option<&str>, Denial> = $expected;
             assert_eq!(told, expected.as_ref().copied());
@@ -43,11 +47,11 @@
     an_unknown_key: key("k4"), open false, Current => Err(Denial::NoAccount);
     no_key: Credential::Missing, open false, Current => Err(Denial::NoAccount);
     no_readable_key: Credential::Unreadable, open false, Current => Err(Denial::NoAccount);
-    a_known_key_with_old_knowledge: key("k1"), open false, Old => Ok(Some("one"));
-    an_unknown_key_with_old_knowledge: key("k4"), open false, Old => Err(Denial::Unsure);
-    no_key_with_old_knowledge: Credential::Missing, open false, Old => Err(Denial::Unsure);
-    a_known_key_without_knowledge: key("k1"), open false, Expired => Err(Denial::Unsure);
-    an_unknown_key_without_knowledge: key("k4"), open false, Expired => Err(Denial::Unsure);
+    a_known_key_with_old_knowledge: key("k1"), open false, Stale => Ok(Some("one"));
+    an_unknown_key_with_old_knowledge: key("k4"), open false, Stale => Err(Denial::Undecided);
+    no_key_with_old_knowledge: Credential::Missing, open false, Stale => Err(Denial::Undecided);
+    a_known_key_without_knowledge: key("k1"), open false, Expired => Err(Denial::Undecided);
+    an_unknown_key_without_knowledge: key("k4"), open false, Expired => Err(Denial::Undecided);
     no_key_on_an_open_route: Credential::Missing, open true, Current => Ok(None);
     no_key_on_an_open_route_without_knowledge: Credential::Missing, open true, Expired => Ok(None);
     an_unknown_key_on_an_open_route: key("k4"), open true, Current => Ok(None);
@@ -57,19 +61,19 @@
 #[test]
 fn nobody_is_named_on_an_open_route_without_a_key() {
     let accounts = Accounts::new(&[account("one", &["k1"])]);
-    let caller = accounts.caller(Credential::Missing, true, Knowledge::Current);
+    let caller = accounts.identify(Credential::Missing, true, ConfigFreshness::Current);
     assert_eq!(caller, Ok(Caller::Public));
 }
 
 #[test]
 fn a_key_of_two_accounts_is_a_fault() {
     let accounts = [account("one", &["k1", "k2"]), account("other", &["k2"])];
-    let fault = Fault::SharedKey {
+    let fault = AccountError::SharedKey {
         one: "one".into(),
         other: "other".into(),
     };
-    assert_eq!(check(&accounts), Err(fault));
-    assert_eq!(check(&accounts[..1]), Ok(()));
+    assert_eq!(validate(&accounts), Err(fault));
+    assert_eq!(validate(&accounts[..1]), Ok(()));
 }
 
 #[test]
@@ -85,7 +89,7 @@
             quota: Some(Quota { rate, burst }),
             ..(*account("one", &[])).clone()
         };
-        assert!(check(&[Arc::new(limited)]).is_err(), "{rate} {burst}");
+        assert!(validate(&[Arc::new(limited)]).is_err(), "{rate} {burst}");
     }
 }
 
@@ -115,7 +119,7 @@
         #[test]
         fn $name() {
             let (route, account) = (regions(&$route), regions(&$account));
-            let both = homes(&route, &account).ok();
+            let both = allowed_regions(&route, &account).ok();
             let expected: Option<&[&str]> = $expected;
             assert_eq!(both, expected.map(regions));
         }
--- a/tests/drift.rs
+++ b/tests/drift.rs
@@ -28,8 +28,8 @@
             key = key.wrapping_add(STRIDE);
             let now = start + Duration::from_millis(second as u64 * 1000 + request * 1000 / RATE);
             let wished = (key.rotate_left(17) as f64 / u64::MAX as f64) < *wish;
-            let far = drift.holds(now, key) || wished;
-            drift.count(now, far);
+            let far = drift.has_to_leave(now, key) || wished;
+            drift.record_request(now, far);
             away += u64::from(far);
         }
         parts.push(away as f64 / RATE as f64);
@@ -57,11 +57,11 @@
     for second in 0..10 {
         for request in 0..RATE {
             let now = start + Duration::from_millis(second * 1000 + request * 1000 / RATE);
-            drift.count(now, true);
+            drift.record_request(now, true);
         }
         let end = start + Duration::from_millis(second * 1000 + 999);
         let keys = (0..100).map(|key| key * (u64::MAX / 100));
-        held.push(keys.filter(|key| drift.holds(end, *key)).count());
+        held.push(keys.filter(|key| drift.has_to_leave(end, *key)).count());
     }
     assert!(
         held.windows(2).all(|pair| pair[1] <= pair[0] + 7),
@@ -80,10 +80,10 @@
     let start = Instant::now();
     let mut drift = Drift::new(start);
     for ms in 0..2000 {
-        drift.count(start + Duration::from_millis(ms), true);
+        drift.record_request(start + Duration::from_millis(ms), true);
     }
-    assert!(drift.holds(start + Duration::from_secs(2), 1));
-    assert!(!drift.holds(start + Duration::from_secs(40), 1));
+    assert!(drift.has_to_leave(start + Duration::from_secs(2), 1));
+    assert!(!drift.has_to_leave(start + Duration::from_secs(40), 1));
 }
 
 /// The part of a second's requests after the first 0.3 s that goes away, at a host of a region that has a tenth of all targets and
--- a/tests/hedge.rs
+++ b/tests/hedge.rs
@@ -6,19 +6,19 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
-use ragwortfold::steer::hedge::{Headroom, Hedge};
-use ragwortfold::steer::retry::{Budget, Budgets, Switch, Terms, DEFAULT_FLOOR};
+use ragwortfold::steer::hedge::{Headroom, HedgePolicy};
+use ragwortfold::steer::retry::{Budget, RetryLimits, SharedBudgets, Switch, DEFAULT_FLOOR};
 
 const SECOND: Duration = Duration::from_secs(1);
 
 /// Extra sends that a budget gives at once.
 fn taken(budget: &mut Budget, now: Instant) -> u32 {
-    (0..1000).map(|_| u32::from(budget.take(now))).sum()
+    (0..1000).map(|_| u32::from(budget.try_take(now))).sum()
 }
 
 fn budget_after(requests: u32, share: f64, now: Instant) -> Budget {
     let mut budget = Budget::new(now, share);
-    (0..requests).for_each(|_| budget.request(now));
+    (0..requests).for_each(|_| budget.record_request(now));
     budget
 }
 
@@ -56,8 +56,8 @@
     assert_eq!(taken(&mut budget, now), 1000);
 }
 
-fn terms(share: f64, floor: f64) -> Terms {
-    Terms {
+fn terms(share: f64, floor: f64) -> RetryLimits {
+    RetryLimits {
         share,
         floor,
         window: 10 * SECOND,
@@ -65,18 +65,18 @@
 }
 
 /// Repeats that a host's budgets give at once.
-fn repeats(budgets: &mut Budgets, now: Instant) -> u32 {
+fn repeats(budgets: &mut SharedBudgets, now: Instant) -> u32 {
     let service = "a".into();
     (0..1000)
-        .map(|_| u32::from(budgets.take(now, &service)))
+        .map(|_| u32::from(budgets.try_take(now, &service)))
         .sum()
 }
 
 #[test]
 fn a_host_that_hears_of_others_later_keeps_only_its_part_of_the_floor() {
     let now = Instant::now();
-    let mut budgets = Budgets::new(terms(0.0, 20.0));
-    budgets.request(now, &"a".into());
+    let mut budgets = SharedBudgets::new(terms(0.0, 20.0));
+    budgets.record_request(now, &"a".into());
     budgets.set_hosts(4);
     assert_eq!(repeats(&mut budgets, now), 3);
 }
@@ -84,7 +84,7 @@
 #[test]
 fn the_last_host_may_use_the_whole_shared_floor() {
     let now = Instant::now();
-    let mut budgets = Budgets::new(terms(0.0, 20.0));
+    let mut budgets = SharedBudgets::new(terms(0.0, 20.0));
     budgets.set_hosts(4);
     assert_eq!(repeats(&mut budgets, now), 3);
     budgets.set_hosts(1);
@@ -94,30 +94,30 @@
 #[test]
 fn changed_terms_count_at_once_and_keep_what_was_taken() {
     let now = Instant::now();
-    let mut budgets = Budgets::new(terms(0.0, 20.0));
+    let mut budgets = SharedBudgets::new(terms(0.0, 20.0));
     assert_eq!(repeats(&mut budgets, now), 12);
-    budgets.set_terms(terms(0.0, 30.0));
+    budgets.set_limits(terms(0.0, 30.0));
     assert_eq!(repeats(&mut budgets, now), 6);
 }
 
 #[test]
 fn the_window_is_a_term() {
     let now = Instant::now();
-    let short = Terms {
+    let short = RetryLimits {
         window: 2 * SECOND,
         ..terms(0.0, 5.0)
     };
-    let mut budgets = Budgets::new(short);
+    let mut budgets = SharedBudgets::new(short);
     assert_eq!(repeats(&mut budgets, now), 3);
     assert_eq!(repeats(&mut budgets, now + SECOND), 0);
     assert_eq!(repeats(&mut budgets, now + 2 * SECOND), 3);
 }
 
-fn hedge_after(samples: u64, now: Instant) -> Hedge {
-    let mut hedge = Hedge::new(now, 0.05);
+fn hedge_after(samples: u64, now: Instant) -> HedgePolicy {
+    let mut hedge = HedgePolicy::new(now, 0.05);
     for n in 1..=samples {
-        hedge.request(now);
-        hedge.record(now, Duration::from_millis(n));
+        hedge.record_request(now);
+        hedge.record_latency(now, Duration::from_millis(n));
     }
     hedge
 }
@@ -150,8 +150,8 @@
 #[test]
 fn fast_class_is_not_hedged_below_the_least_delay() {
     let now = Instant::now();
-    let mut hedge = Hedge::new(now, 0.05);
-    (0..200).for_each(|_| hedge.record(now, Duration::from_micros(50)));
+    let mut hedge = HedgePolicy::new(now, 0.05);
+    (0..200).for_each(|_| hedge.record_latency(now, Duration::from_micros(50)));
     assert_eq!(hedge.delay(now), Some(Duration::from_millis(1)));
 }
 
@@ -159,9 +159,9 @@
 fn copies_need_headroom_and_budget() {
     let now = Instant::now();
     let mut hedge = hedge_after(1000, now);
-    assert!(!hedge.take(now, Headroom::Lacking));
+    assert!(!hedge.try_hedge(now, Headroom::Unconfirmed));
     let sent = (0..1000)
-        .filter(|_| hedge.take(now, Headroom::Known))
+        .filter(|_| hedge.try_hedge(now, Headroom::Confirmed))
         .count();
     assert_eq!(sent, 51);
 }
@@ -171,7 +171,7 @@
     let now = Instant::now();
     let mut hedge = hedge_after(1000, now).with_switch(Switch::Off);
     assert_eq!(hedge.delay(now), None);
-    assert!(!hedge.take(now, Headroom::Known));
+    assert!(!hedge.try_hedge(now, Headroom::Confirmed));
 }
 
 proptest! {
@@ -189,11 +189,11 @@
         for (ms, count) in steps {
             now += Duration::from_millis(ms);
             for _ in 0..count {
-                budget.request(now);
+                budget.record_request(now);
                 requests.push(now);
             }
             let before = extra.len();
-            extra.extend((0..30).filter(|_| budget.take(now)).map(|_| now));
+            extra.extend((0..30).filter(|_| budget.try_take(now)).map(|_| now));
             let granted = extra.len() > before;
             let since = |list: &[Instant], window| {
                 list.iter().filter(|&&at| now - at < window).count() as f64
--- a/tests/limit.rs
+++ b/tests/limit.rs
@@ -32,9 +32,9 @@
                 in_flight,
                 slots: 4,
             });
-            limit.answer(now, true, ratio, load);
+            limit.record_answer(now, true, ratio, load);
         }
-        Step::Refuse => limit.refuse(now),
+        Step::Refuse => limit.record_refusal(now),
     }
 }
 
@@ -80,15 +80,15 @@
     let mut limit = after(400, Step::Answer(1.0, None));
     let excess = |limit: &Limit| limit.value() - limit.share();
     let now = Instant::now() + Duration::from_secs(10);
-    limit.fade(now);
+    limit.decay_excess(now);
     let before = excess(&limit);
     for pause in [1, 2, 5, 10, 50, 432] {
-        limit.fade(now + Duration::from_millis(pause));
+        limit.decay_excess(now + Duration::from_millis(pause));
     }
     // As after one look, whatever the looks between.
-    limit.fade(now + Duration::from_millis(500));
+    limit.decay_excess(now + Duration::from_millis(500));
     assert!((excess(&limit) - before / 4.0).abs() < 1e-9, "{limit:?}");
-    limit.fade(now + Duration::from_secs(10));
+    limit.decay_excess(now + Duration::from_secs(10));
     assert!(excess(&limit) < 0.01, "{limit:?}");
 }
 
@@ -96,7 +96,7 @@
 fn at_least_one_of_few_slots() {
     let limit = Limit::new(4, 400, 45);
     assert!(limit.value() < 1.0);
-    assert_eq!(limit.whole(0.1), 1);
+    assert_eq!(limit.max_in_flight(0.1), 1);
 }
 
 fn steps() -> impl Strategy<Value = Vec<(u64, Step)>> {
@@ -119,9 +119,9 @@
         for (pause, step) in steps {
             now += Duration::from_millis(pause);
             apply(&mut limit, now, step);
-            prop_assert!(limit.whole(fraction) as usize * hosts <= connections as usize);
+            prop_assert!(limit.max_in_flight(fraction) as usize * hosts <= connections as usize);
             prop_assert!(limit.value() >= limit.share() - 1e-9);
-            prop_assert!(limit.whole(fraction) >= 1 || connections < hosts as u32);
+            prop_assert!(limit.max_in_flight(fraction) >= 1 || connections < hosts as u32);
         }
     }
 }
--- a/tests/load.rs
+++ b/tests/load.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use ragwortfold::steer::fleet::Switches;
-use ragwortfold::steer::pause::Refused;
+use ragwortfold::steer::pause::RefusedRequest;
 use ragwortfold::steer::retry::Switch;
 
 mod replay;
@@ -293,7 +293,7 @@
         #[test]
         fn $name() {
             let fixed = in_good_time($times, |_, _| Duration::from_millis(250));
-            let told = in_good_time($times, |room, draw| Refused { room, rank: 0.5 }.pause(draw));
+            let told = in_good_time($times, |room, draw| RefusedRequest { time_until_room: room, rank: 0.5 }.retry_after(draw));
             assert!(fixed <= $before && told >= $after, "{fixed:.3} {told:.3}");
         }
     )*};
--- a/tests/pause.rs
+++ b/tests/pause.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ragwortfold::steer::pause::{Refused, LONGEST, SHORTEST};
+use ragwortfold::steer::pause::{RefusedRequest, MAX_PAUSE, MIN_PAUSE};
 
 const CALLERS: u32 = 1000;
 
@@ -12,7 +12,13 @@
 
 /// When callers that were refused at one moment come back.
 fn returns(room: Duration, rank: f64) -> Vec<Duration> {
-    let one = |number| Refused { room, rank }.pause(f64::from(number) / f64::from(CALLERS));
+    let one = |number| {
+        RefusedRequest {
+            time_until_room: room,
+            rank,
+        }
+        .retry_after(f64::from(number) / f64::from(CALLERS))
+    };
     (0..CALLERS).map(one).collect()
 }
 
@@ -42,7 +48,9 @@
     for room in [Duration::ZERO, ms(50), ms(400), ms(60_000)] {
         for rank in [0.0, 0.5, 1.0, 7.0] {
             let all = returns(room, rank);
-            assert!(all.iter().all(|at| (SHORTEST..=2 * LONGEST).contains(at)));
+            assert!(all
+                .iter()
+                .all(|at| (MIN_PAUSE..=2 * MAX_PAUSE).contains(at)));
         }
     }
 }
--- a/tests/queue.rs
+++ b/tests/queue.rs
@@ -28,13 +28,13 @@
         id,
         priority,
         start_by: base + Duration::from_millis(time),
-        since: base,
+        enqueued_at: base,
         item: (),
     }
 }
 
 fn drain(mut queue: Queue<()>) -> Vec<Id> {
-    std::iter::from_fn(|| queue.pop_fit(1, |_| Some(())))
+    std::iter::from_fn(|| queue.pop_matching(1, |_| Some(())))
         .map(|(entry, ())| entry.id)
         .collect()
 }
@@ -64,10 +64,10 @@
 #[test]
 fn skips_who_does_not_fit() {
     let (mut queue, _) = fill(Order::Fifo, 9, &[5, 5, 5]);
-    let found = queue.pop_fit(2, |entry| (entry.id == 1).then_some(()));
+    let found = queue.pop_matching(2, |entry| (entry.id == 1).then_some(()));
     assert_eq!(found.map(|(entry, ())| entry.id), Some(1));
     assert!(queue
-        .pop_fit(1, |entry| (entry.id == 2).then_some(()))
+        .pop_matching(1, |entry| (entry.id == 2).then_some(()))
         .is_none());
     assert_eq!(drain(queue), [0, 2]);
 }
@@ -105,15 +105,15 @@
                     waiting.insert(id);
                     queue.push(entry(base, id, priority, time))
                 }
-                Step::Pop => queue.pop_fit(1, |_| Some(())).map(|(entry, ())| entry),
+                Step::Pop => queue.pop_matching(1, |_| Some(())).map(|(entry, ())| entry),
                 Step::Remove(id) => queue.remove(id),
-                Step::Due(time) => queue.pop_due(base + Duration::from_millis(time)),
+                Step::Due(time) => queue.pop_expired(base + Duration::from_millis(time)),
             };
             prop_assert!(out.is_none_or(|entry| waiting.remove(&entry.id)));
             prop_assert!(queue.len() <= bound && queue.len() == waiting.len());
             prop_assert!(waiting.iter().all(|&id| queue.contains(id)));
-            prop_assert!(lifo || queue.ahead(0) == waiting.len());
-prop_assert_eq!(queue.busy_since().is_some(), !waiting.is_empty());
+            prop_assert!(lifo || queue.count_ahead(0) == waiting.len());
+prop_assert_eq!(queue.nonempty_since().is_some(), !waiting.is_empty());
         }
     }
 }
