--- a/src/host/admission.rs
+++ b/src/host/admission.rs
@@ -28,7 +28,7 @@
     pub(crate) fn refund(&self, host: &Host) {
         let core = &mut *host.core.borrow_mut();
         if let (Some(ledger), Some(account)) = (&mut core.ledger, self.caller.account()) {
-            ledger.give_back(account);
+            ledger.refund(account);
         }
     }
 }
@@ -90,10 +90,12 @@
 pub(crate) fn admit(host: &Host, route: &Route, head: &Head) -> Result<Admitted, AdmissionError> {
     let core = &mut *host.core.borrow_mut();
     let knowledge = core.knowledge(moment());
-    let caller = core.table.caller(route, head.credential, knowledge);
+    let caller = core
+        .table
+        .identify_caller(route, head.credential, knowledge);
     let caller = caller.map_err(|denial| match denial {
         Denial::NoAccount => AdmissionError::NoAccount,
-        Denial::Unsure => AdmissionError::UnprovedConfiguration(core.proof.age(moment())),
+        Denial::Undecided => AdmissionError::UnprovedConfiguration(core.proof.age(moment())),
     })?;
     let Some(account) = caller.account() else {
         return Ok(Admitted {
@@ -101,14 +103,14 @@
             homes: route.homes.clone(),
         });
     };
-    let homes = account::homes(&route.homes, &account.homes)
+    let homes = account::allowed_regions(&route.homes, &account.homes)
         .map_err(|_| AdmissionError::NoHome(account.name.clone()))?;
     if let Some(ledger) = &mut core.ledger {
-        if let Err(refusal) = ledger.take(now(), account) {
+        if let Err(refusal) = ledger.admit(now(), account) {
             // Randomized, so that rejected callers don't all return at once and exceed the quota
             // again.
             let jitter = core.rng.random_range(1.0..2.0);
-            let (left, rate) = ledger.left(account).unwrap_or_default();
+            let (left, rate) = ledger.remaining(account).unwrap_or_default();
             return Err(AdmissionError::OverQuota {
                 account: account.name.clone(),
                 left,
--- a/src/host/body.rs
+++ b/src/host/body.rs
@@ -7,7 +7,7 @@
 use http_body_util::{BodyExt, Full, StreamBody};
 use hyper::body::{Body as _, Frame, Incoming, SizeHint};
 
-use crate::steer::fingerprint::PREFIX;
+use crate::steer::fingerprint::HASHED_BODY_BYTES;
 
 /// Bodies up to this many bytes are buffered completely, so that a request can be sent again and a
 /// truncated answer is noticed before its first byte is forwarded.
@@ -63,7 +63,7 @@
     pub(crate) fn fingerprint_content(&self) -> &[u8] {
         match self {
             Self::Complete(bytes) => bytes,
-            Self::Prefix(start, _) => &start[..PREFIX.min(start.len())],
+            Self::Prefix(start, _) => &start[..HASHED_BODY_BYTES.min(start.len())],
         }
     }
 }
@@ -115,7 +115,7 @@
         return Err(BodyError::TooLong(max_bytes));
     }
     let wanted = if announced > MAX_BUFFERED_BYTES as u64 {
-        PREFIX
+        HASHED_BODY_BYTES
     } else {
         MAX_BUFFERED_BYTES
     };
--- a/src/host/core.rs
+++ b/src/host/core.rs
@@ -9,16 +9,16 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::log::{self, Event};
-use crate::account::Knowledge;
+use crate::account::ConfigFreshness;
 use crate::control::presence::{self, Naming, Presence, Record, Sight};
 use crate::control::proof::{Moment, Proof, CAUTION};
 use crate::control::replica::{Effect, Outage, Replica, Update};
-use crate::inventory::{Config, Registration, Route, State, Table};
+use crate::inventory::{Config, Registration, Route, RouteTable, State};
 use crate::port::{Bounds, Entry, Kind, Settings, Value};
 use crate::steer::allowance::Ledger;
 use crate::steer::fleet::Fleet;
 use crate::steer::quarantine::Quarantine;
-use crate::steer::retry::Budgets;
+use crate::steer::retry::SharedBudgets;
 
 /// How long targets that are missing after a store outage may take to register again.
 const LAPSE_GRACE: Duration = Duration::from_secs(2);
@@ -29,14 +29,14 @@
 
 /// The state of a host.
 pub(crate) struct Core {
-    pub(crate) table: Table,
+    pub(crate) table: RouteTable,
     pub(crate) replica: Replica,
     pub(crate) fleet: Fleet,
     pub(crate) presence: Presence,
     pub(crate) rng: Pcg64Mcg,
     /// Version of this host's own registration in the store.
     pub(crate) registered_version: Option<u64>,
-    pub(crate) budgets: Budgets,
+    pub(crate) budgets: SharedBudgets,
     /// Requests suspected to crash targets.
     pub(crate) quarantine: Quarantine,
     /// Remaining quotas of accounts, if quotas are enforced.
@@ -66,8 +66,8 @@
             strength: settings.strength,
         };
         let seed = xxhash_rust::xxh3::xxh3_64_with_seed(own.host.as_bytes(), own.incarnation);
-        let mut budgets =
-            Budgets::new(settings.bounds.repeats).with_switch(settings.switches.repeat_budget);
+        let mut budgets = SharedBudgets::new(settings.bounds.repeats)
+            .with_switch(settings.switches.repeat_budget);
         // Until the other hosts are known, assumes as many as possible and so claims the smallest
         // share of the retry floor.
         budgets.set_hosts(usize::MAX);
@@ -84,7 +84,7 @@
             ledger,
             proof: Proof::new(),
             max_proof_age,
-            table: Table::new(),
+            table: RouteTable::new(),
             replica: Replica::new(),
             fleet: Fleet::new(
                 now,
@@ -114,7 +114,7 @@
 
     /// Applies changed bounds.
     pub(crate) fn set_bounds(&mut self, bounds: Bounds) {
-        self.budgets.set_terms(bounds.repeats);
+        self.budgets.set_limits(bounds.repeats);
     }
 
     /// Applies an update from the store.
@@ -127,9 +127,9 @@
         };
         let removed = entries.iter().filter(|entry| entry.value.is_none());
         let lapsing_services = match (kind, outage) {
-            (Kind::Targets, Outage::Brief) => {
-                self.fleet.losing_most(removed.map(|entry| &*entry.name))
-            }
+            (Kind::Targets, Outage::Brief) => self
+                .fleet
+                .services_losing_most(removed.map(|entry| &*entry.name)),
             _ => BTreeSet::new(),
         };
         for entry in entries {
@@ -171,7 +171,7 @@
             self.fleet.set_cold_rate(name.clone(), service.cold_rate);
         }
         for (service, goal) in goals {
-            self.fleet.set_goal(service, goal);
+            self.fleet.set_latency_goal(service, goal);
         }
         if let Some(ledger) = &mut self.ledger {
             ledger.set_accounts(now, &accounts);
@@ -188,12 +188,12 @@
     }
 
     /// How current the configuration is known to be.
-    pub(crate) fn knowledge(&self, moment: Moment) -> Knowledge {
+    pub(crate) fn knowledge(&self, moment: Moment) -> ConfigFreshness {
         match self.max_proof_age {
-            Some(max_age) if self.proof.holds(moment, max_age) => Knowledge::Current,
-            Some(_) => Knowledge::Expired,
-            None if self.presence.sight() >= Sight::Relayed => Knowledge::Current,
-            None => Knowledge::Old,
+            Some(max_age) if self.proof.holds(moment, max_age) => ConfigFreshness::Current,
+            Some(_) => ConfigFreshness::Expired,
+            None if self.presence.sight() >= Sight::Relayed => ConfigFreshness::Current,
+            None => ConfigFreshness::Stale,
         }
     }
 
@@ -235,7 +235,7 @@
             zones = names.join(" ").as_str()
         });
         let max_cold_time = self.max_cold_time();
-        self.fleet.evacuate(now, zones, max_cold_time);
+        self.fleet.set_evacuated_zones(now, zones, max_cold_time);
     }
 
     /// Replaces the known hosts with the complete list of registrations.
@@ -284,8 +284,8 @@
             let region = self.presence.region(record);
             (record.host.clone(), region.clone())
         });
-        self.fleet.set_hosts(hosts.collect());
-        self.fleet.set_share(self.presence.share(now));
+        self.fleet.set_live_hosts(hosts.collect());
+        self.fleet.set_caller_share(self.presence.share(now));
         if let Some(ledger) = &mut self.ledger {
             let peers = self.presence.peers();
             let same_region = peers.filter(|peer| self.presence.is_near(peer));
@@ -293,7 +293,7 @@
         }
         let known = self.presence.peers().count() + 1;
         self.fleet
-            .set_told(self.presence.is_listed().then_some(known));
+            .set_host_count(self.presence.is_listed().then_some(known));
         self.budgets.set_hosts(known);
     }
 
--- a/src/host/datagram.rs
+++ b/src/host/datagram.rs
@@ -11,9 +11,9 @@
 use tokio::net::UdpSocket;
 
 use crate::control::presence::{Beat, Pulse, Sight, INTERVAL};
-use crate::steer::allowance::{Tally, Teller};
-use crate::steer::quarantine::Note;
-use crate::steer::throttle::{Claim, Grant, News};
+use crate::steer::allowance::{AccountUsage, Reporter};
+use crate::steer::quarantine::Notice;
+use crate::steer::throttle::{Claim, Grant, RateUpdate};
 
 use super::{now, quarantine, throttle, Error, Host};
 
@@ -50,10 +50,10 @@
     Tallies(Tallies),
     /// Notes on requests suspected to crash targets.
     #[serde(rename = "n")]
-    Notes(Vec<Note>),
+    Notes(Vec<Notice>),
     /// Rate limits announced by targets.
     #[serde(rename = "r")]
-    Rates(Vec<News>),
+    Rates(Vec<RateUpdate>),
     /// Asks a keeper of a rate-limited target for permission to send to it.
     #[serde(rename = "l")]
     Claim(Claim),
@@ -71,7 +71,7 @@
     u64,
     /// Whether the sender addresses the hosts of all regions in this round.
     bool,
-    Vec<Tally>,
+    Vec<AccountUsage>,
 );
 
 /// Opens the socket and starts to send and receive datagrams.
@@ -134,8 +134,8 @@
             };
             (
                 ledger.age(now()),
-                ledger.interval(now()),
-                ledger.news(now()),
+                ledger.report_interval(now()),
+                ledger.next_reports(now()),
             )
         };
         let to_all = global.is_some();
@@ -153,7 +153,7 @@
     host: &Host,
     age: Duration,
     to_all: bool,
-    tallies: &[Tally],
+    tallies: &[AccountUsage],
     same_region: bool,
 ) {
     let (peers, incarnation) = {
@@ -180,14 +180,14 @@
     let (Some(ledger), Some(peer)) = (&mut core.ledger, core.presence.at(sender)) else {
         return;
     };
-    let teller = Teller {
+    let teller = Reporter {
         host: &peer.host,
         region: core.presence.region(peer),
         incarnation: *incarnation,
         age: Duration::from_millis(*age_ms),
-        to_all: *to_all,
+        to_all_regions: *to_all,
     };
-    ledger.hear(now(), teller, tallies);
+    ledger.merge_report(now(), teller, tallies);
 }
 
 /// Sends this host's record to all other hosts.
@@ -212,14 +212,14 @@
 }
 
 /// Sends notes on requests suspected to crash targets.
-pub(crate) async fn send_notes(host: &Host, notes: &[Note], peers: &[SocketAddr]) {
+pub(crate) async fn send_notes(host: &Host, notes: &[Notice], peers: &[SocketAddr]) {
     for chunk in notes.chunks(NOTES_PER_DATAGRAM) {
         send(host, &Datagram::Notes(chunk.to_vec()), peers).await;
     }
 }
 
 /// Sends rate limits announced by targets.
-pub(crate) async fn send_rates(host: &Host, rates: &[News], peers: &[SocketAddr]) {
+pub(crate) async fn send_rates(host: &Host, rates: &[RateUpdate], peers: &[SocketAddr]) {
     send(host, &Datagram::Rates(rates.to_vec()), peers).await;
 }
 
@@ -292,7 +292,7 @@
             Ok(Datagram::Ask) => send_beat(&host, &[sender]).await,
             Ok(Datagram::Cold(id, left)) => {
                 let left = Duration::from_millis(left);
-                host.core.borrow_mut().fleet.chill(now(), &id, left);
+                host.core.borrow_mut().fleet.mark_cold(now(), &id, left);
             }
             Ok(Datagram::Tallies(batch)) => apply_tallies(&host, sender, &batch),
             Ok(Datagram::Notes(notes)) => quarantine::apply_notes(&host, &notes),
--- a/src/host/exchange.rs
+++ b/src/host/exchange.rs
@@ -25,8 +25,8 @@
 use crate::inventory::{Route, TargetKey};
 use crate::port::{Answer, Head};
 use crate::steer::fingerprint::Fingerprint;
-use crate::steer::fleet::{Ask, End, Member, Refusal, Seen};
-use crate::steer::pause::Refused;
+use crate::steer::fleet::{End, Member, Observation, Refusal, TargetQuery};
+use crate::steer::pause::RefusedRequest;
 
 /// Connect timeout. A round trip between regions plus the retransmission of a lost first packet may
 /// take longer, but the time is better spent on another target.
@@ -93,11 +93,11 @@
     pub(crate) process_digest: u64,
     /// How many times the request was sent to other targets before.
     sent_before: usize,
-    seen: Seen,
+    seen: Observation,
 }
 
 impl InFlight {
-    fn new(host: &Rc<Host>, target: TargetKey, seen: Seen) -> Self {
+    fn new(host: &Rc<Host>, target: TargetKey, seen: Observation) -> Self {
         let process_digest = host.core.borrow().fleet.member(target).map(Member::digest);
         Self {
             process_digest: process_digest.unwrap_or_default(),
@@ -132,14 +132,17 @@
     let Some(service) = host.core.borrow_mut().choose_service(&exchange.route) else {
         return answer::not_run(host, "no service for this route\n");
     };
-    host.core.borrow_mut().budgets.request(now(), &service);
-    let ask = Ask {
+    host.core
+        .borrow_mut()
+        .budgets
+        .record_request(now(), &service);
+    let ask = TargetQuery {
         service: &service,
-        key: affinity_hash(&exchange),
+        affinity_key: affinity_hash(&exchange),
         object: affinity_object(&exchange, &service),
         homes: &exchange.admitted.homes,
         tried: Vec::new(),
-        bytes: body.length(),
+        body_bytes: body.length(),
     };
     let mut active = ActiveRequest {
         host,
@@ -158,7 +161,7 @@
 struct ActiveRequest<'a> {
     host: &'a Rc<Host>,
     exchange: &'a Exchange,
-    ask: Ask<'a>,
+    ask: TargetQuery<'a>,
     trace: RequestTrace,
     /// Status of the response to the caller, once it is decided.
     status: Option<StatusCode>,
@@ -204,7 +207,7 @@
             if permit.is_some() {
                 // Sends the suspected request to a target chosen by its fingerprint, apart from the
                 // target of the other requests for its object.
-                ask.key = exchange.fingerprint.0;
+                ask.affinity_key = exchange.fingerprint.0;
                 ask.object = None;
             }
         }
@@ -212,10 +215,10 @@
             Ok(target) => target,
             Err(refusal) => break StopReason::Refused(refusal),
         };
-        let seen = Seen {
+        let seen = Observation {
             object: ask.object,
             goal: Some(exchange.route.goal),
-            ..Seen::default()
+            ..Observation::default()
         };
         let mut in_flight = InFlight::new(host, target, seen);
         in_flight.sent_before = sent;
@@ -279,7 +282,12 @@
 }
 
 /// How long the caller of a request that did not run should wait before it retries.
-fn retry_after(host: &Host, exchange: &Exchange, ask: &Ask<'_>, stop: StopReason) -> Duration {
+fn retry_after(
+    host: &Host,
+    exchange: &Exchange,
+    ask: &TargetQuery<'_>,
+    stop: StopReason,
+) -> Duration {
     if let StopReason::Quarantined(pause) = stop {
         return pause;
     }
@@ -288,11 +296,17 @@
     }
     let core = &mut *host.core.borrow_mut();
     let room = match stop {
-        StopReason::Refused(_) => core.fleet.room_in(now(), ask),
+        StopReason::Refused(_) => core.fleet.time_until_room(now(), ask),
         _ => Duration::ZERO,
     };
-    let rank = core.table.rank(&exchange.route, &exchange.admitted.caller);
-    Refused { room, rank }.pause(core.rng.random_range(0.0..1.0))
+    let rank = core
+        .table
+        .relative_priority(&exchange.route, &exchange.admitted.caller);
+    RefusedRequest {
+        time_until_room: room,
+        rank,
+    }
+    .retry_after(core.rng.random_range(0.0..1.0))
 }
 
 /// Returns why a request is not sent to a further target, or `None` if it is. The retry budget is
@@ -300,11 +314,16 @@
 fn stop_after_send(
     host: &Host,
     exchange: &Exchange,
-    ask: &Ask<'_>,
+    ask: &TargetQuery<'_>,
     sent: usize,
 ) -> Option<StopReason> {
     let time_left = exchange.deadline.saturating_duration_since(now());
-    if !host.core.borrow().quarantine.is_free(exchange.fingerprint) {
+    if !host
+        .core
+        .borrow()
+        .quarantine
+        .may_retry(exchange.fingerprint)
+    {
         // Another attempt could crash one more target.
         Some(StopReason::Suspected)
     } else if sent >= exchange.route.attempts as usize {
@@ -313,7 +332,7 @@
         Some(StopReason::Time)
     } else if exchange.buffered == Buffered::Prefix {
         Some(StopReason::Body)
-    } else if !host.core.borrow_mut().budgets.take(now(), ask.service) {
+    } else if !host.core.borrow_mut().budgets.try_take(now(), ask.service) {
         Some(StopReason::Budget)
     } else {
         None
@@ -322,7 +341,11 @@
 
 /// Returns why no further target is tried after an unreachable one, or `None` if one is. Half of
 /// the request's time is reserved for a target that can be reached.
-fn stop_after_unreachable(exchange: &Exchange, ask: &Ask<'_>, sent: usize) -> Option<StopReason> {
+fn stop_after_unreachable(
+    exchange: &Exchange,
+    ask: &TargetQuery<'_>,
+    sent: usize,
+) -> Option<StopReason> {
     let total_time = exchange
         .deadline
         .saturating_duration_since(exchange.started_at);
@@ -338,7 +361,7 @@
 /// Chooses a target that permits the request. One that does not is skipped and the next best one is
 /// tried. After [`MAX_PERMIT_WAIT`] no host is asked for permission any more: only targets that
 /// need none or have already granted it remain.
-async fn choose_target(host: &Host, ask: &Ask<'_>) -> Result<TargetKey, Refusal> {
+async fn choose_target(host: &Host, ask: &TargetQuery<'_>) -> Result<TargetKey, Refusal> {
     let until = now() + MAX_PERMIT_WAIT;
     let mut ask = ask.clone();
     loop {
@@ -438,7 +461,7 @@
 async fn send(
     host: &Rc<Host>,
     exchange: &Exchange,
-    ask: &Ask<'_>,
+    ask: &TargetQuery<'_>,
     in_flight: &mut InFlight,
     (mut connection, id, body): (Connection, HeaderValue, ReceivedBody),
 ) -> Outcome {
@@ -449,7 +472,7 @@
         Ok(response) => response,
         Err(outcome) => return outcome,
     };
-    in_flight.seen.took = Some(now().saturating_duration_since(sent_at));
+    in_flight.seen.response_time = Some(now().saturating_duration_since(sent_at));
     receive_response(host, exchange, in_flight, connection, response).await
 }
 
@@ -458,13 +481,13 @@
 async fn await_head(
     host: &Host,
     exchange: &Exchange,
-    ask: &Ask<'_>,
+    ask: &TargetQuery<'_>,
     in_flight: &mut InFlight,
     answer: impl Future<Output = Result<Response<Incoming>, Unanswered>>,
 ) -> Result<Response<Incoming>, Outcome> {
     let mut answer = pin!(answer);
     loop {
-        let max_silence = host.core.borrow().fleet.patience(ask.service);
+        let max_silence = host.core.borrow().fleet.silence_limit(ask.service);
         let check_at =
             now() + max_silence.unwrap_or(exchange.deadline.saturating_duration_since(now()));
         let until = check_at.min(exchange.deadline);
@@ -498,11 +521,15 @@
 }
 
 /// Whether a request that may have run can be sent to another target.
-fn can_retry(host: &Host, exchange: &Exchange, ask: &Ask<'_>, sent: usize) -> bool {
+fn can_retry(host: &Host, exchange: &Exchange, ask: &TargetQuery<'_>, sent: usize) -> bool {
     exchange.route.repeat != Repeat::Never
         && exchange.buffered == Buffered::Complete
         && sent + 1 < exchange.route.attempts as usize
-        && host.core.borrow_mut().budgets.has(now(), ask.service)
+        && host
+            .core
+            .borrow_mut()
+            .budgets
+            .has_remaining(now(), ask.service)
 }
 
 /// Takes an idle connection to a target from the pool, or opens a new one.
@@ -519,7 +546,7 @@
             let connect_start = now();
             let stream = client::connect(address, timeout).await?;
             let took = now().saturating_duration_since(connect_start);
-            host.core.borrow_mut().fleet.connected(target, took);
+            host.core.borrow_mut().fleet.record_connect(target, took);
             stream
         }
     };
@@ -553,7 +580,7 @@
     request_log::log_unknown_headers(host, in_flight.target, &parts.headers);
     let target_answer = (host.platform.wire.answer)(&parts);
     in_flight.seen.load = target_answer.load;
-    in_flight.seen.bytes = incoming.size_hint().exact();
+    in_flight.seen.body_bytes = incoming.size_hint().exact();
     if target_answer.misdirected {
         in_flight.end = End::Misdirected;
         return Outcome::NotRun;
@@ -658,11 +685,14 @@
     start: Bytes,
     rest: Incoming,
 ) -> Body {
-    host.core.borrow_mut().fleet.hold(now(), in_flight.target);
+    host.core
+        .borrow_mut()
+        .fleet
+        .count_request(now(), in_flight.target);
     let connection_task = ConnectionTask(tokio::task::spawn_local(connection.run()).abort_handle());
     let guard = (
         connection_task,
-        InFlight::new(host, in_flight.target, Seen::default()),
+        InFlight::new(host, in_flight.target, Observation::default()),
     );
     body::with_guard(body::stream(start, rest, u64::MAX), guard)
 }
--- a/src/host/log.rs
+++ b/src/host/log.rs
@@ -17,8 +17,8 @@
 use super::{now, Host};
 use crate::inventory::TargetKey;
 use crate::port::Kind;
-use crate::steer::fleet::Turn;
-use crate::steer::quarantine::Note;
+use crate::steer::fleet::EjectionChange;
+use crate::steer::quarantine::Notice;
 
 /// Capacity of the queue in lines: some seconds at the limits below.
 const QUEUE_LINES: NonZeroUsize = NonZeroUsize::MIN.saturating_add(511);
@@ -58,7 +58,7 @@
     /// A caller disconnected before its request had an answer.
     Abandoned => "request.abandoned",
     /// A request was rejected: it matches no route, its body could not be read, or it was not
-    /// admitted.
+/// admitted.
     Rejected => "request.rejected",
     /// A target's answer carries the ID of another request.
     StrayAnswer => "target.stray-answer",
@@ -105,7 +105,7 @@
     /// The registration of a dead host is removed.
     HostRemoved => "hosts.tidied",
     /// Another host sent the list of hosts, since the registrations have not been read from the
-    /// store.
+/// store.
     HostsReceived => "hosts.told",
     /// The host's view of the store has changed.
     Sight => "store.sight",
@@ -118,7 +118,7 @@
     /// The feed of the followed host has ended.
     FeedEnded => "feed.ended",
     /// The host probed the store once: no host was known to reach it, or the followed feed timed
-    /// out.
+/// out.
     StoreProbed => "store.look",
     /// Watching a kind of objects fails, or succeeds again.
     KindChanged => "store.kind",
@@ -252,24 +252,24 @@
 }
 
 /// Logs that a target was ejected or restored.
-pub(crate) fn target_turned(id: &str, turn: Turn) {
+pub(crate) fn target_turned(id: &str, turn: EjectionChange) {
     let event = match turn {
-        Turn::Ejected => Event::Ejected,
-        Turn::Restored => Event::Restored,
+        EjectionChange::Ejected => Event::Ejected,
+        EjectionChange::Restored => Event::Restored,
     };
     spdlog::info!("a target was ejected or restored", kv: { event = event.as_str(), target = id });
 }
 
 /// Logs a note on a request suspected to crash targets.
-pub(crate) fn request_standing(note: &Note) {
+pub(crate) fn request_standing(note: &Notice) {
     let event = match note {
-        Note::Broke(_) => return,
-        Note::Standing(standing) if standing.refused.is_none() => Event::Suspected,
-        Note::Standing(_) => Event::Quarantined,
-        Note::Cleared(_) => Event::Cleared,
+        Notice::Broken(_) => return,
+        Notice::Status(standing) if standing.refused.is_none() => Event::Suspected,
+        Notice::Status(_) => Event::Quarantined,
+        Notice::Cleared(_) => Event::Cleared,
     };
     let (targets, term) = match note {
-        Note::Standing(standing) => (standing.targets.len(), standing.refused),
+        Notice::Status(standing) => (standing.targets.len(), standing.refused),
         _ => (0, None),
     };
     spdlog::info!("the suspicion that a request crashes targets has changed", kv: {
--- a/src/host/probe.rs
+++ b/src/host/probe.rs
@@ -16,7 +16,7 @@
 
 use super::{body, client, datagram, exchange, log, now, throttle, Host};
 use crate::inventory::TargetKey;
-use crate::steer::throttle::Fit;
+use crate::steer::throttle::Assignment;
 
 /// Interval of the probes of one host to a target. Several hosts probe each target: the requests
 /// that it gets between two probes, including those in flight, must stay below what a cold target
@@ -49,7 +49,7 @@
     if !core.presence.is_store_doubtful(now()) {
         return Vec::new();
     }
-    let targets = core.fleet.questions();
+    let targets = core.fleet.next_checks();
     let probes = targets.into_iter().filter_map(|target| {
         let member = core.fleet.member(target)?;
         let service = core.table.service(member.service())?;
@@ -65,7 +65,7 @@
 
 async fn run_probe(host: Rc<Host>, probe: Probe) {
     // A probe counts as a request towards the target's rate limit.
-    if !throttle::request_permit(&host, probe.target, Fit::Own).await {
+    if !throttle::request_permit(&host, probe.target, Assignment::Primary).await {
         return;
     }
     let answer = tokio::time::timeout(PROBE_TIMEOUT, query_health(&host, &probe)).await;
@@ -83,7 +83,12 @@
     let Some(left) = cold.filter(|left| !left.is_zero()) else {
         return;
     };
-    if host.core.borrow_mut().fleet.chill(now(), &probe.id, left) {
+    if host
+        .core
+        .borrow_mut()
+        .fleet
+        .mark_cold(now(), &probe.id, left)
+    {
         log::target_cold(&probe.id, left);
     }
     datagram::send_cold(&host, &probe.id, left).await;
--- a/src/host/quarantine.rs
+++ b/src/host/quarantine.rs
@@ -9,7 +9,7 @@
 use super::{datagram, log, now, Host};
 use crate::steer::fingerprint::Fingerprint;
 use crate::steer::fleet::End;
-use crate::steer::quarantine::{News, Note, Verdict, UNSURE};
+use crate::steer::quarantine::{Notice, OutgoingNotices, Verdict, MAX_VERDICT_WAIT};
 
 /// Interval at which a waiting request checks again.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
@@ -23,7 +23,7 @@
 impl Drop for Permit<'_> {
     fn drop(&mut self) {
         let core = &mut *self.host.core.borrow_mut();
-        core.quarantine.done(self.fingerprint);
+        core.quarantine.finish(self.fingerprint);
     }
 }
 
@@ -34,15 +34,15 @@
     exchange: &Exchange,
 ) -> Result<Option<Permit<'a>>, Duration> {
     let fingerprint = exchange.fingerprint;
-    let deadline = (now() + UNSURE).min(exchange.deadline);
+    let deadline = (now() + MAX_VERDICT_WAIT).min(exchange.deadline);
     loop {
-        let (verdict, changed) = host.core.borrow_mut().quarantine.ask(now(), fingerprint);
+        let (verdict, changed) = host.core.borrow_mut().quarantine.check(now(), fingerprint);
         if let Some(note) = changed {
             broadcast(host, note);
         }
         match verdict {
-            Verdict::Free => return Ok(None),
-            Verdict::Alone => return Ok(Some(Permit { host, fingerprint })),
+            Verdict::Allowed => return Ok(None),
+            Verdict::Isolated => return Ok(Some(Permit { host, fingerprint })),
             Verdict::Wait if now() >= deadline => return Ok(None),
             Verdict::Wait => tokio::time::sleep(CHECK_INTERVAL).await,
             Verdict::Refused(pause) => return Err(pause),
@@ -56,11 +56,11 @@
     let updates = {
         let quarantine = &mut host.core.borrow_mut().quarantine;
         match in_flight.end {
-            End::Answered => News {
-                all: quarantine.answered(now(), fingerprint),
-                ..News::default()
+            End::Answered => OutgoingNotices {
+                to_all: quarantine.record_answer(now(), fingerprint),
+                ..OutgoingNotices::default()
             },
-            End::Broken => quarantine.broke(
+            End::Broken => quarantine.record_break(
                 now(),
                 fingerprint,
                 in_flight.process_digest,
@@ -69,26 +69,26 @@
             _ => return,
         }
     };
-    if let Some(note) = updates.counters {
+    if let Some(note) = updates.to_counters {
         let counters = {
             let core = host.core.borrow();
             core.presence.counters(now(), fingerprint.0)
         };
         spawn_send(host, note, counters);
     }
-    if let Some(note) = updates.all {
+    if let Some(note) = updates.to_all {
         broadcast(host, note);
     }
 }
 
 /// Applies notes from another host.
-pub(crate) fn apply_notes(host: &Rc<Host>, notes: &[Note]) {
+pub(crate) fn apply_notes(host: &Rc<Host>, notes: &[Notice]) {
     for note in notes {
-        let effect = host.core.borrow_mut().quarantine.hear(now(), note);
+        let effect = host.core.borrow_mut().quarantine.merge(now(), note);
         if effect.is_new {
             log::request_standing(note);
         }
-        if let Some(note) = effect.all {
+        if let Some(note) = effect.to_all {
             broadcast(host, note);
         }
     }
@@ -96,20 +96,20 @@
 
 /// Sends the standings of all suspected and quarantined requests.
 pub(crate) async fn send_standings(host: &Host, peers: &[SocketAddr]) {
-    let notes: Vec<Note> = {
+    let notes: Vec<Notice> = {
         let core = host.core.borrow();
-        core.quarantine.standings(now()).collect()
+        core.quarantine.statuses(now()).collect()
     };
     datagram::send_notes(host, &notes, peers).await;
 }
 
-fn broadcast(host: &Rc<Host>, note: Note) {
+fn broadcast(host: &Rc<Host>, note: Notice) {
     log::request_standing(&note);
     let peers = datagram::peer_addresses(host);
     spawn_send(host, note, peers);
 }
 
-fn spawn_send(host: &Rc<Host>, note: Note, peers: Vec<SocketAddr>) {
+fn spawn_send(host: &Rc<Host>, note: Notice, peers: Vec<SocketAddr>) {
     let host = host.clone();
     tokio::task::spawn_local(async move {
         datagram::send_notes(&host, &[note], &peers).await;
--- a/src/host/request_log.rs
+++ b/src/host/request_log.rs
@@ -11,7 +11,7 @@
 use super::{now, serve, Host};
 use crate::entry::metrics::Sample;
 use crate::inventory::TargetKey;
-use crate::steer::fleet::{Ask, End, Refusal};
+use crate::steer::fleet::{End, Refusal, TargetQuery};
 
 /// Maximum names of unknown headers that are logged: a target could send any number of them.
 const MAX_UNKNOWN_HEADERS: usize = 32;
@@ -130,7 +130,7 @@
 pub(crate) fn log_request(
     host: &Host,
     exchange: &Exchange,
-    ask: &Ask<'_>,
+    ask: &TargetQuery<'_>,
     trace: &RequestTrace,
     status: Option<StatusCode>,
 ) {
--- a/src/host/throttle.rs
+++ b/src/host/throttle.rs
@@ -15,8 +15,8 @@
 use super::{datagram, log, now, Host};
 use crate::inventory::TargetKey;
 use crate::port::Answer;
-use crate::steer::fleet::Leave;
-use crate::steer::throttle::{Claim, Fit, Grant, News, Rate};
+use crate::steer::fleet::Permission;
+use crate::steer::throttle::{Assignment, Claim, Grant, Rate, RateUpdate};
 
 /// Timeout of a claim to a keeper in the same region: some round trips between zones, and a busy
 /// processor.
@@ -33,26 +33,29 @@
 }
 
 /// Whether a request may be sent to a target now; if necessary, asks one of the target's keepers.
-pub(crate) async fn request_permit(host: &Host, target: TargetKey, fit: Fit) -> bool {
+pub(crate) async fn request_permit(host: &Host, target: TargetKey, fit: Assignment) -> bool {
     let answer = {
         let core = &mut *host.core.borrow_mut();
-        core.fleet.leave(now(), (target, fit), &mut core.rng)
+        core.fleet
+            .request_permission(now(), (target, fit), &mut core.rng)
     };
     let (keeper, claim) = match answer {
-        Leave::Given => return true,
-        Leave::Refused => return false,
-        Leave::Ask(keeper, claim) => (keeper, claim),
+        Permission::Granted => return true,
+        Permission::Denied => return false,
+        Permission::Ask(keeper, claim) => (keeper, claim),
     };
     send_claim(host, &keeper, claim).await;
     let core = &mut *host.core.borrow_mut();
-    core.fleet.take_leave(now(), target)
+    core.fleet.use_grant(now(), target)
 }
 
 /// Whether a request may be sent to a target without asking a keeper.
-pub(crate) fn is_permitted(host: &Host, target: TargetKey, fit: Fit) -> bool {
+pub(crate) fn is_permitted(host: &Host, target: TargetKey, fit: Assignment) -> bool {
     let core = &mut *host.core.borrow_mut();
-    let answer = core.fleet.leave(now(), (target, fit), &mut core.rng);
-    answer == Leave::Given
+    let answer = core
+        .fleet
+        .request_permission(now(), (target, fit), &mut core.rng);
+    answer == Permission::Granted
 }
 
 /// Sends a claim to a keeper and waits until its answer has been applied or the timeout has passed.
@@ -66,7 +69,7 @@
         host.core
             .borrow_mut()
             .fleet
-            .unanswered(now(), keeper, &claim);
+            .record_unanswered_claim(now(), keeper, &claim);
         return;
     };
     let (sender, answered) = oneshot::channel();
@@ -83,7 +86,7 @@
         host.core
             .borrow_mut()
             .fleet
-            .unanswered(now(), keeper, &claim);
+            .record_unanswered_claim(now(), keeper, &claim);
     }
 }
 
@@ -99,7 +102,7 @@
     let Some(keeper) = core.presence.at(sender) else {
         return;
     };
-    core.fleet.granted(now(), &keeper.host, grant);
+    core.fleet.record_grant(now(), &keeper.host, grant);
     let waiting = host.pending_claims.by_number.borrow_mut().remove(&grant.0);
     if let Some(waiting) = waiting {
         // The waiting request may have given up.
@@ -122,7 +125,7 @@
     };
     let news = {
         let fleet = &mut host.core.borrow_mut().fleet;
-        fleet.state(now(), in_flight.target, in_flight.started_at, rate)
+        fleet.observe_rate(now(), in_flight.target, in_flight.started_at, rate)
     };
     let Some(news) = news else {
         return;
@@ -138,10 +141,10 @@
 }
 
 /// Applies rate limits received from another host.
-pub(crate) fn apply_rates(host: &Host, rates: &[News]) {
+pub(crate) fn apply_rates(host: &Host, rates: &[RateUpdate]) {
     let fleet = &mut host.core.borrow_mut().fleet;
     for news in rates {
-        if let Some(target) = fleet.hear(now(), news) {
+        if let Some(target) = fleet.merge_rate(now(), news) {
             log::target_rate(&target, news.1.map(f64::from), "host");
         }
     }
@@ -149,10 +152,10 @@
 
 /// Sends the known rate limits to some hosts.
 pub(crate) async fn send_rates(host: &Host, peers: &[SocketAddr]) {
-    let rates: Vec<News> = {
+    let rates: Vec<RateUpdate> = {
         let core = &mut *host.core.borrow_mut();
         core.fleet.expire_rates(now());
-        let all = core.fleet.news(now());
+        let all = core.fleet.rate_updates(now());
         all.sample(&mut core.rng, RATES_PER_REPEAT)
     };
     if !rates.is_empty() {
--- a/src/steer/group.rs
+++ b/src/steer/group.rs
@@ -16,7 +16,7 @@
 use rand::{Rng, RngExt};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::eject::{Sign, Standing, LATENCY_RATIO};
+use super::eject::{Comparison, Outcome, MAX_LATENCY_RATIO};
 use super::pick::Picker;
 use super::queue::{Entry, Queue};
 use super::throttle::Bucket;
@@ -228,7 +228,7 @@
             None => {
                 let mut member = Member::new(key, target, hosts);
                 if self.known {
-                    member.warm.start(now);
+                    member.warm.restart(now);
                 }
                 self.members.push(member);
                 self.index.insert(key, self.members.len() - 1);
@@ -244,7 +244,7 @@
             .with_size(target.slots, target.connections, hosts);
         member.warm = member.warm.with_ramp(target.warm);
         if !was && member.is_serving() {
-            member.warm.start(now);
+            member.warm.restart(now);
         }
     }
 
@@ -273,7 +273,7 @@
         let back = !was && member.is_serving();
         let cools = back || (fresh && source == Source::Header);
         if cools {
-            member.warm.start(now);
+            member.warm.restart(now);
         }
         if cools || was != member.is_serving() {
             self.refresh(now);
@@ -340,7 +340,7 @@
         let mut serving = self
             .members
             .iter()
-            .filter(|member| member.is_serving() && member.limit.hard() > 0)
+            .filter(|member| member.is_serving() && member.limit.connection_share() > 0)
             .peekable();
         if serving.peek().is_none() {
             return Some(Reason::NoTarget);
@@ -356,7 +356,7 @@
             .deadline
             .checked_sub(Duration::from_secs_f64(self.hold))
             .unwrap_or(now);
-        let expected = self.expected(self.queue.ahead(ask.priority) + 1);
+        let expected = self.expected(self.queue.count_ahead(ask.priority) + 1);
         if now + expected > start_by {
             return Verdict::Refuse(self.refusal(Reason::Deadline));
         }
@@ -368,7 +368,7 @@
             id,
             priority: ask.priority,
             start_by,
-            since: now,
+            enqueued_at: now,
             item: ask,
         };
         let Some(out) = self.queue.push(entry) else {
@@ -389,7 +389,7 @@
     }
 
     fn is_overloaded(&self, now: Instant) -> bool {
-        self.queue.busy_since().is_some_and(|since| {
+        self.queue.nonempty_since().is_some_and(|since| {
             now.saturating_duration_since(since).as_secs_f64() > self.hold * SPIKE
         })
     }
@@ -455,8 +455,8 @@
         self.members.iter().position(|member| {
             member.is_serving()
                 && member.in_flight == 0
-                && member.limit.hard() > 0
-                && member.eject.is_due(now)
+                && member.limit.connection_share() > 0
+                && member.eject.is_probe_due(now)
                 && !member.has_tried(ask)
                 && member.opens_in(now).is_zero()
                 && left > PROBE_SLACK * self.tally.median
@@ -472,7 +472,7 @@
         Grant {
             target: member.key,
             at: now,
-            probe: !member.eject.is_in(),
+            probe: !member.eject.is_in_use(),
         }
     }
 
@@ -499,7 +499,7 @@
 
     fn learn(&mut self, now: Instant, place: usize, report: &Report) {
         let member = &mut self.members[place];
-        let full = member.in_flight >= member.limit.whole(member.warm.fraction());
+        let full = member.in_flight >= member.limit.max_in_flight(member.warm.fraction());
         if let Some(load) = report.load {
             member.estimate.report(now, load, member.in_flight);
         }
@@ -511,13 +511,13 @@
                 member.refusals = 0;
                 member.rest = None;
                 member.estimate.record(now, report.latency);
-                member.warm.answer(now);
+                member.warm.record_answer(now);
                 let ratio = member.estimate.ratio(self.baseline);
-                member.limit.answer(now, full, ratio, report.load);
+                member.limit.record_answer(now, full, ratio, report.load);
                 self.hold += (seconds - self.hold) * HOLD_WEIGHT;
             }
             End::Refused => {
-                member.limit.refuse(now);
+                member.limit.record_refusal(now);
                 member.start_rest(now);
             }
             End::ConnectFailed | End::Broken => member.start_rest(now),
@@ -550,20 +550,20 @@
         let Some(sign) = sign(report, tally.median) else {
             return;
         };
-        if !member.eject.is_in() {
-            if grant.probe && member.eject.probe(now, sign, rng) {
-                member.warm.start(now);
+        if !member.eject.is_in_use() {
+            if grant.probe && member.eject.record_probe(now, sign, rng) {
+                member.warm.restart(now);
             }
             self.refresh(now);
             return;
         }
         member.eject.record(sign);
-        let standing = Standing {
-            ratio: member.estimate.ratio(tally.median),
-            samples: member.estimate.samples(),
-            success: tally.success,
-            down: member.health == Health::Down,
-            cold: member.warm.is_cold(),
+        let standing = Comparison {
+            latency_ratio: member.estimate.ratio(tally.median),
+            latency_samples: member.estimate.samples(),
+            group_success_rate: tally.success,
+            is_down: member.health == Health::Down,
+            is_warming_up: member.warm.is_cold(),
         };
         let after = f64::from(tally.ejected + member.slots);
         let allowed = f64::from(tally.slots) * EJECT_SHARE;
@@ -589,7 +589,7 @@
             return None;
         }
         let mut queue = std::mem::replace(&mut self.queue, Queue::new(Order::Fifo, 0));
-        let found = queue.pop_fit(TRIES, |entry| {
+        let found = queue.pop_matching(TRIES, |entry| {
             if entry.start_by <= now {
                 return None;
             }
@@ -603,7 +603,7 @@
     /// be met any more, and those that had to make room.
     pub fn expire(&mut self, now: Instant) -> Vec<(Id, Refusal)> {
         let mut out = std::mem::take(&mut self.shed);
-        while let Some(entry) = self.queue.pop_due(now) {
+        while let Some(entry) = self.queue.pop_expired(now) {
             out.push((entry.id, self.refusal(Reason::Deadline)));
         }
         if self.members.iter().any(Member::is_serving) {
@@ -632,7 +632,7 @@
             return Some(now);
         }
         let change = self.next_change(now);
-        self.queue.next_due().into_iter().chain(change).min()
+        self.queue.next_expiry().into_iter().chain(change).min()
     }
 
     /// When a target's rest or ejection ends next.
@@ -641,7 +641,7 @@
         let ejections = self
             .members
             .iter()
-            .filter_map(|member| member.eject.until());
+            .filter_map(|member| member.eject.ejected_until());
         rests.chain(ejections).filter(|&at| at > now).min()
     }
 
@@ -675,7 +675,7 @@
     pub fn is_ejected(&self, target: TargetKey) -> bool {
         self.index
             .get(&target)
-            .is_some_and(|&place| !self.members[place].eject.is_in())
+            .is_some_and(|&place| !self.members[place].eject.is_in_use())
     }
 
     fn refresh_if_old(&mut self, now: Instant) {
@@ -706,7 +706,7 @@
     fn refresh(&mut self, now: Instant) {
         self.restore_excess(now);
         for member in &mut self.members {
-            member.limit.fade(now);
+            member.limit.decay_excess(now);
         }
         let latencies = used(&self.members).filter_map(|member| member.estimate.latency());
         let typical = median(latencies).map(|found| found.max(f64::MIN_POSITIVE));
@@ -729,8 +729,11 @@
             limit: used().map(|member| fair(&self.config, member)).sum(),
             median: typical.unwrap_or(self.tally.median),
             others: median(used().map(|member| member.estimate.others())).unwrap_or(0.0),
-            success: used().map(|member| member.eject.success()).sum::<f64>() / count,
-            probes: serving(&self.members).any(|member| member.eject.is_due(now)),
+            success: used()
+                .map(|member| member.eject.success_rate())
+                .sum::<f64>()
+                / count,
+            probes: serving(&self.members).any(|member| member.eject.is_probe_due(now)),
             change: self.next_change(now),
         };
         let seat = |member| Seat::new(&self.config, &self.tally, member, now);
@@ -750,8 +753,8 @@
             let soonest = self
                 .members
                 .iter_mut()
-                .filter(|member| member.is_serving() && !member.eject.is_in())
-                .min_by_key(|member| member.eject.until());
+                .filter(|member| member.is_serving() && !member.eject.is_in_use())
+                .min_by_key(|member| member.eject.ejected_until());
             let Some(member) = soonest else {
                 return;
             };
@@ -767,25 +770,25 @@
 
 /// Targets that take work in the ordinary way.
 fn used(members: &[Member]) -> impl Iterator<Item = &Member> {
-    serving(members).filter(|member| member.eject.is_in())
+    serving(members).filter(|member| member.eject.is_in_use())
 }
 
 /// What a target adds to the limit of the whole group.
 fn fair(config: &Config, member: &Member) -> f64 {
     match config.limit {
         Switch::On => member.limit.value() * fraction(config, member),
-        Switch::Off => f64::from(member.limit.hard()),
+        Switch::Off => f64::from(member.limit.connection_share()),
     }
 }
 
 /// What a request's end shows of its target, if anything.
-fn sign(report: &Report, median: f64) -> Option<Sign> {
-    let slow = report.latency.as_secs_f64() > LATENCY_RATIO * median;
+fn sign(report: &Report, median: f64) -> Option<Outcome> {
+    let slow = report.latency.as_secs_f64() > MAX_LATENCY_RATIO * median;
     match report.end {
-        End::Answered if slow => Some(Sign::Slow),
-        End::Answered => Some(Sign::Good),
-        End::ConnectFailed | End::Broken => Some(Sign::Bad),
-        End::TimedOut if slow => Some(Sign::Bad),
+        End::Answered if slow => Some(Outcome::Slow),
+        End::Answered => Some(Outcome::Good),
+        End::ConnectFailed | End::Broken => Some(Outcome::Bad),
+        End::TimedOut if slow => Some(Outcome::Bad),
         End::Refused | End::TimedOut | End::Cancelled => None,
     }
 }
--- a/src/steer/group/member.rs
+++ b/src/steer/group/member.rs
@@ -5,11 +5,11 @@
 
 use super::{Ask, Config, Health, Pick, Source, State, Switch, Tally};
 use crate::catalog::{self, TargetKey};
-use crate::steer::eject::Eject;
+use crate::steer::eject::OutlierDetector;
 use crate::steer::limit::Limit;
 use crate::steer::pick::Estimate;
-use crate::steer::throttle::{Bucket, Fit};
-use crate::steer::warm::Warm;
+use crate::steer::slow_start::SlowStart;
+use crate::steer::throttle::{Assignment, Bucket};
 
 /// The first rest of a target after a refusal or a failure; doubles with each in a row.
 const REST: Duration = Duration::from_millis(5);
@@ -27,8 +27,8 @@
     pub(super) health: Health,
     pub(super) in_flight: u32,
     pub(super) limit: Limit,
-    pub(super) warm: Warm,
-    pub(super) eject: Eject,
+    pub(super) warm: SlowStart,
+    pub(super) eject: OutlierDetector,
     pub(super) estimate: Estimate,
     pub(super) refusals: u32,
     pub(super) rest: Option<Instant>,
@@ -55,8 +55,8 @@
             health: Health::Up,
             in_flight: 0,
             limit: Limit::new(target.slots, target.connections, hosts),
-            warm: Warm::new(target.warm),
-            eject: Eject::new(),
+            warm: SlowStart::new(target.warm),
+            eject: OutlierDetector::new(),
             estimate: Estimate::new(),
             refusals: 0,
             rest: None,
@@ -67,7 +67,9 @@
     /// The time until this host may send a request, by the rate that the target names.
     pub(super) fn opens_in(&self, now: Instant) -> Duration {
         self.share.map_or(Duration::ZERO, |share| {
-            share.bucket.room_in(now, share.rate, Fit::Own)
+            share
+                .bucket
+                .time_to_token(now, share.rate, Assignment::Primary)
         })
     }
 
@@ -75,7 +77,7 @@
     pub(super) fn spend(&mut self, now: Instant) {
         if let Some(share) = &mut self.share {
             // An empty bucket gets nothing that could be taken: the choice passed over it.
-            let _ = share.bucket.take(now, share.rate, Fit::Own, 1);
+            let _ = share.bucket.take(now, share.rate, Assignment::Primary, 1);
         }
     }
 
@@ -152,13 +154,13 @@
 /// Requests allowed at a target.
 pub(super) fn allowed(config: &Config, member: &Member) -> u32 {
     match config.limit {
-        Switch::On => member.limit.whole(fraction(config, member)),
-        Switch::Off => member.limit.hard(),
+        Switch::On => member.limit.max_in_flight(fraction(config, member)),
+        Switch::Off => member.limit.connection_share(),
     }
 }
 
 /// Whether a target may be used at all, up to its limit.
 fn is_usable(config: &Config, member: &Member, now: Instant) -> bool {
     let rests = config.eject == Switch::On && member.rests(now);
-    member.is_serving() && member.eject.is_in() && !rests
+    member.is_serving() && member.eject.is_in_use() && !rests
 }
--- a/tests/drift.rs
+++ b/tests/drift.rs
@@ -8,7 +8,7 @@
 
 use ragwortfold::inventory::{Registration, State};
 use ragwortfold::steer::drift::Drift;
-use ragwortfold::steer::fleet::{Ask, End, Fleet, Seen};
+use ragwortfold::steer::fleet::{End, Fleet, Observation, TargetQuery};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
@@ -28,8 +28,8 @@
             key = key.wrapping_add(STRIDE);
             let now = start + Duration::from_millis(second as u64 * 1000 + request * 1000 / RATE);
             let wished = (key.rotate_left(17) as f64 / u64::MAX as f64) < *wish;
-            let far = drift.holds(now, key) || wished;
-            drift.count(now, far);
+            let far = drift.has_to_leave(now, key) || wished;
+            drift.record_request(now, far);
             away += u64::from(far);
         }
         parts.push(away as f64 / RATE as f64);
@@ -57,11 +57,11 @@
     for second in 0..10 {
         for request in 0..RATE {
             let now = start + Duration::from_millis(second * 1000 + request * 1000 / RATE);
-            drift.count(now, true);
+            drift.record_request(now, true);
         }
         let end = start + Duration::from_millis(second * 1000 + 999);
         let keys = (0..100).map(|key| key * (u64::MAX / 100));
-        held.push(keys.filter(|key| drift.holds(end, *key)).count());
+        held.push(keys.filter(|key| drift.has_to_leave(end, *key)).count());
     }
     assert!(
         held.windows(2).all(|pair| pair[1] <= pair[0] + 7),
@@ -80,10 +80,10 @@
     let start = Instant::now();
     let mut drift = Drift::new(start);
     for ms in 0..2000 {
-        drift.count(start + Duration::from_millis(ms), true);
+        drift.record_request(start + Duration::from_millis(ms), true);
     }
-    assert!(drift.holds(start + Duration::from_secs(2), 1));
-    assert!(!drift.holds(start + Duration::from_secs(40), 1));
+    assert!(drift.has_to_leave(start + Duration::from_secs(2), 1));
+    assert!(!drift.has_to_leave(start + Duration::from_secs(40), 1));
 }
 
 /// The part of a second's requests after the first 0.3 s that goes away, at a host of a region that has a tenth of all targets and
@@ -107,23 +107,29 @@
         };
         fleet.register(start, registration);
     }
-    fleet.set_goal("books".into(), Duration::from_millis(800));
-    fleet.set_share(Some(0.2));
+    fleet.set_latency_goal("books".into(), Duration::from_millis(800));
+    fleet.set_caller_share(Some(0.2));
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let (mut away, mut all) = (0, 0);
     for request in 0..rate {
         let now = start + Duration::from_millis(request * 1000 / rate);
-        let ask = Ask {
+        let ask = TargetQuery {
             service: &"books".into(),
-            key: request.wrapping_mul(STRIDE),
+            affinity_key: request.wrapping_mul(STRIDE),
             object: None,
             homes: &BTreeSet::new(),
             tried: Vec::new(),
-            bytes: 0,
+            body_bytes: 0,
         };
         let target = fleet.choose(now, &ask, |_| true).unwrap();
         let is_away = &**fleet.member(target).unwrap().region() == "s";
-        fleet.finish(now, target, End::Cancelled, Seen::default(), &mut rng);
+        fleet.finish(
+            now,
+            target,
+            End::Cancelled,
+            Observation::default(),
+            &mut rng,
+        );
         if now >= start + Duration::from_millis(300) {
             all += 1;
             away += u32::from(is_away);
