--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -16,7 +16,7 @@
 use ragwortfold::border::configuration::{Client, Configuration};
 use ragwortfold::border::settings::Steer;
 use ragwortfold::catalog::{Cap, Catalog, HostKey, RegionKey, ServiceKey, Table, ZoneKey};
-use ragwortfold::steer::engine::{Ask, Engine, Kind, Origin, Verdict};
+use ragwortfold::steer::engine::{AttemptKind, Engine, Origin, RouteRequest, Verdict};
 use ragwortfold::steer::fingerprint::Fingerprint;
 use ragwortfold::steer::goal::{Standing, View};
 use ragwortfold::steer::group::{End, Report};
@@ -301,14 +301,14 @@
     let live = catalog.hosts().map(|(key, _)| key).collect();
     let now = now + Duration::from_secs(2);
     engine.set_live(now, live);
-    engine.set_free(free);
+    engine.set_free_slots(free);
     engine.set_view(now, view.clone());
     (engine, catalog, view)
 }
 
 /// Asks and hands back what was given, one request a call.
-fn decide(engine: &mut Engine, now: Instant, ask: Ask, rng: &mut Pcg64) -> &'static str {
-    match engine.ask(now, ask, rng) {
+fn decide(engine: &mut Engine, now: Instant, ask: RouteRequest, rng: &mut Pcg64) -> &'static str {
+    match engine.submit(now, ask, rng) {
         Some(Verdict::Target { grant, .. }) => {
             let report = Report {
                 end: End::Answered,
@@ -386,9 +386,9 @@
                         bencher.iter(|| {
                             id += 1;
                             now += Duration::from_millis(1);
-                            let ask = Ask {
+                            let ask = RouteRequest {
                                 id,
-                                kind: Kind::First,
+                                kind: AttemptKind::First,
                                 origin: Origin::Caller,
                                 service,
                                 locality,
@@ -420,7 +420,7 @@
             });
         });
         group.bench_function(BenchmarkId::new("snapshot", count), |bencher| {
-            bencher.iter(|| engine.snapshot());
+            bencher.iter(|| engine.lookup_snapshot());
         });
         let live: BTreeSet<HostKey> = engine.catalog().hosts().map(|(key, _)| key).collect();
         group.bench_function(BenchmarkId::new("set_live", count), |bencher| {
--- a/benches/pick.rs
+++ b/benches/pick.rs
@@ -5,7 +5,9 @@
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use ragwortfold::catalog::Catalog;
-use ragwortfold::steer::group::{Ask, Config, End, Group, Load, Pick, Report, State, Verdict};
+use ragwortfold::steer::group::{
+    Config, End, Group, Load, Pick, Report, State, TargetRequest, Verdict,
+};
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 
@@ -46,8 +48,8 @@
     group
 }
 
-fn ask(id: u64, now: Instant) -> Ask {
-    Ask {
+fn ask(id: u64, now: Instant) -> TargetRequest {
+    TargetRequest {
         id,
         deadline: now + Duration::from_millis(800),
         priority: 5,
@@ -80,7 +82,7 @@
                 bench.iter(|| {
                     id += 1;
                     now += Duration::from_micros(20);
-                    if let Verdict::Go(grant) = group.admit(now, ask(id, now), &mut rng) {
+                    if let Verdict::Admit(grant) = group.admit(now, ask(id, now), &mut rng) {
                         grants.push_back(grant);
                     }
                     if grants.len() > count * BUSY {
--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -19,9 +19,12 @@
 use super::Shared;
 use crate::catalog::{Catalog, HostKey, RegionKey, Repeat, ServiceKey, TargetKey};
 use crate::peer::stream::Incoming;
-use crate::steer::attempt::{self, Break, Course, Final, Outcome, Place, Reason, Stage, Step, Try};
+use crate::steer::attempt::{
+    self, AttemptId, AttemptTracker, Completion, Destination, FailurePoint, Outcome, Reason, Stage,
+    Step,
+};
 use crate::steer::dedupe;
-use crate::steer::engine::{Ask, Id, Kind, Origin, Refusal, Verdict};
+use crate::steer::engine::{AttemptKind, Id, Origin, Refusal, RouteRequest, Verdict};
 use crate::steer::fingerprint::Fingerprint;
 use crate::steer::group;
 use crate::steer::pass::{Back, Pass};
@@ -51,7 +54,7 @@
 /// A request on its way.
 pub(crate) struct Call {
     pub(crate) start: Start,
-    course: Mutex<Course>,
+    course: Mutex<AttemptTracker>,
     sender: Mutex<Option<Sender>>,
     answered: AtomicBool,
     /// Whether its sender broke off the body that was passed on.
@@ -81,7 +84,7 @@
     pub(crate) fn new(start: Start, sender: Sender) -> Self {
         let repeat = start.catalog.service(start.service).repeat;
         Self {
-            course: Mutex::new(Course::new(repeat, start.deadline)),
+            course: Mutex::new(AttemptTracker::new(repeat, start.deadline)),
             sender: Mutex::new(Some(sender)),
             answered: AtomicBool::new(false),
             cut: AtomicBool::new(false),
@@ -107,13 +110,13 @@
         self.start.catalog.service(self.start.service).repeat
     }
 
-    pub(crate) fn course(&self) -> MutexGuard<'_, Course> {
+    pub(crate) fn course(&self) -> MutexGuard<'_, AttemptTracker> {
         lock(&self.course)
     }
 
     /// Carries the request until it has its answer, or leaves it to another copy.
     pub(crate) fn run(self: &Arc<Self>, shared: &Arc<Shared>) {
-        let mut kind = Kind::First;
+        let mut kind = AttemptKind::First;
         loop {
             let asked = Instant::now();
             let verdict = shared.core.ask(self.ask(kind));
@@ -127,7 +130,7 @@
                 }
             };
             match step {
-                Step::Retry => kind = Kind::Retry,
+                Step::Retry => kind = AttemptKind::Retry,
                 Step::Done(_) | Step::Wait | Step::Late => return,
             }
         }
@@ -161,17 +164,17 @@
     }
 
     /// What the core is asked.
-    pub(crate) fn ask(&self, kind: Kind) -> Ask {
+    pub(crate) fn ask(&self, kind: AttemptKind) -> RouteRequest {
         let mut targets = Vec::new();
         let mut hosts = Vec::new();
-        for place in self.course().places() {
+        for place in self.course().tried_destinations() {
             match place {
-                Place::Target(target) => targets.push(target),
-                Place::Host(host) => hosts.push(host),
+                Destination::Target(target) => targets.push(target),
+                Destination::Host(host) => hosts.push(host),
             }
         }
         let start = &self.start;
-        Ask {
+        RouteRequest {
             id: start.id,
             kind,
             origin: start.origin,
@@ -191,7 +194,7 @@
         shared
             .metrics
             .refusal(&self.start.head.service, refusal.reason.as_str());
-        let end = self.course().give_up(refusal.reason, |_| Stage::Sent);
+        let end = self.course().abandon(refusal.reason, |_| Stage::Sent);
         let Some(mut end) = end else { return };
         let fallback = lock(&self.fallback).take();
         if fallback.is_some() && end.outcome == Outcome::Unknown(Reason::Unavailable) {
@@ -204,13 +207,13 @@
     fn try_target(&self, shared: &Shared, grant: group::Grant) -> Step {
         let target = grant.target();
         let started = Instant::now();
-        let key = match self.course().start(started, Place::Target(target)) {
+        let key = match self.course().start(started, Destination::Target(target)) {
             Ok(key) => key,
             Err(error) => {
                 spdlog::debug!("call: no further try: {error}");
                 shared
                     .core
-                    .send(Event::Finish(grant, group::Report::idle()));
+                    .send(Event::Finish(grant, group::Report::unused()));
                 return Step::Late;
             }
         };
@@ -254,7 +257,7 @@
             method: &head.method,
             path: &head.path,
             headers: &head.headers,
-            deadline: self.course().left(Instant::now()),
+            deadline: self.course().time_left(Instant::now()),
             connection: match self.repeat() {
                 Repeat::Safe => Connection::Pooled,
                 Repeat::Never => Connection::Fresh,
@@ -278,7 +281,7 @@
         let mut stream = part.stream(&mut *rest);
         let result = send(Sending::Stream(&mut stream));
         if stream.is_consumed() {
-            self.course().consume();
+            self.course().mark_body_consumed();
         }
         if stream.has_failed() {
             self.cut.store(true, Ordering::Relaxed);
@@ -289,7 +292,7 @@
     /// One try at an entry host of another zone.
     fn try_host(&self, shared: &Shared, pass: Pass) -> Step {
         let started = Instant::now();
-        let key = match self.course().start(started, Place::Host(pass.host)) {
+        let key = match self.course().start(started, Destination::Host(pass.host)) {
             Ok(key) => key,
             Err(error) => {
                 spdlog::debug!("call: no further try: {error}");
@@ -310,21 +313,21 @@
     fn settle_host(
         &self,
         shared: &Shared,
-        key: Try,
+        key: AttemptId,
         result: Result<relay::Answer, relay::Failure>,
     ) -> Step {
         match result {
             Ok(relay::Answer::Whole(reply)) => {
-                let step = self.course().answer(key);
+                let step = self.course().record_answer(key);
                 self.conclude(shared, step, RETRY_AFTER, Some(reply))
             }
             Ok(relay::Answer::Stream(reply)) => {
-                let Some(cancel) = self.course().pass(key) else {
+                let Some(cancel) = self.course().select_winner(key) else {
                     shared.metrics.late();
                     return Step::Late;
                 };
                 self.cancel(shared, &cancel);
-                let step = self.course().answer(key);
+                let step = self.course().record_answer(key);
                 self.conclude(shared, step, RETRY_AFTER, Some(reply))
             }
             Err(failure) => self.fail(shared, key, failure.cause, failure.retry_after, None),
@@ -339,7 +342,7 @@
         purpose: relay::Purpose,
     ) -> (Result<relay::Answer, relay::Failure>, u64) {
         let name = &self.start.catalog.host(host).name;
-        let left = self.course().left(Instant::now());
+        let left = self.course().time_left(Instant::now());
         let id = shared.request_id(self.start.id);
         let open = relay::open(&self.start, &id, left, purpose);
         self.with_body(|sending| relay::call(&shared.mesh, name, &open, sending))
@@ -347,7 +350,7 @@
 
     /// Lets the home host of the request's ticket run it.
     pub(crate) fn run_at_home(&self, shared: &Shared, host: HostKey) {
-        let Ok(key) = self.course().start(Instant::now(), Place::Host(host)) else {
+        let Ok(key) = self.course().start(Instant::now(), Destination::Host(host)) else {
             return;
         };
         let started = Instant::now();
@@ -356,7 +359,7 @@
         // That this host did not reach the home proves nothing of an earlier copy of the request.
         let result = result.map_err(|failure| match failure.cause {
             cause if relay::is_unsent(cause) => relay::Failure {
-                cause: Break::RelayUnknown,
+                cause: FailurePoint::RelayUnknown,
                 retry_after: failure.retry_after,
             },
             _ => failure,
@@ -370,7 +373,7 @@
     fn take_answer(
         &self,
         shared: &Shared,
-        key: Try,
+        key: AttemptId,
         grant: group::Grant,
         mut answer: Answer,
         started: Instant,
@@ -395,7 +398,7 @@
         finish(shared, grant, end, &answer, started);
         match (held, cause) {
             (Ok(body), None) => {
-                let step = self.course().answer(key);
+                let step = self.course().record_answer(key);
                 self.conclude(shared, step, RETRY_AFTER, Some(to_reply(answer, body)))
             }
             (Ok(body), Some(cause)) => {
@@ -410,12 +413,12 @@
     fn pass_answer(
         &self,
         shared: &Shared,
-        key: Try,
+        key: AttemptId,
         grant: group::Grant,
         mut answer: Answer,
         started: Instant,
     ) -> Step {
-        let Some(cancel) = self.course().pass(key) else {
+        let Some(cancel) = self.course().select_winner(key) else {
             finish(shared, grant, group::End::Cancelled, &answer, started);
             shared.metrics.late();
             return Step::Late;
@@ -430,7 +433,7 @@
         });
         let load = (answer.load, answer.state.clone());
         let reply = to_reply(answer, reply::Body::Stream(body, length));
-        let step = self.course().answer(key);
+        let step = self.course().record_answer(key);
         let step = self.conclude(shared, step, RETRY_AFTER, Some(reply));
         let fingerprint = self.start.fingerprint;
         let end = if broke.load(Ordering::Relaxed) {
@@ -453,7 +456,7 @@
     }
 
     /// Tells the core of a try that a target broke off, which may have crashed by it.
-    fn judge(&self, shared: &Shared, target: TargetKey, cause: Break, begun: Instant) {
+    fn judge(&self, shared: &Shared, target: TargetKey, cause: FailurePoint, begun: Instant) {
         if cause.is_cut_by_target() && !self.cut.load(Ordering::Relaxed) {
             let fingerprint = self.start.fingerprint;
             shared.core.send(Event::Broke(fingerprint, target, begun));
@@ -463,13 +466,15 @@
     fn fail(
         &self,
         shared: &Shared,
-        key: Try,
-        cause: Break,
+        key: AttemptId,
+        cause: FailurePoint,
         retry_after: Duration,
         last: Option<Reply>,
     ) -> Step {
         // Whether there is budget for another try is asked of the core with the try itself.
-        let step = self.course().fail(Instant::now(), key, cause, || true);
+        let step = self
+            .course()
+            .record_failure(Instant::now(), key, cause, || true);
         self.conclude(shared, step, retry_after, last)
     }
 
@@ -492,14 +497,20 @@
 
     /// Ends the request: nobody waits for it any more.
     pub(crate) fn abandon(&self, shared: &Shared) {
-        let end = self.course().give_up(Reason::CallerGone, |_| Stage::Sent);
+        let end = self.course().abandon(Reason::CallerGone, |_| Stage::Sent);
         if let Some(end) = end {
             self.give(shared, &end, RETRY_AFTER, None);
         }
     }
 
     /// Gives the one answer.
-    fn give(&self, shared: &Shared, end: &Final, retry_after: Duration, answer: Option<Reply>) {
+    fn give(
+        &self,
+        shared: &Shared,
+        end: &Completion,
+        retry_after: Duration,
+        answer: Option<Reply>,
+    ) {
         self.cancel(shared, &end.cancel);
         if self.answered.swap(true, Ordering::Relaxed) {
             return;
@@ -522,9 +533,9 @@
         }
     }
 
-    fn cancel(&self, shared: &Shared, tries: &[(Try, Place)]) {
+    fn cancel(&self, shared: &Shared, tries: &[(AttemptId, Destination)]) {
         for (_, place) in tries {
-            if let Place::Target(target) = place {
+            if let Destination::Target(target) = place {
                 let address = self.start.catalog.target(*target).address;
                 shared.cancel(address, shared.request_id(self.start.id));
             }
@@ -541,7 +552,7 @@
             total,
             added: total.saturating_sub(timing.elsewhere),
             waited: timing.waited,
-            attempts: self.course().tries(),
+            attempts: self.course().attempts_started(),
         });
     }
 }
@@ -602,7 +613,7 @@
 }
 
 /// Reads an answer's body whole.
-fn hold(answer: &mut Answer, method: &str) -> Result<reply::Body, Break> {
+fn hold(answer: &mut Answer, method: &str) -> Result<reply::Body, FailurePoint> {
     if method == "HEAD" {
         return Ok(reply::Body::Length(answer.length.unwrap_or_default()));
     }
@@ -610,11 +621,11 @@
     let limit = HOLD_ANSWER + 1;
     let result = answer.reader.by_ref().take(limit).read_to_end(&mut bytes);
     if result.is_err() {
-        return Err(Break::Cut(Stage::AnswerBody));
+        return Err(FailurePoint::ConnectionClosed(Stage::AnswerBody));
     }
     let count = bytes.len() as u64;
     if answer.length.is_some_and(|length| length != count) || count == limit {
-        return Err(Break::WrongLength(Stage::AnswerBody));
+        return Err(FailurePoint::WrongLength(Stage::AnswerBody));
     }
     Ok(reply::Body::Whole(bytes.into()))
 }
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -32,7 +32,7 @@
 use crate::peer::mesh::{self, Mesh};
 use crate::steer::attempt::Reason;
 use crate::steer::dedupe::{Begin, End, Identity, Keys, Run};
-use crate::steer::engine::{Ask, Decision, Engine, Id, Kind, Refusal, Verdict};
+use crate::steer::engine::{AttemptKind, Decision, Engine, Id, Refusal, RouteRequest, Verdict};
 use crate::steer::fingerprint::Fingerprint;
 use crate::steer::group;
 use crate::steer::pass::{Back, Pass};
@@ -61,7 +61,7 @@
 /// What the core is told.
 pub(crate) enum Event {
     /// A request asks where to go.
-    Ask(Ask, Sender<Verdict>),
+    Ask(RouteRequest, Sender<Verdict>),
     /// A request left a target.
     Finish(group::Grant, group::Report),
     /// A try that began then broke off at a target, after the request had been sent and before its answer was whole.
@@ -130,7 +130,7 @@
 
 impl Handle {
     /// Asks where a request goes, waiting no longer than its deadline.
-    pub(crate) fn ask(&self, ask: Ask) -> Verdict {
+    pub(crate) fn ask(&self, ask: RouteRequest) -> Verdict {
         let id = ask.id;
         let time = ask.deadline.saturating_duration_since(Instant::now());
         if self.asking.fetch_add(1, Ordering::Relaxed) >= MAX_ASKING {
@@ -175,7 +175,7 @@
 fn drop_grant(handle: &Handle, receiver: &Receiver<Verdict>) {
     match receiver.recv_timeout(MAX_SLEEP) {
         Ok(Verdict::Target { grant, .. }) => {
-            handle.send(Event::Finish(grant, group::Report::idle()));
+            handle.send(Event::Finish(grant, group::Report::unused()));
         }
         Ok(Verdict::Host(pass)) => handle.send(Event::Passed(pass, Back::All)),
         _ => {}
@@ -293,15 +293,15 @@
                 self.tell(decisions);
             }
             Event::Broke(fingerprint, target, begun) => {
-                self.engine.broke(now, fingerprint, target, begun);
+                self.engine.record_crash(now, fingerprint, target, begun);
                 self.tell_notes();
             }
             Event::Answered(fingerprint) => {
-                self.engine.answered(now, fingerprint);
+                self.engine.record_answer(now, fingerprint);
                 self.tell_notes();
             }
             Event::Rate(target, at, rate) => self.take_rate(now, target, at, &rate),
-            Event::Done(id) => self.engine.done(id),
+            Event::Done(id) => self.engine.release_suspect_permit(id),
             Event::Passed(pass, back) => self.engine.finish_pass(now, &pass, back),
             Event::Hedge(call, after) => {
                 after!(after, [cx], hedge(call));
@@ -336,7 +336,7 @@
             Event::Published(event) => self.control.published(now, event, &mut self.rng),
             Event::Listed(hosts) => self.control.listed(now, &hosts),
             Event::Health(target, health, state) => {
-                self.engine.health(now, target, health, state);
+                self.engine.set_health(now, target, health, state);
             }
             Event::Leave => {
                 self.leaving = true;
@@ -355,9 +355,9 @@
         }
     }
 
-    fn ask(&mut self, now: Instant, ask: Ask, reply: Sender<Verdict>) {
+    fn ask(&mut self, now: Instant, ask: RouteRequest, reply: Sender<Verdict>) {
         let id = ask.id;
-        let verdict = self.engine.ask(now, ask, &mut self.rng);
+        let verdict = self.engine.submit(now, ask, &mut self.rng);
         self.tell_notes();
         match verdict {
             Some(verdict) => {
@@ -396,7 +396,7 @@
             }
         };
         self.unreadable.remove(&target);
-        if let Some(news) = self.engine.state(now, target, at, rate) {
+        if let Some(news) = self.engine.record_rate(now, target, at, rate) {
             log_rate(&self.engine.catalog().target(target).name, rate);
             self.control.tell(Frame::Rates(vec![news]), None);
         }
@@ -406,7 +406,7 @@
     /// Takes in what other hosts know of targets' rates, and passes on what is new.
     fn hear_rates(&mut self, now: Instant, rates: Vec<(HostKey, News)>) {
         for (teller, news) in rates {
-            if self.engine.hear_rate(now, &news) {
+            if self.engine.merge_rate(now, &news) {
                 self.control.tell(Frame::Rates(vec![news]), Some(teller));
             }
         }
@@ -415,13 +415,15 @@
 
     /// Shows those who call targets which of them name a rate: only of these an answer without one tells something.
     fn show_limited(&self) {
-        self.handle.limited.store(Arc::new(self.engine.limited()));
+        self.handle
+            .limited
+            .store(Arc::new(self.engine.rate_limited_targets()));
     }
 
     /// Takes in what other hosts tell of requests that crash targets, and passes on what is new.
     fn hear_notes(&mut self, now: Instant, notes: Vec<(HostKey, Note)>) {
         for (teller, note) in notes {
-            if self.engine.hear(now, &note) {
+            if self.engine.merge_note(now, &note) {
                 log_note(&note);
                 self.control.tell(Frame::Notes(vec![note]), Some(teller));
             }
@@ -440,14 +442,14 @@
     /// Takes in what came of control.
     fn take(&mut self, now: Instant, change: Change) {
         if let Some(splits) = change.splits {
-            self.engine.adopt(now, splits);
+            self.engine.adopt_splits(now, splits);
             self.dirty = true;
         }
         if !change.joined.is_empty() {
             self.control
                 .send_splits(&change.joined, &self.engine.splits());
             let standings = self.engine.standings(now);
-            let rates = self.engine.rates(now);
+            let rates = self.engine.known_rates(now);
             self.control.introduce(&change.joined, standings, rates);
         }
         self.hear_notes(now, change.notes);
@@ -463,12 +465,12 @@
         if let Some(agent) = self.control.agent() {
             self.engine.set_live(now, agent.live());
         }
-        self.engine.set_free(free);
+        self.engine.set_free_slots(free);
         self.engine.set_view(now, view);
         self.show_limited();
         self.parts.published.put(State {
             catalog: self.engine.catalog().clone(),
-            lookup: self.engine.snapshot(),
+            lookup: self.engine.lookup_snapshot(),
             readiness: match self.leaving {
                 true => Readiness::Leaving,
                 false if self.engine.is_settling(now) => Readiness::Starting,
@@ -485,7 +487,7 @@
         for (region, free) in self.control.region_rooms(now) {
             metrics.headroom("region", &catalog.region(region).name, free);
         }
-        for ((from, to), free) in self.engine.link_rooms(now) {
+        for ((from, to), free) in self.engine.link_headroom(now) {
             if let Some(link) = catalog.link(from, to) {
                 metrics.headroom("link", &link.name, free);
             }
@@ -507,9 +509,9 @@
         let Some(call) = call.upgrade().filter(|call| !call.is_answered()) else {
             return;
         };
-        let ask = call.ask(Kind::Hedge);
+        let ask = call.ask(AttemptKind::Hedge);
         let id = ask.id;
-        match self.engine.ask(cx.now(), ask, &mut self.rng) {
+        match self.engine.submit(cx.now(), ask, &mut self.rng) {
             Some(Verdict::Target { grant, .. }) => {
                 if let Err(full) = self.parts.later.try_send(Later::Hedge(call, grant)) {
                     later::give_back(&self.handle, full.into_inner());
@@ -538,7 +540,7 @@
         self.tell_notes();
         if now >= self.measure {
             self.measure = now + MEASURE;
-            let loads = self.engine.measure(now);
+            let loads = self.engine.service_loads(now);
             let splits = self.engine.splits();
             self.control.measure(now, loads, &splits);
             self.show(now);
--- a/src/entry/front.rs
+++ b/src/entry/front.rs
@@ -401,7 +401,7 @@
     let hold = u64::from(shared.settings.pool.buffer_bytes);
     let deadline = incoming.deadline();
     let origin = match head.ticket {
-        Some(_) => Origin::Home,
+        Some(_) => Origin::TicketRelay,
         None => Origin::Host,
     };
     let mut reader = relay::Reader(incoming);
--- a/src/entry/later.rs
+++ b/src/entry/later.rs
@@ -68,6 +68,6 @@
 /// Hands a grant back that found no thread to use it.
 pub(crate) fn give_back(core: &super::core::Handle, piece: Later) {
     if let Later::Hedge(_, grant) = piece {
-        core.send(Event::Finish(grant, group::Report::idle()));
+        core.send(Event::Finish(grant, group::Report::unused()));
     }
 }
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -10,7 +10,7 @@
 use crate::peer::error::{Dispatch, StreamError};
 use crate::peer::mesh::Mesh;
 use crate::peer::stream::{Incoming, Open, Reply as Head, Stream};
-use crate::steer::attempt::{Break, Outcome, Reason, Stage};
+use crate::steer::attempt::{FailurePoint, Outcome, Reason, Stage};
 
 /// Time to link a host that is not linked yet.
 const LINK_TIME: Duration = Duration::from_millis(1000);
@@ -38,13 +38,13 @@
 
 /// A relay that brought no answer.
 pub(crate) struct Failure {
-    pub(crate) cause: Break,
+    pub(crate) cause: FailurePoint,
     /// When to come back, if the host said so.
     pub(crate) retry_after: Duration,
 }
 
 impl Failure {
-    fn new(cause: Break) -> Self {
+    fn new(cause: FailurePoint) -> Self {
         Self {
             cause,
             retry_after: Duration::from_secs(1),
@@ -53,8 +53,8 @@
 }
 
 /// Whether a break proves that nothing was sent to the host.
-pub(crate) fn is_unsent(cause: Break) -> bool {
-    matches!(cause, Break::NoLink | Break::FrameNotSent)
+pub(crate) fn is_unsent(cause: FailurePoint) -> bool {
+    matches!(cause, FailurePoint::NoLink | FailurePoint::FrameNotSent)
 }
 
 /// The head of a relayed request.
@@ -92,7 +92,7 @@
         Ok(stream) => stream,
         Err(error) => {
             spdlog::debug!("relay: {error}");
-            return (Err(Failure::new(Break::NoLink)), 0);
+            return (Err(Failure::new(FailurePoint::NoLink)), 0);
         }
     };
     let mut bytes = 0;
@@ -129,7 +129,7 @@
             Err(error) => {
                 spdlog::debug!("relay: the request's body broke off: {error}");
                 stream.cancel();
-                return Err(Failure::new(Break::CallerGone(Stage::Body)));
+                return Err(Failure::new(FailurePoint::CallerGone(Stage::Body)));
             }
         };
         *bytes += count as u64;
@@ -151,11 +151,11 @@
         } => (status, headers, length),
         Head::Refused { retry_after, .. } => {
             return Err(Failure {
-                cause: Break::RelayRefused,
+                cause: FailurePoint::RelayRefused,
                 retry_after,
             })
         }
-        Head::Unknown { .. } => return Err(Failure::new(Break::RelayUnknown)),
+        Head::Unknown { .. } => return Err(Failure::new(FailurePoint::RelayUnknown)),
     };
     let mut reply = Reply {
         status,
@@ -180,7 +180,7 @@
             Err(error) => return Err(failure(&stream, &error, Stage::AnswerBody)),
         }
         if held.len() as u64 > HOLD_ANSWER {
-            return Err(Failure::new(Break::WrongLength(Stage::AnswerBody)));
+            return Err(Failure::new(FailurePoint::WrongLength(Stage::AnswerBody)));
         }
     }
     *bytes += held.len() as u64;
@@ -201,14 +201,14 @@
 fn failure(stream: &Stream, error: &StreamError, stage: Stage) -> Failure {
     spdlog::debug!("relay: {}: {error}", stream.host());
     if stream.dispatch() == Dispatch::NotSent {
-        return Failure::new(Break::FrameNotSent);
+        return Failure::new(FailurePoint::FrameNotSent);
     }
     Failure::new(match error {
-        StreamError::NotSent => Break::FrameNotSent,
-        StreamError::Cut => Break::Cut(Stage::AnswerBody),
-        StreamError::Deadline | StreamError::Timeout => Break::Timeout(stage),
-        StreamError::Length { .. } => Break::WrongLength(stage),
-        _ => Break::Cut(stage),
+        StreamError::NotSent => FailurePoint::FrameNotSent,
+        StreamError::Cut => FailurePoint::ConnectionClosed(Stage::AnswerBody),
+        StreamError::Deadline | StreamError::Timeout => FailurePoint::Timeout(stage),
+        StreamError::Length { .. } => FailurePoint::WrongLength(stage),
+        _ => FailurePoint::ConnectionClosed(stage),
     })
 }
 
--- a/src/entry/verdict.rs
+++ b/src/entry/verdict.rs
@@ -2,7 +2,7 @@
 
 use super::stage::Stage as Wire;
 use super::target::{self, Answer};
-use crate::steer::attempt::{Break, Stage};
+use crate::steer::attempt::{FailurePoint, Stage};
 use crate::steer::{group, limit};
 
 pub(crate) fn to_load((in_flight, slots): (u32, u32)) -> limit::Load {
@@ -19,31 +19,31 @@
 }
 
 /// What an answer's status says of the try, if it is not simply an answer.
-pub(crate) fn refused(answer: &Answer) -> Option<Break> {
+pub(crate) fn refused(answer: &Answer) -> Option<FailurePoint> {
     match answer.status {
-        503 if answer.refused => Some(Break::Refused),
-        503 => Some(Break::Unavailable),
-        500..=599 => Some(Break::ServerError),
+        503 if answer.refused => Some(FailurePoint::Refused),
+        503 => Some(FailurePoint::Unavailable),
+        500..=599 => Some(FailurePoint::ServerError),
         _ => None,
     }
 }
 
 /// What a call that got no answer's head means.
-pub(crate) fn broken(error: &target::Error) -> Break {
+pub(crate) fn broken(error: &target::Error) -> FailurePoint {
     let stage = stage_of(&error.stage);
     if error.is_timeout() {
-        return Break::Timeout(stage);
+        return FailurePoint::Timeout(stage);
     }
     if error.is_garbage() && error.stage.read {
-        return Break::Garbage;
+        return FailurePoint::NotHttp;
     }
     if stage == Stage::Connecting {
-        return Break::ConnectRefused;
+        return FailurePoint::ConnectRefused;
     }
     if error.stage.dialled {
-        Break::Cut(stage)
+        FailurePoint::ConnectionClosed(stage)
     } else {
-        Break::Stale(stage)
+        FailurePoint::ReusedConnectionClosed(stage)
     }
 }
 
@@ -61,14 +61,14 @@
     Stage::Connected
 }
 
-pub(crate) fn end_of(cause: Break) -> group::End {
+pub(crate) fn end_of(cause: FailurePoint) -> group::End {
     match cause {
-        Break::ConnectRefused => group::End::ConnectFailed,
-        Break::Timeout(Stage::Connecting) => group::End::ConnectFailed,
-        Break::Timeout(_) => group::End::TimedOut,
-        Break::Refused | Break::Unavailable => group::End::Refused,
-        Break::ServerError => group::End::Answered,
-        Break::Cancelled(_) | Break::CallerGone(_) => group::End::Cancelled,
+        FailurePoint::ConnectRefused => group::End::ConnectFailed,
+        FailurePoint::Timeout(Stage::Connecting) => group::End::ConnectFailed,
+        FailurePoint::Timeout(_) => group::End::TimedOut,
+        FailurePoint::Refused | FailurePoint::Unavailable => group::End::Refused,
+        FailurePoint::ServerError => group::End::Answered,
+        FailurePoint::Cancelled(_) | FailurePoint::CallerGone(_) => group::End::Cancelled,
         _ => group::End::Broken,
     }
 }
--- a/src/steer/engine.rs
+++ b/src/steer/engine.rs
@@ -1,7 +1,7 @@
-//! One host's decisions put together: which target or which host a request goes to.
+//! Routing engine of one entry host: selects the target or the remote host for each request.
 //!
-//! Pure: events go in with the time and a random source, decisions come out. Requests that wait are
-//! remembered here, and come out of any later call as [`Decision`]s.
+//! Pure: every event is passed in with the current time and a random source. Queued requests are held
+//! here, and later calls return their [`Decision`]s.
 
 mod permit;
 mod rate;
@@ -21,7 +21,7 @@
 use super::lookup::Snapshot;
 use super::pass::{Back, Pass, Quotas};
 use super::quarantine::{Note, Quarantine, UNSURE};
-use super::shift::{self, Caps, Kind as Kindred, Shift};
+use super::shift::{self, Caps, Kind as MoveKind, Shift};
 use super::split::Split;
 use super::tally::Tally;
 use super::throttle::Throttle;
@@ -29,184 +29,185 @@
 use crate::catalog::{Catalog, HostKey, RegionKey, Repeat, ServiceKey, State, TargetKey, ZoneKey};
 use crate::control::summary::Load;
 
-/// Time after the start in which other hosts may tell their splits.
-const SETTLE: Duration = Duration::from_millis(1500);
-/// Latency assumed where no link is configured.
-const FAR: Duration = Duration::from_secs(1);
-/// Time that a request is assumed to hold a slot before any was measured, in seconds.
-const DEFAULT_WORK: f64 = 0.05;
-/// Time for which a budget that refused is not asked again; what comes free meanwhile is little.
-const SPENT: Duration = Duration::from_millis(20);
-/// Hosts of one zone that a request is sent to at most.
-const MAX_HOSTS: usize = 2;
-/// Weight of one measurement in the mean hold time.
-const WORK_GAIN: f64 = 0.05;
-/// How long a zone that came back must stay good before traffic returns to it.
-const HOLD: Duration = Duration::from_secs(5);
-/// When a caller is asked to come back if nothing better is known.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// The least advice on when to come back.
+/// Time after the first configuration during which splits of other hosts may still arrive.
+const SPLIT_SETTLING_TIME: Duration = Duration::from_millis(1500);
+/// Latency assumed between regions without a configured link.
+const DEFAULT_LINK_LATENCY: Duration = Duration::from_secs(1);
+/// Assumed time that a request occupies a slot before the first measurement, in seconds.
+const DEFAULT_HOLD_SECONDS: f64 = 0.05;
+/// Time during which an exhausted move budget is not checked again; little of it is released meanwhile.
+const EXHAUSTED_BUDGET_BACKOFF: Duration = Duration::from_millis(20);
+/// Maximum number of hosts of one zone that a request is sent to.
+const MAX_HOSTS_PER_ZONE: usize = 2;
+/// Weight of one measurement in the moving average of the slot hold time.
+const HOLD_SECONDS_WEIGHT: f64 = 0.05;
+/// Time that a recovered zone must stay healthy before it receives traffic again.
+const ZONE_RECOVERY_PERIOD: Duration = Duration::from_secs(5);
+/// Default delay before a refused caller should retry.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Minimum delay before a refused caller should retry.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// Identifies a request on this host.
 pub type Id = u64;
 
-/// Why a host asks.
+/// Kind of attempt to route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// The request's first try.
+pub enum AttemptKind {
+    /// The first attempt of a request.
     First,
-    /// Another try after one that broke.
+    /// A retry after a failed attempt.
     Retry,
-    /// A second copy beside one that is slow.
+    /// A hedge: a second copy sent while the first is slow.
     Hedge,
 }
 
-/// Who sent the request here.
+/// Sender of a request to this host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
     /// A caller.
     Caller,
-    /// Another entry host. Its request goes to a target of this zone or nowhere.
+    /// Another entry host. Its request is served by a target of this zone or refused.
     Host,
-    /// A caller that bears a ticket of this host, through another one. That this host issued the
-    /// ticket says nothing of where the request belongs: it goes by the split alone.
-    Home,
+    /// Another host that relayed a caller's request because this host issued its ticket. The ticket does
+    /// not determine the zone, so the request is routed by the split alone, without preference for the
+    /// own zone.
+    TicketRelay,
 }
 
-/// A request that asks where to go.
+/// An attempt of a request that is to be routed.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    /// Identifies it.
+pub struct RouteRequest {
+    /// Id of the request.
     pub id: Id,
-    /// Why it asks.
-    pub kind: Kind,
-    /// Who sent it.
+    /// Kind of the attempt.
+    pub kind: AttemptKind,
+    /// Sender of the request.
     pub origin: Origin,
-    /// The service.
+    /// Requested service.
     pub service: ServiceKey,
-    /// The region of its caller.
+    /// Region of the caller.
     pub locality: RegionKey,
-    /// Hash of the caller's block.
+    /// Hash of the caller's address block.
     pub block: u64,
-    /// Length of its body in bytes, as far as it is known.
+    /// Length of the request body in bytes, as far as known.
     pub bytes: u64,
-    /// When its answer is of no more use.
+    /// Time after which an answer is useless.
     pub deadline: Instant,
-    /// Targets that were tried.
+    /// Targets already tried.
     pub targets: Vec<TargetKey>,
-    /// Hosts that were tried.
+    /// Hosts already tried.
     pub hosts: Vec<HostKey>,
-    /// What stays the same when the request comes again.
+    /// Hash of the request's content; equal for repetitions of the same request.
     pub fingerprint: Fingerprint,
 }
 
-/// Where a request goes.
+/// Routing result of one attempt.
 #[derive(Debug)]
 pub enum Verdict {
-    /// To a target of this zone.
+    /// Send it to a target of this zone.
     Target {
-        /// Leave to send it there.
+        /// Permission to send it to the target.
         grant: group::Grant,
-        /// When to ask for a second copy, if no answer came.
+        /// Delay after which to request a hedge if no answer has arrived.
         hedge: Option<Duration>,
     },
-    /// To an entry host of another zone.
+    /// Send it to an entry host of another zone.
     Host(Pass),
-    /// It did not run.
+    /// Refuse it; it was not executed.
     Refused(Refusal),
 }
 
-/// Why a request goes nowhere.
+/// Refusal of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: Reason,
-    /// When to come back.
+    /// Delay before the caller should retry.
     pub retry_after: Duration,
 }
 
-/// A verdict on a request that asked now or waited.
+/// Verdict on a new or queued request.
 pub type Decision = (Id, Verdict);
 
-/// One host's decisions.
+/// Routing state of one entry host.
 pub struct Engine {
     catalog: Arc<Catalog>,
     config: group::Config,
     zone: Option<ZoneKey>,
-    live: BTreeSet<HostKey>,
-    /// Live hosts that take requests from other zones.
-    hosts: BTreeMap<ZoneKey, Vec<HostKey>>,
+    live_hosts: BTreeSet<HostKey>,
+    /// Live hosts in the state serving, by zone.
+    serving_hosts: BTreeMap<ZoneKey, Vec<HostKey>>,
     groups: BTreeMap<ServiceKey, Group>,
     waiting: BTreeMap<Id, ServiceKey>,
-    /// Callers' requests that wait for a target of this zone, should they have to go elsewhere.
-    spare: BTreeMap<Id, Ask>,
+    /// Copies of queued requests that may be routed to another zone if this zone refuses them.
+    rerouteable: BTreeMap<Id, RouteRequest>,
     switches: Switches,
     budgets: BTreeMap<ServiceKey, Budgets>,
     quotas: Quotas,
-    passes: BTreeMap<HostKey, u32>,
-    /// Mean time that a request of a service holds a slot, in seconds.
-    work: BTreeMap<ServiceKey, f64>,
-    /// Free slots of other zones, as last heard.
-    free: BTreeMap<(ServiceKey, ZoneKey), u32>,
-    /// When the first configuration came.
-    started: Option<Instant>,
+    passes_by_host: BTreeMap<HostKey, u32>,
+    /// Moving average of the time that a request of a service occupies a slot, in seconds.
+    hold_seconds: BTreeMap<ServiceKey, f64>,
+    /// Free slots of other zones, as last reported.
+    free_slots: BTreeMap<(ServiceKey, ZoneKey), u32>,
+    /// Time of the first configuration.
+    configured_at: Option<Instant>,
     tallies: BTreeMap<ServiceKey, Tally>,
     shifts: BTreeMap<(ServiceKey, RegionKey), Shift>,
-    /// Until when the budget of a service and locality is taken for spent, by kind of move.
-    spent: BTreeMap<(ServiceKey, RegionKey, Kindred), Instant>,
-    /// The split of the own region's callers while this zone last had targets.
-    served: BTreeMap<ServiceKey, Split>,
+    /// Time until which the move budget of a service and locality counts as exhausted, by kind of move.
+    exhausted_until: BTreeMap<(ServiceKey, RegionKey, MoveKind), Instant>,
+    /// Split for callers of the own region at the time this zone last had serving targets.
+    last_serving_splits: BTreeMap<ServiceKey, Split>,
     view: View,
-    hold: Hold,
+    recovery: Hold,
     quarantine: Quarantine,
-    /// Suspected requests that wait until it is known whether they may be sent, and until when.
-    unsure: Vec<(Instant, Ask)>,
-    /// Suspected requests that have leave to be sent.
-    leaves: BTreeMap<Id, Fingerprint>,
-    /// What other hosts are to be told of requests that crash targets.
-    notes: Vec<Note>,
-    /// This host, as the configuration names it.
+    /// Suspected requests that wait for the quarantine's decision, each with the end of its wait.
+    undecided: Vec<(Instant, RouteRequest)>,
+    /// Suspected requests that were permitted to be sent to targets of this zone.
+    suspect_permits: BTreeMap<Id, Fingerprint>,
+    /// Quarantine notes to publish to other hosts.
+    quarantine_notes: Vec<Note>,
+    /// Name of this host in the configuration.
     host: Arc<str>,
-    /// The rates that targets of this zone name.
+    /// Rate limits announced by targets of this zone.
     throttle: Throttle,
 }
 
 impl Engine {
-    /// An engine without a configuration.
+    /// Creates an engine without a configuration.
     pub fn new(steer: &border::Steer, incarnation: u64) -> Self {
         Self {
             catalog: Arc::default(),
             config: group::Config::new(steer),
             zone: None,
-            live: BTreeSet::new(),
-            hosts: BTreeMap::new(),
+            live_hosts: BTreeSet::new(),
+            serving_hosts: BTreeMap::new(),
             groups: BTreeMap::new(),
             waiting: BTreeMap::new(),
-            spare: BTreeMap::new(),
+            rerouteable: BTreeMap::new(),
             switches: Switches::new(steer),
             budgets: BTreeMap::new(),
             quotas: Quotas::new(incarnation),
-            passes: BTreeMap::new(),
-            work: BTreeMap::new(),
-            free: BTreeMap::new(),
-            started: None,
+            passes_by_host: BTreeMap::new(),
+            hold_seconds: BTreeMap::new(),
+            free_slots: BTreeMap::new(),
+            configured_at: None,
             tallies: BTreeMap::new(),
             shifts: BTreeMap::new(),
-            spent: BTreeMap::new(),
-            served: BTreeMap::new(),
+            exhausted_until: BTreeMap::new(),
+            last_serving_splits: BTreeMap::new(),
             view: View::default(),
-            hold: Hold::new(HOLD),
+            recovery: Hold::new(ZONE_RECOVERY_PERIOD),
             quarantine: Quarantine::new(incarnation),
-            unsure: Vec::new(),
-            leaves: BTreeMap::new(),
-            notes: Vec::new(),
+            undecided: Vec::new(),
+            suspect_permits: BTreeMap::new(),
+            quarantine_notes: Vec::new(),
             host: "".into(),
             throttle: Throttle::new(),
         }
     }
 
-    /// Sets which host of the configuration this is.
+    /// Sets the name of this host in the configuration.
     pub fn with_host(mut self, host: Arc<str>) -> Self {
         self.host = host;
         self
@@ -217,8 +218,8 @@
         &self.catalog
     }
 
-    /// What each group of this host's targets is loaded with, for other hosts.
-    pub fn measure(&mut self, now: Instant) -> BTreeMap<ServiceKey, Load> {
+    /// Returns the load of each service in this zone as seen by this host, for publication to other hosts.
+    pub fn service_loads(&mut self, now: Instant) -> BTreeMap<ServiceKey, Load> {
         let mut loads = BTreeMap::new();
         for (&service, group) in &self.groups {
             let free = group.headroom();
@@ -239,20 +240,20 @@
         loads
     }
 
-    /// The part of this host's quota of each link, from one region to another, that was free since the
-    /// last call.
-    pub fn link_rooms(&mut self, now: Instant) -> BTreeMap<(RegionKey, RegionKey), f64> {
+    /// Returns the unused fraction of this host's quota of each link between regions since the last call,
+    /// 0 to 1.
+    pub fn link_headroom(&mut self, now: Instant) -> BTreeMap<(RegionKey, RegionKey), f64> {
         self.quotas.rooms(now)
     }
 
-    /// A group of this host's targets.
+    /// Returns the target group of a service in this zone.
     pub fn group(&self, service: ServiceKey) -> Option<&Group> {
         self.groups.get(&service)
     }
 
-    /// Puts a configuration in force, for a host in the zone `zone`.
+    /// Applies a configuration, for a host in the zone `zone`.
     pub fn configure(&mut self, now: Instant, catalog: Arc<Catalog>, zone: &str) {
-        self.started.get_or_insert(now);
+        self.configured_at.get_or_insert(now);
         self.zone = catalog.zone_key(zone);
         self.catalog = catalog;
         if let Some(zone) = self.zone {
@@ -263,13 +264,13 @@
         for budgets in self.budgets.values_mut() {
             budgets.set_limits(&limits);
         }
-        self.sort_hosts();
+        self.index_serving_hosts();
         self.update_groups(now);
-        self.advance(now);
+        self.advance_splits(now);
     }
 
-    /// Takes what a target says of itself when asked.
-    pub fn health(
+    /// Records the result of a target's health check.
+    pub fn set_health(
         &mut self,
         now: Instant,
         target: TargetKey,
@@ -278,19 +279,19 @@
     ) {
         let service = self.catalog.target(target).service;
         if let Some(group) = self.groups.get_mut(&service) {
-            group.health(target, health);
+            group.set_health(target, health);
             if let Some(state) = state {
                 group.set_state(now, target, group::Source::Health, state);
             }
         }
     }
 
-    /// Takes the free slots of other zones, as last heard.
-    pub fn set_free(&mut self, free: BTreeMap<(ServiceKey, ZoneKey), u32>) {
-        self.free = free;
+    /// Replaces the reported free slots of other zones.
+    pub fn set_free_slots(&mut self, free: BTreeMap<(ServiceKey, ZoneKey), u32>) {
+        self.free_slots = free;
     }
 
-    /// This host's splits.
+    /// Returns this host's non-empty splits.
     pub fn splits(&self) -> BTreeMap<(ServiceKey, RegionKey), Split> {
         self.shifts
             .iter()
@@ -299,8 +300,8 @@
             .collect()
     }
 
-    /// Takes the splits of another host, where this one has none yet.
-    pub fn adopt(&mut self, now: Instant, splits: BTreeMap<(ServiceKey, RegionKey), Split>) {
+    /// Adopts the splits of another host where this host has none yet.
+    pub fn adopt_splits(&mut self, now: Instant, splits: BTreeMap<(ServiceKey, RegionKey), Split>) {
         for (key, split) in splits {
             let is_new = self
                 .shifts
@@ -312,18 +313,18 @@
         }
     }
 
-    /// Takes what is known of the zones.
+    /// Sets the observed state of the zones.
     pub fn set_view(&mut self, now: Instant, mut view: View) {
-        self.add_own(&mut view);
+        self.add_own_zone(&mut view);
         for (&zone, standing) in &mut view.zones {
-            *standing = self.hold.observe(now, zone, *standing);
+            *standing = self.recovery.observe(now, zone, *standing);
         }
         self.view = view;
-        self.advance(now);
+        self.advance_splits(now);
     }
 
-    /// Adds what this host sees of its own zone.
-    fn add_own(&self, view: &mut View) {
+    /// Adds this host's own zone with its measured slots to the view.
+    fn add_own_zone(&self, view: &mut View) {
         let Some(zone) = self.zone else {
             return;
         };
@@ -333,15 +334,15 @@
         }
     }
 
-    /// Whether it is too early to tell where traffic goes: others may still tell their splits.
+    /// Whether no splits are computed yet, since other hosts may still publish theirs.
     pub fn is_settling(&self, now: Instant) -> bool {
-        self.started
-            .is_none_or(|started| now.saturating_duration_since(started) < SETTLE)
+        self.configured_at
+            .is_none_or(|started| now.saturating_duration_since(started) < SPLIT_SETTLING_TIME)
     }
 
-    /// Assumes the configured slots where nothing was measured and nothing bad is known, for a first
-    /// split. Later splits move on measurements alone.
-    fn assume(&self, view: &View) -> View {
+    /// Returns the view with zones of unknown state taken as alive and missing measurements replaced by
+    /// the configured slots. Used for the first split only; later moves rely on measurements alone.
+    fn with_configured_slots(&self, view: &View) -> View {
         let mut view = view.clone();
         for (service, _) in self.catalog.services() {
             for (zone, site) in self.catalog.sites(service) {
@@ -355,12 +356,12 @@
         view
     }
 
-    /// Moves each split towards its goal, as far as its budget goes.
-    fn advance(&mut self, now: Instant) {
+    /// Moves each split towards its goal, as far as its move budget allows.
+    fn advance_splits(&mut self, now: Instant) {
         if self.is_settling(now) {
             return;
         }
-        let assumed = self.assume(&self.view);
+        let assumed = self.with_configured_slots(&self.view);
         let catalog = self.catalog.clone();
         let regions: Vec<RegionKey> = catalog.regions().map(|(key, _)| key).collect();
         for (service, _) in catalog.services() {
@@ -379,45 +380,51 @@
                 shift.advance(now, &goal.split, goal.kind, &caps);
             }
         }
-        self.note_served();
+        self.record_serving_splits();
     }
 
-    /// Notes the splits under which this zone's targets are in use.
-    fn note_served(&mut self) {
+    /// Records the current splits of services that have serving targets in this zone.
+    fn record_serving_splits(&mut self) {
         let Some(own) = self.zone.map(|zone| self.catalog.region_of(zone)) else {
             return;
         };
         for (&service, group) in &self.groups {
             if let Some(shift) = self.shifts.get(&(service, own)) {
                 if group.headroom().slots > 0 {
-                    self.served.insert(service, shift.current().clone());
+                    self.last_serving_splits
+                        .insert(service, shift.current().clone());
                 }
             }
         }
     }
 
-    /// What look-ups are answered from until the next change.
-    pub fn snapshot(&self) -> Option<Snapshot> {
+    /// Returns the snapshot from which look-ups are answered until the next change.
+    pub fn lookup_snapshot(&self) -> Option<Snapshot> {
         let splits = |service, locality| {
             let shift = self.shifts.get(&(service, locality))?;
             Some(shift.current().clone())
         };
-        Some(Snapshot::new(&self.catalog, &self.live, splits, self.zone?))
+        Some(Snapshot::new(
+            &self.catalog,
+            &self.live_hosts,
+            splits,
+            self.zone?,
+        ))
     }
 
-    /// The hosts that are alive.
+    /// Sets the live hosts.
     pub fn set_live(&mut self, now: Instant, live: BTreeSet<HostKey>) {
-        self.live = live;
-        self.sort_hosts();
+        self.live_hosts = live;
+        self.index_serving_hosts();
         self.update_groups(now);
     }
 
-    fn sort_hosts(&mut self) {
-        self.hosts.clear();
-        for &key in &self.live {
+    fn index_serving_hosts(&mut self) {
+        self.serving_hosts.clear();
+        for &key in &self.live_hosts {
             let host = self.catalog.host(key);
             if host.state == State::Serving {
-                self.hosts.entry(host.zone).or_default().push(key);
+                self.serving_hosts.entry(host.zone).or_default().push(key);
             }
         }
     }
@@ -439,7 +446,7 @@
                 .or_insert_with(|| Group::new(config.clone()));
             group.update(now, &catalog, service, zone, hosts);
         }
-        self.share_rates(now);
+        self.apply_rate_shares(now);
     }
 
     fn configured_hosts(&self, zone: ZoneKey) -> usize {
@@ -450,84 +457,99 @@
             .max(1)
     }
 
-    /// Asks where a request goes. No verdict: it waits.
-    pub fn ask(&mut self, now: Instant, ask: Ask, rng: &mut impl Rng) -> Option<Verdict> {
-        if let Some(refusal) = self.count(now, &ask) {
+    /// Routes an attempt. Returns `None` if it was queued.
+    pub fn submit(
+        &mut self,
+        now: Instant,
+        request: RouteRequest,
+        rng: &mut impl Rng,
+    ) -> Option<Verdict> {
+        if let Some(refusal) = self.charge_budgets(now, &request) {
             return Some(Verdict::Refused(refusal));
         }
-        if ask.kind != Kind::First {
-            // A repeat of a request that crashes targets would crash one more.
-            return match self.quarantine.is_free(ask.fingerprint) {
-                true => self.place(now, ask, rng),
+        if request.kind != AttemptKind::First {
+            // A retry or hedge of a request that crashes targets would crash another target.
+            return match self.quarantine.is_free(request.fingerprint) {
+                true => self.dispatch(now, request, rng),
                 false => Some(Verdict::refused(Reason::Quarantined)),
             };
         }
-        self.permit(now, now + UNSURE, ask, rng)
+        self.admit_unless_quarantined(now, now + UNSURE, request, rng)
     }
 
-    fn place(&mut self, now: Instant, ask: Ask, rng: &mut impl Rng) -> Option<Verdict> {
-        match ask.origin {
-            Origin::Host => self.admit(now, ask, rng),
-            Origin::Caller | Origin::Home => self.route(now, ask, rng),
+    fn dispatch(
+        &mut self,
+        now: Instant,
+        request: RouteRequest,
+        rng: &mut impl Rng,
+    ) -> Option<Verdict> {
+        match request.origin {
+            Origin::Host => self.admit_locally(now, request, rng),
+            Origin::Caller | Origin::TicketRelay => self.route(now, request, rng),
         }
     }
 
-    /// Counts a request in its budgets; refuses a retry or a copy that is over them.
-    fn count(&mut self, now: Instant, ask: &Ask) -> Option<Refusal> {
+    /// Charges an attempt to the service's budgets; refuses a retry or hedge that exceeds them.
+    fn charge_budgets(&mut self, now: Instant, request: &RouteRequest) -> Option<Refusal> {
         let limits = *self.catalog.limits();
         let switches = self.switches;
         let budgets = self
             .budgets
-            .entry(ask.service)
+            .entry(request.service)
             .or_insert_with(|| Budgets::new(now, &limits, switches));
-        let headroom = match self.groups.get(&ask.service).map(Group::headroom) {
+        let headroom = match self.groups.get(&request.service).map(Group::headroom) {
             Some(free) if free.queued == 0 && free.in_flight < free.limit => hedge::Headroom::Known,
             _ => hedge::Headroom::Lacking,
         };
-        let allowed = match ask.kind {
-            Kind::First => {
+        let allowed = match request.kind {
+            AttemptKind::First => {
                 budgets.request(now);
                 true
             }
-            Kind::Retry => budgets.retry.take(now),
-            Kind::Hedge => budgets.hedge.take(now, headroom),
+            AttemptKind::Retry => budgets.retry.take(now),
+            AttemptKind::Hedge => budgets.hedge.take(now, headroom),
         };
         (!allowed).then(|| Refusal::new(Reason::Limited))
     }
 
-    /// Own zone first, else where the split says; then where there is room.
-    fn route(&mut self, now: Instant, ask: Ask, rng: &mut impl Rng) -> Option<Verdict> {
-        if ask.kind == Kind::Hedge {
-            return Some(self.admit_now(now, ask, rng));
+    /// Routes to the own zone or else to the zone given by the split; spills over if that one refuses.
+    fn route(
+        &mut self,
+        now: Instant,
+        request: RouteRequest,
+        rng: &mut impl Rng,
+    ) -> Option<Verdict> {
+        if request.kind == AttemptKind::Hedge {
+            return Some(self.admit_hedge(now, request, rng));
         }
-        let home = self.home(now, &ask);
+        let home = self.home_zone(now, &request);
         if home == self.zone {
-            let (id, spare) = (ask.id, ask.clone());
-            return match self.admit(now, ask, rng) {
-                Some(Verdict::Refused(refusal)) => Some(self.leave(now, &spare, refusal)),
+            let (id, retained) = (request.id, request.clone());
+            return match self.admit_locally(now, request, rng) {
+                Some(Verdict::Refused(refusal)) => Some(self.reroute(now, &retained, refusal)),
                 verdict => {
                     if verdict.is_none() {
-                        self.spare.insert(id, spare);
+                        self.rerouteable.insert(id, retained);
                     }
                     verdict
                 }
             };
         }
         let verdict = match home {
-            Some(zone) => self.pass(now, &ask, zone),
+            Some(zone) => self.issue_pass(now, &request, zone),
             None => Err(Refusal::new(Reason::NoTarget)),
         };
         Some(match verdict {
             Ok(pass) => Verdict::Host(pass),
-            Err(refusal) => self.spill(now, &ask, refusal),
+            Err(refusal) => self.spill_over(now, &request, refusal),
         })
     }
 
-    /// Asks the targets of this zone for a copy, which does not wait. It is asked only while nothing
-    /// waits, so that its number belongs to no other request in the queue.
-    fn admit_now(&mut self, now: Instant, ask: Ask, rng: &mut impl Rng) -> Verdict {
-        let id = ask.id;
-        match self.admit(now, ask, rng) {
+    /// Admits a hedge to a target of this zone, or refuses it instead of queueing it. Hedges are requested
+    /// only while the queue is empty, so no other queued request has the same id.
+    fn admit_hedge(&mut self, now: Instant, request: RouteRequest, rng: &mut impl Rng) -> Verdict {
+        let id = request.id;
+        match self.admit_locally(now, request, rng) {
             Some(verdict) => verdict,
             None => {
                 self.cancel(id);
@@ -536,94 +558,105 @@
         }
     }
 
-    /// Sends a request on that this zone refused: where the split has moved it, else where there is
-    /// room.
-    fn leave(&mut self, now: Instant, ask: &Ask, refusal: Refusal) -> Verdict {
-        let pass = self.moved(ask).map(|zone| self.pass(now, ask, zone));
+    /// Reroutes a request that this zone refused: to the zone to which the split moved its block, else to
+    /// a zone with room.
+    fn reroute(&mut self, now: Instant, request: &RouteRequest, refusal: Refusal) -> Verdict {
+        let pass = self
+            .moved_to(request)
+            .map(|zone| self.issue_pass(now, request, zone));
         match pass {
             Some(Ok(pass)) => Verdict::Host(pass),
-            _ => self.spill(now, ask, refusal),
+            _ => self.spill_over(now, request, refusal),
         }
     }
 
-    /// Where a request went that was this zone's before its targets were lost. That move was counted
-    /// when the split made it. Others that come here only by habit are not among those moved.
-    fn moved(&self, ask: &Ask) -> Option<ZoneKey> {
-        if ask.origin == Origin::Host || !self.is_bare(ask.service) {
+    /// Returns the zone to which the split moved the request's block when this zone lost its targets. That
+    /// move was charged to the budget when the split changed. Blocks that the split had not assigned to
+    /// this zone are not included.
+    fn moved_to(&self, request: &RouteRequest) -> Option<ZoneKey> {
+        if request.origin == Origin::Host || !self.has_no_slots(request.service) {
             return None;
         }
-        let before = self.served.get(&ask.service)?;
-        let now = self.shifts.get(&(ask.service, ask.locality))?.current();
+        let before = self.last_serving_splits.get(&request.service)?;
+        let now = self
+            .shifts
+            .get(&(request.service, request.locality))?
+            .current();
         let own = self
             .zone
-            .filter(|&zone| self.catalog.region_of(zone) == ask.locality);
-        if before.choose(ask.block, |_| true) != Some(own?) {
+            .filter(|&zone| self.catalog.region_of(zone) == request.locality);
+        if before.choose(request.block, |_| true) != Some(own?) {
             return None;
         }
-        now.choose(ask.block, |_| true)
+        now.choose(request.block, |_| true)
             .filter(|&zone| Some(zone) != own)
     }
 
-    /// Whether no target of this zone takes work.
-    fn is_bare(&self, service: ServiceKey) -> bool {
+    /// Whether no target of this zone accepts requests of the service.
+    fn has_no_slots(&self, service: ServiceKey) -> bool {
         self.groups
             .get(&service)
             .is_none_or(|group| group.headroom().slots == 0)
     }
 
-    /// The zone that a request belongs to.
-    fn home(&mut self, now: Instant, ask: &Ask) -> Option<ZoneKey> {
-        let Some(shift) = self.shifts.get_mut(&(ask.service, ask.locality)) else {
-            return self.nearest(ask);
+    /// Returns the zone that should serve a request.
+    fn home_zone(&mut self, now: Instant, request: &RouteRequest) -> Option<ZoneKey> {
+        let Some(shift) = self.shifts.get_mut(&(request.service, request.locality)) else {
+            return self.nearest_zone(request);
         };
-        if ask.kind == Kind::First {
+        if request.kind == AttemptKind::First {
             shift.ledger().request(now);
         }
         let split = shift.current();
         if split.is_empty() {
-            return self.nearest(ask);
+            return self.nearest_zone(request);
         }
         let own = self
             .zone
-            .filter(|_| ask.origin == Origin::Caller)
-            .filter(|&zone| self.catalog.region_of(zone) == ask.locality);
+            .filter(|_| request.origin == Origin::Caller)
+            .filter(|&zone| self.catalog.region_of(zone) == request.locality);
         own.filter(|&zone| split.share(zone) > 0.0)
-            .or_else(|| split.choose(ask.block, |_| true))
+            .or_else(|| split.choose(request.block, |_| true))
     }
 
-    /// The own zone if it has targets of the service, else the nearest that may have room.
-    fn nearest(&self, ask: &Ask) -> Option<ZoneKey> {
-        if self.groups.contains_key(&ask.service) {
+    /// Returns the own zone if it has targets of the service, else the nearest zone that may have room.
+    fn nearest_zone(&self, request: &RouteRequest) -> Option<ZoneKey> {
+        if self.groups.contains_key(&request.service) {
             return self.zone;
         }
-        self.others(ask).first().copied()
+        self.spill_over_zones(request).first().copied()
     }
 
-    /// Asks the targets of this zone.
-    fn admit(&mut self, now: Instant, ask: Ask, rng: &mut impl Rng) -> Option<Verdict> {
-        let Some(group) = self.groups.get_mut(&ask.service) else {
+    /// Admits the request to a target of this zone, queues it (`None`) or refuses it.
+    fn admit_locally(
+        &mut self,
+        now: Instant,
+        request: RouteRequest,
+        rng: &mut impl Rng,
+    ) -> Option<Verdict> {
+        let Some(group) = self.groups.get_mut(&request.service) else {
             return Some(Verdict::refused(Reason::NoTarget));
         };
-        let service = self.catalog.service(ask.service);
-        let request = group::Ask {
-            id: ask.id,
-            deadline: ask.deadline,
+        let service = self.catalog.service(request.service);
+        let target_request = group::TargetRequest {
+            id: request.id,
+            deadline: request.deadline,
             priority: service.priority,
-            affinity: ask.block,
-            exclude: ask.targets,
+            affinity: request.block,
+            exclude: request.targets,
         };
-        match group.admit(now, request, rng) {
-            group::Verdict::Go(grant) => {
-                self.tally(now, ask.service).admitted += 1;
-                Some(self.go(now, grant))
+        match group.admit(now, target_request, rng) {
+            group::Verdict::Admit(grant) => {
+                self.tally(now, request.service).admitted += 1;
+                Some(self.target_verdict(now, grant))
             }
             group::Verdict::Wait => {
-                self.waiting.insert(ask.id, ask.service);
+                self.waiting.insert(request.id, request.service);
                 None
             }
             group::Verdict::Refuse(refusal) => {
-                if ask.kind != Kind::Hedge {
-                    self.tally(now, ask.service).refused += 1;
+                if request.kind != AttemptKind::Hedge {
+                    self.tally(now, request.service).refused += 1;
                 }
                 Some(Verdict::Refused(refusal.into()))
             }
@@ -634,7 +667,7 @@
         self.tallies.entry(service).or_insert(Tally::new(now))
     }
 
-    fn go(&mut self, now: Instant, grant: group::Grant) -> Verdict {
+    fn target_verdict(&mut self, now: Instant, grant: group::Grant) -> Verdict {
         let service = self.catalog.target(grant.target()).service;
         let hedge = match self.catalog.service(service).repeat {
             Repeat::Safe => self
@@ -646,157 +679,179 @@
         Verdict::Target { grant, hedge }
     }
 
-    /// Looks for another zone for a request that its own cannot take.
-    fn spill(&mut self, now: Instant, ask: &Ask, refusal: Refusal) -> Verdict {
-        if ask.origin == Origin::Host || ask.kind == Kind::Hedge {
+    /// Sends a request that its zone refused to the nearest zone with room, within the move budget.
+    fn spill_over(&mut self, now: Instant, request: &RouteRequest, refusal: Refusal) -> Verdict {
+        if request.origin == Origin::Host || request.kind == AttemptKind::Hedge {
             return Verdict::Refused(refusal);
         }
-        let caps = Caps::new(&self.catalog, ask.service);
-        let kind = self.kind(ask, refusal.reason);
-        let budget = (ask.service, ask.locality, kind);
-        if self.spent.get(&budget).is_some_and(|&until| now < until) {
+        let caps = Caps::new(&self.catalog, request.service);
+        let kind = self.move_kind(request, refusal.reason);
+        let budget = (request.service, request.locality, kind);
+        if self
+            .exhausted_until
+            .get(&budget)
+            .is_some_and(|&until| now < until)
+        {
             return Verdict::Refused(refusal);
         }
-        for zone in self.others(ask) {
-            let Some(shift) = self.shifts.get_mut(&(ask.service, ask.locality)) else {
+        for zone in self.spill_over_zones(request) {
+            let Some(shift) = self.shifts.get_mut(&(request.service, request.locality)) else {
                 break;
             };
             if shift.ledger().room(now, caps.cap(kind)) <= 0.0 {
                 break;
             }
-            let Ok(pass) = self.pass(now, ask, zone) else {
+            let Ok(pass) = self.issue_pass(now, request, zone) else {
                 continue;
             };
             let decision = self
                 .shifts
-                .get_mut(&(ask.service, ask.locality))
+                .get_mut(&(request.service, request.locality))
                 .map(|shift| shift.ledger().spill(now, caps.cap(kind)));
             if decision == Some(shift::Decision::Spill) {
                 return Verdict::Host(pass);
             }
             self.release_pass(now, &pass, Back::All);
-            self.spent.insert(budget, now + SPENT);
+            self.exhausted_until
+                .insert(budget, now + EXHAUSTED_BUDGET_BACKOFF);
             break;
         }
         Verdict::Refused(refusal)
     }
 
-    /// Whether a request leaves something that is lost. What the configuration took out is not lost,
-    /// and neither are targets that only this request tried in vain.
-    fn kind(&self, ask: &Ask, reason: Reason) -> Kindred {
+    /// Returns the kind of move that a spill-over counts as. It is failover if the zone is unreachable or
+    /// has lost all targets; targets that the configuration removed, or that only failed for this request,
+    /// make it a planned move.
+    fn move_kind(&self, request: &RouteRequest, reason: Reason) -> MoveKind {
         let serves = |zone| {
-            let site = self.catalog.site(ask.service, zone);
+            let site = self.catalog.site(request.service, zone);
             site.is_some_and(|site| site.slots > 0)
         };
         match reason {
-            Reason::Unreachable => Kindred::Failover,
-            Reason::NoTarget if self.is_bare(ask.service) && self.zone.is_some_and(serves) => {
-                Kindred::Failover
+            Reason::Unreachable => MoveKind::Failover,
+            Reason::NoTarget
+                if self.has_no_slots(request.service) && self.zone.is_some_and(serves) =>
+            {
+                MoveKind::Failover
             }
-            _ => Kindred::Planned,
+            _ => MoveKind::Planned,
         }
     }
 
-    /// Other zones that may have room, nearest first.
-    fn others(&self, ask: &Ask) -> Vec<ZoneKey> {
+    /// Returns the other zones that may have room, nearest first.
+    fn spill_over_zones(&self, request: &RouteRequest) -> Vec<ZoneKey> {
         let Some(own) = self.zone else {
             return Vec::new();
         };
         let region = self.catalog.region_of(own);
         let mut zones: Vec<(Duration, ZoneKey)> = self
             .catalog
-            .sites(ask.service)
+            .sites(request.service)
             .filter(|&(zone, site)| zone != own && site.slots > 0)
-            .filter(|&(zone, _)| self.has_room(ask.service, zone, region))
-            .map(|(zone, _)| (self.distance(region, zone), zone))
+            .filter(|&(zone, _)| self.may_have_room(request.service, zone, region))
+            .map(|(zone, _)| (self.latency_to(region, zone), zone))
             .collect();
         zones.sort();
         zones.into_iter().map(|(_, zone)| zone).collect()
     }
 
-    /// Whether a zone is not known to be full. Of another region, room must be known.
-    fn has_room(&self, service: ServiceKey, zone: ZoneKey, region: RegionKey) -> bool {
+    /// Whether a zone may have free slots. Without a report, only zones of the own region count as free.
+    fn may_have_room(&self, service: ServiceKey, zone: ZoneKey, region: RegionKey) -> bool {
         if self.view.zones.get(&zone) == Some(&Standing::Lost) {
             return false;
         }
-        match self.free.get(&(service, zone)) {
+        match self.free_slots.get(&(service, zone)) {
             Some(&free) => free > 0,
             None => self.catalog.region_of(zone) == region,
         }
     }
 
-    fn distance(&self, from: RegionKey, zone: ZoneKey) -> Duration {
+    fn latency_to(&self, from: RegionKey, zone: ZoneKey) -> Duration {
         let to = self.catalog.region_of(zone);
         if from == to {
             return Duration::ZERO;
         }
-        self.catalog.link(from, to).map_or(FAR, |link| link.latency)
+        self.catalog
+            .link(from, to)
+            .map_or(DEFAULT_LINK_LATENCY, |link| link.latency)
     }
 
-    /// Chooses a host of another zone and takes what it costs to send a request there.
-    fn pass(&mut self, now: Instant, ask: &Ask, zone: ZoneKey) -> Result<Pass, Refusal> {
-        let host = self.host_in(ask, zone)?;
+    /// Chooses a host of another zone and charges the quotas for sending the request there.
+    fn issue_pass(
+        &mut self,
+        now: Instant,
+        request: &RouteRequest,
+        zone: ZoneKey,
+    ) -> Result<Pass, Refusal> {
+        let host = self.choose_host(request, zone)?;
         let region = self.catalog.region_of(zone);
         let own = self.zone.map(|zone| self.catalog.region_of(zone));
-        let work = self.hold_time(ask.service);
+        let hold_seconds = self.mean_hold_seconds(request.service);
         if own != Some(region) && self.switches.quota == Switch::On {
-            let bytes = ask.bytes as f64;
+            let bytes = request.bytes as f64;
             self.quotas
-                .take(now, own, (ask.service, region), work, bytes)
+                .take(now, own, (request.service, region), hold_seconds, bytes)
                 .map_err(|refused| Refusal {
                     reason: Reason::Limited,
                     retry_after: refused.retry_after.max(MIN_RETRY_AFTER),
                 })?;
         }
-        *self.passes.entry(host).or_default() += 1;
+        *self.passes_by_host.entry(host).or_default() += 1;
         Ok(Pass {
             host,
-            service: ask.service,
+            service: request.service,
             region,
-            work,
-            bytes: ask.bytes,
+            work: hold_seconds,
+            bytes: request.bytes,
             at: now,
         })
     }
 
-    /// The live host of a zone with the fewest requests of this host. No more than [`MAX_HOSTS`] of a
-    /// zone get one request. That they did not take it does not show that the zone is lost.
-    fn host_in(&self, ask: &Ask, zone: ZoneKey) -> Result<HostKey, Refusal> {
+    /// Returns the live host of a zone with the fewest outstanding requests of this host. A request is sent
+    /// to at most [`MAX_HOSTS_PER_ZONE`] hosts of a zone. Their refusals do not mark the zone as lost, so
+    /// the reason is `Crowded`.
+    fn choose_host(&self, request: &RouteRequest, zone: ZoneKey) -> Result<HostKey, Refusal> {
         let hosts = self
-            .hosts
+            .serving_hosts
             .get(&zone)
             .ok_or(Refusal::new(Reason::Unreachable))?;
         let tried = |host: &&HostKey| self.catalog.host(**host).zone == zone;
-        if ask.hosts.iter().filter(tried).count() >= MAX_HOSTS {
+        if request.hosts.iter().filter(tried).count() >= MAX_HOSTS_PER_ZONE {
             return Err(Refusal::new(Reason::Crowded));
         }
         hosts
             .iter()
-            .filter(|host| !ask.hosts.contains(host))
+            .filter(|host| !request.hosts.contains(host))
             .min_by_key(|&host| {
-                let load = self.passes.get(host).copied().unwrap_or_default();
-                (load, (ask.id ^ u64::from(host.into_raw().into_u32())) % 7)
+                let load = self.passes_by_host.get(host).copied().unwrap_or_default();
+                (
+                    load,
+                    (request.id ^ u64::from(host.into_raw().into_u32())) % 7,
+                )
             })
             .copied()
             .ok_or(Refusal::new(Reason::Crowded))
     }
 
-    fn hold_time(&self, service: ServiceKey) -> f64 {
-        self.work.get(&service).copied().unwrap_or(DEFAULT_WORK)
+    fn mean_hold_seconds(&self, service: ServiceKey) -> f64 {
+        self.hold_seconds
+            .get(&service)
+            .copied()
+            .unwrap_or(DEFAULT_HOLD_SECONDS)
     }
 
-    /// Passes that were given and not handed back.
+    /// Returns the number of outstanding passes.
     pub fn passes(&self) -> u32 {
-        self.passes.values().sum()
+        self.passes_by_host.values().sum()
     }
 
-    /// Takes back a pass.
+    /// Returns a pass after its request has ended.
     pub fn finish_pass(&mut self, now: Instant, pass: &Pass, back: Back) {
         self.release_pass(now, pass, back);
     }
 
     fn release_pass(&mut self, now: Instant, pass: &Pass, back: Back) {
-        if let Some(count) = self.passes.get_mut(&pass.host) {
+        if let Some(count) = self.passes_by_host.get_mut(&pass.host) {
             *count = count.saturating_sub(1);
         }
         let own = self.zone.map(|zone| self.catalog.region_of(zone));
@@ -811,26 +866,26 @@
             }
             Back::Nothing { bytes } => {
                 let more = bytes.saturating_sub(pass.bytes) as f64;
-                let held = self.held(now, pass);
+                let held = self.max_hold_seconds(now, pass);
                 if !self.groups.contains_key(&pass.service) {
-                    self.learn_work(pass.service, held);
+                    self.record_hold_seconds(pass.service, held);
                 }
                 self.quotas.charge(now, own, site, held - pass.work, more);
             }
         }
     }
 
-    /// The longest time that a request sent to another region may have held a slot there, in seconds.
-    fn held(&self, now: Instant, pass: &Pass) -> f64 {
+    /// Returns the longest time that a request sent to another region can have occupied a slot, in seconds.
+    fn max_hold_seconds(&self, now: Instant, pass: &Pass) -> f64 {
         let time = now.saturating_duration_since(pass.at);
         let link = self
             .zone
             .and_then(|zone| self.catalog.link(self.catalog.region_of(zone), pass.region));
-        let way = link.map_or(Duration::ZERO, |link| link.latency);
-        time.saturating_sub(2 * way).as_secs_f64()
+        let latency = link.map_or(Duration::ZERO, |link| link.latency);
+        time.saturating_sub(2 * latency).as_secs_f64()
     }
 
-    /// Takes back a target's grant.
+    /// Ends a target's grant. Returns the decisions on queued requests that can now be sent.
     pub fn finish(
         &mut self,
         now: Instant,
@@ -840,32 +895,35 @@
     ) -> Vec<Decision> {
         let service = self.catalog.target(grant.target()).service;
         if report.end == group::End::Answered {
-            self.learn(now, service, report.latency);
+            self.record_latency(now, service, report.latency);
         }
         let Some(group) = self.groups.get_mut(&service) else {
             return Vec::new();
         };
         let ready = group.finish(now, grant, report, rng);
-        self.release(now, ready)
+        self.dispatch_ready(now, ready)
     }
 
-    fn learn(&mut self, now: Instant, service: ServiceKey, latency: Duration) {
+    fn record_latency(&mut self, now: Instant, service: ServiceKey, latency: Duration) {
         if let Some(budgets) = self.budgets.get_mut(&service) {
             budgets.hedge.record(now, latency);
         }
-        self.learn_work(service, latency.as_secs_f64());
+        self.record_hold_seconds(service, latency.as_secs_f64());
     }
 
-    fn learn_work(&mut self, service: ServiceKey, seconds: f64) {
-        let work = self.work.entry(service).or_insert(DEFAULT_WORK);
-        *work += (seconds - *work) * WORK_GAIN;
+    fn record_hold_seconds(&mut self, service: ServiceKey, seconds: f64) {
+        let hold_seconds = self
+            .hold_seconds
+            .entry(service)
+            .or_insert(DEFAULT_HOLD_SECONDS);
+        *hold_seconds += (seconds - *hold_seconds) * HOLD_SECONDS_WEIGHT;
     }
 
-    /// A request that waits is no longer wanted.
+    /// Cancels a queued request.
     pub fn cancel(&mut self, id: Id) {
-        self.unsure.retain(|(_, ask)| ask.id != id);
-        self.done(id);
-        self.spare.remove(&id);
+        self.undecided.retain(|(_, request)| request.id != id);
+        self.release_suspect_permit(id);
+        self.rerouteable.remove(&id);
         if let Some(service) = self.waiting.remove(&id) {
             if let Some(group) = self.groups.get_mut(&service) {
                 group.cancel(id);
@@ -873,7 +931,8 @@
         }
     }
 
-    /// Does what time alone brings: refuses what cannot be done in time, lets others go.
+    /// Processes timeouts: refuses queued requests that cannot meet their deadline and sends those that can
+    /// go now.
     pub fn tick(&mut self, now: Instant, rng: &mut impl Rng) -> Vec<Decision> {
         let mut ready = Vec::new();
         let mut refused = Vec::new();
@@ -881,18 +940,18 @@
             refused.extend(group.expire(now));
             ready.extend(group.ready(now, rng));
         }
-        let mut decisions = self.release(now, ready);
-        for (until, ask) in std::mem::take(&mut self.unsure) {
-            let id = ask.id;
-            let verdict = self.permit(now, until, ask, rng);
+        let mut decisions = self.dispatch_ready(now, ready);
+        for (until, request) in std::mem::take(&mut self.undecided) {
+            let id = request.id;
+            let verdict = self.admit_unless_quarantined(now, until, request, rng);
             decisions.extend(verdict.map(|verdict| (id, verdict)));
         }
         self.quarantine.expire(now);
         self.expire_rates(now);
         for (id, refusal) in refused {
             self.waiting.remove(&id);
-            let verdict = match self.spare.remove(&id) {
-                Some(ask) => self.leave(now, &ask, refusal.into()),
+            let verdict = match self.rerouteable.remove(&id) {
+                Some(request) => self.reroute(now, &request, refusal.into()),
                 None => Verdict::Refused(refusal.into()),
             };
             decisions.push((id, verdict));
@@ -900,7 +959,7 @@
         decisions
     }
 
-    /// When [`Engine::tick`] should be called next.
+    /// Returns the time at which [`Engine::tick`] should be called next.
     pub fn next_wake(&self, now: Instant) -> Option<Instant> {
         self.groups
             .values()
@@ -908,14 +967,14 @@
             .min()
     }
 
-    fn release(&mut self, now: Instant, ready: Vec<(Id, group::Grant)>) -> Vec<Decision> {
+    fn dispatch_ready(&mut self, now: Instant, ready: Vec<(Id, group::Grant)>) -> Vec<Decision> {
         let mut decisions = Vec::with_capacity(ready.len());
         for (id, grant) in ready {
             self.waiting.remove(&id);
-            self.spare.remove(&id);
+            self.rerouteable.remove(&id);
             let service = self.catalog.target(grant.target()).service;
             self.tally(now, service).admitted += 1;
-            decisions.push((id, self.go(now, grant)));
+            decisions.push((id, self.target_verdict(now, grant)));
         }
         decisions
     }
@@ -928,11 +987,11 @@
 }
 
 impl Refusal {
-    /// A refusal for `reason`, when nothing better is known of when to come back.
+    /// Creates a refusal with the default retry delay.
     pub fn new(reason: Reason) -> Self {
         Self {
             reason,
-            retry_after: RETRY_AFTER,
+            retry_after: DEFAULT_RETRY_AFTER,
         }
     }
 }
@@ -940,7 +999,9 @@
 impl From<group::Refusal> for Refusal {
     fn from(refusal: group::Refusal) -> Self {
         let (reason, least) = match refusal.reason {
-            group::Reason::NoTarget | group::Reason::Tried => (Reason::NoTarget, RETRY_AFTER),
+            group::Reason::NoTarget | group::Reason::Tried => {
+                (Reason::NoTarget, DEFAULT_RETRY_AFTER)
+            }
             group::Reason::Deadline => (Reason::Timeout, MIN_RETRY_AFTER),
             group::Reason::Overload | group::Reason::Full => (Reason::Crowded, MIN_RETRY_AFTER),
         };
--- a/src/steer/engine/permit.rs
+++ b/src/steer/engine/permit.rs
@@ -1,94 +1,101 @@
-//! Leave for requests that may crash targets, and what is told and heard of them.
+//! Quarantine of requests that may crash targets, and the notes exchanged with other hosts about them.
 
 use std::time::Instant;
 
 use rand::Rng;
 
-use super::{Ask, Engine, Id, Refusal, Verdict};
+use super::{Engine, Id, Refusal, RouteRequest, Verdict};
 use crate::catalog::TargetKey;
 use crate::steer::attempt::Reason;
 use crate::steer::fingerprint::Fingerprint;
-use crate::steer::quarantine::{Heard, News, Note, Verdict as Leave};
+use crate::steer::quarantine::{Heard, News, Note, Verdict as QuarantineVerdict};
 
 impl Engine {
-    /// Sends a first try on its way if it may be sent, as far as it is suspected to crash targets. What is not known at
-    /// `until` is sent.
-    pub(super) fn permit(
+    /// Dispatches a first attempt unless the quarantine refuses it. A request whose status is still undecided at `until` is
+    /// dispatched.
+    pub(super) fn admit_unless_quarantined(
         &mut self,
         now: Instant,
         until: Instant,
-        ask: Ask,
+        request: RouteRequest,
         rng: &mut impl Rng,
     ) -> Option<Verdict> {
-        let (leave, told) = self.quarantine.ask(now, ask.fingerprint);
-        self.notes.extend(told);
-        match leave {
-            Leave::Refused(retry_after) => Some(Verdict::Refused(Refusal {
+        let (verdict, notes) = self.quarantine.ask(now, request.fingerprint);
+        self.quarantine_notes.extend(notes);
+        match verdict {
+            QuarantineVerdict::Refused(retry_after) => Some(Verdict::Refused(Refusal {
                 reason: Reason::Quarantined,
                 retry_after,
             })),
-            Leave::Wait if now < until => {
-                self.unsure.push((until, ask));
+            QuarantineVerdict::Wait if now < until => {
+                self.undecided.push((until, request));
                 None
             }
-            Leave::Alone => self.place_alone(now, ask, rng),
-            Leave::Wait | Leave::Free => self.place(now, ask, rng),
+            QuarantineVerdict::Alone => self.dispatch_suspect(now, request, rng),
+            QuarantineVerdict::Wait | QuarantineVerdict::Free => self.dispatch(now, request, rng),
         }
     }
 
-    /// Sends a suspected request on its way, and keeps its leave while it is at a target of this zone. A host of another zone
-    /// gives leave of its own.
-    fn place_alone(&mut self, now: Instant, ask: Ask, rng: &mut impl Rng) -> Option<Verdict> {
-        let (id, fingerprint) = (ask.id, ask.fingerprint);
-        let verdict = self.place(now, ask, rng);
+    /// Dispatches a suspected request and keeps its permit while a target of this zone serves it or it is queued for one. A host
+    /// of another zone decides on its own permit.
+    fn dispatch_suspect(
+        &mut self,
+        now: Instant,
+        request: RouteRequest,
+        rng: &mut impl Rng,
+    ) -> Option<Verdict> {
+        let (id, fingerprint) = (request.id, request.fingerprint);
+        let verdict = self.dispatch(now, request, rng);
         match verdict {
             None | Some(Verdict::Target { .. }) => {
-                self.leaves.insert(id, fingerprint);
+                self.suspect_permits.insert(id, fingerprint);
             }
             Some(Verdict::Host(_) | Verdict::Refused(_)) => self.quarantine.done(fingerprint),
         }
         verdict
     }
 
-    /// A request's tries at targets of this zone have ended, or it was refused.
-    pub fn done(&mut self, id: Id) {
-        if let Some(fingerprint) = self.leaves.remove(&id) {
+    /// Releases the permit of a suspected request whose attempts in this zone have ended, or that was refused.
+    pub fn release_suspect_permit(&mut self, id: Id) {
+        if let Some(fingerprint) = self.suspect_permits.remove(&id) {
             self.quarantine.done(fingerprint);
         }
     }
 
-    /// A try that began at `begun` broke off at a target, after the request had been sent and before its answer was whole.
-    pub fn broke(
+    /// Records that an attempt begun at `begun` was cut off by a target after the request had been sent and before the answer was
+    /// complete.
+    pub fn record_crash(
         &mut self,
         now: Instant,
         fingerprint: Fingerprint,
         target: TargetKey,
         begun: Instant,
     ) {
-        let digest = self.digest(target);
+        let digest = self.target_digest(target);
         let News { counters, all } = self.quarantine.broke(now, fingerprint, digest, begun);
-        self.notes.extend(counters.into_iter().chain(all));
+        self.quarantine_notes
+            .extend(counters.into_iter().chain(all));
     }
 
-    /// A target has answered a request.
-    pub fn answered(&mut self, now: Instant, fingerprint: Fingerprint) {
-        let told = self.quarantine.answered(now, fingerprint);
-        self.notes.extend(told);
+    /// Records that a target answered a request.
+    pub fn record_answer(&mut self, now: Instant, fingerprint: Fingerprint) {
+        let notes = self.quarantine.answered(now, fingerprint);
+        self.quarantine_notes.extend(notes);
     }
 
-    /// Takes in what another host tells of requests that crash targets; says whether that is new here.
-    pub fn hear(&mut self, now: Instant, note: &Note) -> bool {
+    /// Merges a quarantine note of another host; returns whether it was new.
+    pub fn merge_note(&mut self, now: Instant, note: &Note) -> bool {
         let Heard { is_new, all } = self.quarantine.hear(now, note);
-        self.notes.extend(all);
+        self.quarantine_notes.extend(all);
         is_new
     }
 
-    /// Takes what other hosts are to be told of requests that crash targets.
+    /// Removes and returns the quarantine notes to publish to other hosts.
     pub fn notes(&mut self) -> Vec<Note> {
-        std::mem::take(&mut self.notes)
+        std::mem::take(&mut self.quarantine_notes)
     }
 
-    /// How all suspected and refused requests stand, for a host that may not know of them.
+    /// Returns the state of all suspected and quarantined requests, for a host that may lack it.
     pub fn standings(&self, now: Instant) -> Vec<Note> {
         self.quarantine.standings(now).collect()
     }
--- a/src/steer/engine/rate.rs
+++ b/src/steer/engine/rate.rs
@@ -1,7 +1,7 @@
-//! Targets that name the rate that they take from all hosts together, as the hosts of their zone share it.
+//! Rate limits that targets announce for all hosts together, divided among the hosts of their zone.
 //!
-//! Only hosts of a target's zone send to it. The first of them by rendezvous hashing have a part of its rate each, and the others send
-//! it nothing, so no message is needed for a request; what a target names is told to all.
+//! Only hosts of a target's zone send to it. The first hosts by rendezvous hashing each get an equal part of its rate, and the others
+//! send it nothing, so no message is needed per request. The announced rate is published to all hosts.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -13,68 +13,70 @@
 use crate::steer::throttle::News;
 
 impl Engine {
-    /// Takes in what a target's answer to a request said that was sent at `at`. Gives what the other hosts are to be told.
-    pub fn state(
+    /// Records the rate in a target's answer to a request that was sent at `at`. Returns the news to publish to other hosts.
+    pub fn record_rate(
         &mut self,
         now: Instant,
         target: TargetKey,
         at: Instant,
         rate: Option<f64>,
     ) -> Option<News> {
-        let digest = self.digest(target);
+        let digest = self.target_digest(target);
         let before = self.throttle.rate(digest);
         let news = self.throttle.state(now, digest, at, rate);
         if self.throttle.rate(digest) != before {
-            self.share_rates(now);
+            self.apply_rate_shares(now);
         }
         news
     }
 
-    /// Takes in what another host knows of a target's rate; says whether the target begins or ends to name one by that.
-    pub fn hear_rate(&mut self, now: Instant, news: &News) -> bool {
+    /// Merges another host's news of a target's rate; returns whether the target starts or stops announcing a rate by it.
+    pub fn merge_rate(&mut self, now: Instant, news: &News) -> bool {
         let is_news = self.throttle.hear(now, news);
         if is_news {
-            self.share_rates(now);
+            self.apply_rate_shares(now);
         }
         is_news
     }
 
-    /// The targets of this zone that name a rate.
-    pub fn limited(&self) -> BTreeSet<TargetKey> {
+    /// Returns the targets of this zone that announce a rate.
+    pub fn rate_limited_targets(&self) -> BTreeSet<TargetKey> {
         let sites = self.groups.keys().filter_map(|service| {
             let site = self.catalog.site(*service, self.zone?)?;
             Some(site.targets.iter().copied())
         });
         sites
             .flatten()
-            .filter(|target| self.throttle.rate(self.digest(*target)).is_some())
+            .filter(|target| self.throttle.rate(self.target_digest(*target)).is_some())
             .collect()
     }
 
-    /// What is known of the rates that targets name, for a host that may not know of them.
-    pub fn rates(&self, now: Instant) -> Vec<News> {
+    /// Returns all known rates, for a host that may lack them.
+    pub fn known_rates(&self, now: Instant) -> Vec<News> {
         self.throttle.news(now).collect()
     }
 
-    /// Forgets rates that are of no more use.
+    /// Drops expired rates.
     pub(super) fn expire_rates(&mut self, now: Instant) {
         if self.throttle.expire(now) {
-            self.share_rates(now);
+            self.apply_rate_shares(now);
         }
     }
 
-    /// Sets what this host may send to each target that names a rate.
-    pub(super) fn share_rates(&mut self, now: Instant) {
+    /// Sets this host's share of the rate of each target that announces one.
+    pub(super) fn apply_rate_shares(&mut self, now: Instant) {
         let Some(zone) = self.zone else {
             return;
         };
-        // Until the live hosts are known, all of the zone are taken to be there.
+        // Until the live hosts are known, all configured hosts of the zone count as live.
         let is_settling = self.is_settling(now);
         let hosts: Vec<u64> = self
             .catalog
             .hosts()
             .filter(|(_, host)| host.zone == zone && host.state != State::Off)
-            .filter(|(key, host)| is_settling || self.live.contains(key) || host.name == self.host)
+            .filter(|(key, host)| {
+                is_settling || self.live_hosts.contains(key) || host.name == self.host
+            })
             .map(|(_, host)| xxh3_64(host.name.as_bytes()))
             .collect();
         let own = xxh3_64(self.host.as_bytes());
@@ -85,21 +87,21 @@
                 let share = self.throttle.rate(digest).map(|rate| {
                     let keepers = self.throttle.keepers(digest, hosts.len());
                     let rank = |host: &u64| xxh3_64_with_seed(&host.to_le_bytes(), digest);
-                    let before = hosts.iter().filter(|host| rank(host) > rank(&own));
-                    let is_keeper = before.take(keepers).count() < keepers;
+                    let preceding = hosts.iter().filter(|host| rank(host) > rank(&own));
+                    let is_keeper = preceding.take(keepers).count() < keepers;
                     if is_keeper {
                         rate / keepers as f64
                     } else {
                         0.0
                     }
                 });
-                group.set_share(now, target, share);
+                group.set_rate_share(now, target, share);
             }
         }
     }
 
-    /// What hosts know a target by between each other.
-    pub(super) fn digest(&self, target: TargetKey) -> u64 {
+    /// Returns the hash of a target's name, which identifies it in messages between hosts.
+    pub(super) fn target_digest(&self, target: TargetKey) -> u64 {
         xxh3_64(self.catalog.target(target).name.as_bytes())
     }
 }
--- a/src/steer/group.rs
+++ b/src/steer/group.rs
@@ -1,11 +1,11 @@
-//! The targets of one service in one availability zone, as one host sees them.
+//! The targets of one service in one availability zone, as seen by one host.
 //!
-//! The aggregate decides which request goes to which target, waits or is refused. Other hosts of
-//! the zone use the same targets; a host knows only its own requests and what answers report, so
-//! every rule here holds for its own share and stays true when it is added up over the hosts.
+//! A [`Group`] assigns each request to a target, queues it or refuses it. Other hosts of the zone use
+//! the same targets. A host knows only its own requests and the loads that answers report, so every
+//! limit here applies to its own share and still holds when the shares of all hosts are added up.
 //!
-//! A request is over in one of three ways: it is admitted ([`Grant`]), refused ([`Refusal`]) or
-//! cancelled by its owner. Whoever holds a grant must hand it back with [`Group::finish`].
+//! A request leaves the group in one of three ways: it is admitted ([`Grant`]), refused ([`Refusal`])
+//! or cancelled by its owner. Each grant must be returned with [`Group::finish`].
 
 mod member;
 mod request;
@@ -23,60 +23,60 @@
 use crate::border::settings::Steer;
 use crate::catalog::{self, Catalog, ServiceKey, TargetKey, ZoneKey};
 
-use member::{allowed, fraction, Member, Seat, Share};
+use member::{max_in_flight, warm_fraction, Candidate, Member, RateShare};
 
 pub use super::limit::Load;
 pub use super::queue::{Id, Order};
 pub use crate::border::settings::{Pick, Switch};
 pub use request::{
-    Ask, End, Grant, Headroom, Health, Reason, Refusal, Report, Source, State, Verdict,
+    End, Grant, Headroom, Health, Reason, Refusal, Report, Source, State, TargetRequest, Verdict,
 };
 
-/// Requests that may wait, when nothing else is set.
-const QUEUE: usize = 1024;
-/// Latency to reckon with before the first answer, in seconds.
-const UNKNOWN_LATENCY: f64 = 0.005;
-/// Weight of one answer in the group's mean time to hold a target.
-const HOLD_WEIGHT: f64 = 0.02;
-/// The least advice to a refused caller on when to come back.
-const RETRY_AFTER: Duration = Duration::from_millis(250);
-/// How long the figures of the whole group may be old.
-const TALLY_AGE: Duration = Duration::from_millis(2);
-/// Time for which a draining header holds against other sources.
-const DRAIN_HOLD: Duration = Duration::from_secs(10);
-/// Factor on the cost of the target that holds the content; a target with one request more in
-/// flight costs as much again.
-const NEAR: f64 = 0.6;
-/// Time over which a lasting rise of the latency is taken for the latency without queueing.
-const BASELINE_AGE: Duration = Duration::from_secs(60);
-/// The part of the slots that may be ejected.
-const EJECT_SHARE: f64 = 0.5;
-/// A probe is a request that has time for the wait and as many latencies again.
-const PROBE_SLACK: f64 = 4.0;
-/// Waiting requests that are looked at for a target that came free.
-const TRIES: usize = 8;
-/// Time after which a queue that never emptied shows overload rather than a spike, in mean times
-/// to hold a target.
-const SPIKE: f64 = 1.0;
-/// The wait allowed under overload, in mean times to hold a target.
-const PATIENCE: f64 = 0.5;
-
-/// How a group decides.
+/// Default limit on queued requests.
+const DEFAULT_QUEUE_LENGTH: usize = 1024;
+/// Assumed latency before the first answer, in seconds.
+const DEFAULT_LATENCY_SECONDS: f64 = 0.005;
+/// Weight of one answer in the moving average of the time that a request occupies a target.
+const HOLD_SECONDS_WEIGHT: f64 = 0.02;
+/// Minimum delay before a refused caller should retry.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
+/// Maximum age of the group's statistics.
+const MAX_STATS_AGE: Duration = Duration::from_millis(2);
+/// Time during which a draining header takes precedence over a serving health check.
+const DRAINING_HEADER_PRECEDENCE: Duration = Duration::from_secs(10);
+/// Factor on the cost of the target preferred by affinity. Once that target has one more request in
+/// flight than an idle one, it no longer costs less.
+const AFFINITY_COST_FACTOR: f64 = 0.6;
+/// Time after which a lasting rise of the latency is accepted as the new latency without queueing.
+const BASELINE_RISE_TIME: Duration = Duration::from_secs(60);
+/// Maximum fraction of the slots that may be ejected.
+const MAX_EJECTED_SHARE: f64 = 0.5;
+/// Minimum time left for a request that probes an ejected target, in median latencies.
+const PROBE_SLACK_LATENCIES: f64 = 4.0;
+/// Maximum number of queued requests examined for a target that became free.
+const MAX_QUEUE_SCAN: usize = 8;
+/// Time after which a queue that never emptied counts as overload instead of a spike, in mean hold
+/// times.
+const OVERLOAD_AFTER_HOLD_TIMES: f64 = 1.0;
+/// Maximum expected wait under overload, in mean hold times.
+const MAX_OVERLOAD_WAIT_HOLD_TIMES: f64 = 0.5;
+
+/// Settings of a group.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The choice among usable targets.
+    /// Selection among usable targets.
     pub pick: Pick,
-    /// Adaptive concurrency; off leaves only the share of the connections.
+    /// Adaptive concurrency limit; if off, only the host's share of the connections limits a target.
     pub limit: Switch,
-    /// Outlier ejection and rests after failures.
+    /// Outlier ejection and backoff after failures.
     pub eject: Switch,
     /// Slow start.
     pub warm: Switch,
     /// Preference for the target that served the same content before.
     pub affinity: Switch,
-    /// Which waiting request goes first.
+    /// Order of queued requests.
     pub order: Order,
-    /// Requests that may wait.
+    /// Limit on queued requests.
     pub queue: usize,
 }
 
@@ -87,7 +87,7 @@
 }
 
 impl Config {
-    /// From a host's settings.
+    /// Creates the configuration from a host's settings.
     pub fn new(steer: &Steer) -> Self {
         Self {
             pick: steer.pick,
@@ -96,11 +96,11 @@
             warm: steer.warm,
             affinity: steer.affinity,
             order: Order::Fifo,
-            queue: QUEUE,
+            queue: DEFAULT_QUEUE_LENGTH,
         }
     }
 
-    /// With nothing but the choice of a target, as a baseline for measurements.
+    /// Creates a configuration with target selection only, as a baseline for measurements.
     pub fn with_pick_alone(pick: Pick) -> Self {
         Self {
             pick,
@@ -113,35 +113,35 @@
     }
 }
 
-/// Figures of the whole group, kept for a short time.
+/// Statistics of the whole group, cached for [`MAX_STATS_AGE`].
 #[derive(Clone, Copy, Debug)]
-struct Tally {
-    at: Option<Instant>,
+struct GroupStats {
+    computed_at: Option<Instant>,
     slots: u32,
     ejected: u32,
     cold: f64,
     limit: f64,
-    median: f64,
-    others: f64,
-    success: f64,
-    probes: bool,
-    /// When a rest or an ejection ends next.
-    change: Option<Instant>,
+    median_latency: f64,
+    median_foreign_load: f64,
+    mean_success_rate: f64,
+    is_probe_due: bool,
+    /// Earliest end of a backoff or an ejection.
+    next_change: Option<Instant>,
 }
 
-impl Default for Tally {
+impl Default for GroupStats {
     fn default() -> Self {
         Self {
-            at: None,
+            computed_at: None,
             slots: 0,
             ejected: 0,
             cold: 0.0,
             limit: 0.0,
-            median: UNKNOWN_LATENCY,
-            others: 0.0,
-            success: 1.0,
-            probes: false,
-            change: None,
+            median_latency: DEFAULT_LATENCY_SECONDS,
+            median_foreign_load: 0.0,
+            mean_success_rate: 1.0,
+            is_probe_due: false,
+            next_change: None,
         }
     }
 }
@@ -151,39 +151,39 @@
 pub struct Group {
     config: Config,
     members: Vec<Member>,
-    seats: Vec<Seat>,
+    candidates: Vec<Candidate>,
     index: BTreeMap<TargetKey, usize>,
     picker: Picker,
-    queue: Queue<Ask>,
+    queue: Queue<TargetRequest>,
     shed: Vec<(Id, Refusal)>,
-    tally: Tally,
+    stats: GroupStats,
     in_flight: u32,
-    hold: f64,
-    baseline: f64,
-    known: bool,
+    mean_hold_seconds: f64,
+    baseline_latency: f64,
+    is_configured: bool,
 }
 
 impl Group {
-    /// A group without targets.
+    /// Creates a group without targets.
     pub fn new(config: Config) -> Self {
         Self {
             members: Vec::new(),
-            seats: Vec::new(),
+            candidates: Vec::new(),
             index: BTreeMap::new(),
             picker: Picker::new(config.pick),
             queue: Queue::new(config.order, config.queue),
             shed: Vec::new(),
-            tally: Tally::default(),
+            stats: GroupStats::default(),
             in_flight: 0,
-            hold: UNKNOWN_LATENCY,
-            baseline: f64::INFINITY,
-            known: false,
+            mean_hold_seconds: DEFAULT_LATENCY_SECONDS,
+            baseline_latency: f64::INFINITY,
+            is_configured: false,
             config,
         }
     }
 
-    /// Takes the targets of `service` in `zone` from a revision, to be shared by `hosts` hosts
-    /// configured there. What is known of targets that stay is kept.
+    /// Applies the targets of `service` in `zone` from a configuration revision, shared by `hosts` hosts
+    /// configured there. Targets that remain keep their measurements and state.
     pub fn update(
         &mut self,
         now: Instant,
@@ -203,31 +203,31 @@
         }
         self.members
             .retain(|member| member.in_flight > 0 || listed.contains(&member.key));
-        self.lay_index();
+        self.rebuild_index();
         for &key in &listed {
             self.update_member(now, catalog, key, hosts);
         }
-        self.known = true;
-        self.refresh(now);
+        self.is_configured = true;
+        self.refresh_stats(now);
     }
 
-    fn lay_index(&mut self) {
+    fn rebuild_index(&mut self) {
         self.index = self
             .members
             .iter()
             .enumerate()
-            .map(|(place, member)| (member.key, place))
+            .map(|(position, member)| (member.key, position))
             .collect();
     }
 
     fn update_member(&mut self, now: Instant, catalog: &Catalog, key: TargetKey, hosts: usize) {
         let target = catalog.target(key);
         let state = catalog.target_state(key);
-        let place = match self.index.get(&key) {
-            Some(&place) => place,
+        let position = match self.index.get(&key) {
+            Some(&position) => position,
             None => {
                 let mut member = Member::new(key, target, hosts);
-                if self.known {
+                if self.is_configured {
                     member.warm.start(now);
                 }
                 self.members.push(member);
@@ -235,83 +235,84 @@
                 self.members.len() - 1
             }
         };
-        let member = &mut self.members[place];
-        let was = member.is_serving();
+        let member = &mut self.members[position];
+        let was_serving = member.is_serving();
         member.configured = state;
         member.slots = target.slots;
         member.limit = member
             .limit
             .with_size(target.slots, target.connections, hosts);
         member.warm = member.warm.with_ramp(target.warm);
-        if !was && member.is_serving() {
+        if !was_serving && member.is_serving() {
             member.warm.start(now);
         }
     }
 
-    /// Takes in what `source` says of a target. One that says draining is enough to stop new work.
+    /// Records the state of a target as reported by `source`. One source reporting draining is enough to
+    /// stop new requests.
     pub fn set_state(&mut self, now: Instant, target: TargetKey, source: Source, state: State) {
-        let Some(&place) = self.index.get(&target) else {
+        let Some(&position) = self.index.get(&target) else {
             return;
         };
-        let member = &mut self.members[place];
-        let was = member.is_serving();
+        let member = &mut self.members[position];
+        let was_serving = member.is_serving();
         if state == State::Draining {
-            member.leaving.insert(source, now);
+            member.draining_sources.insert(source, now);
         } else {
-            member.leaving.remove(&source);
+            member.draining_sources.remove(&source);
             if source == Source::Health {
-                let held = |at: &Instant| now < *at + DRAIN_HOLD;
+                let is_recent = |at: &Instant| now < *at + DRAINING_HEADER_PRECEDENCE;
                 member
-                    .leaving
-                    .retain(|&source, at| source != Source::Header || held(at));
+                    .draining_sources
+                    .retain(|&source, at| source != Source::Header || is_recent(at));
             }
         }
-        let fresh = state == State::Cold && member.word != State::Cold;
+        let is_newly_cold = state == State::Cold && member.header_state != State::Cold;
         if source == Source::Header {
-            member.word = state;
+            member.header_state = state;
         }
-        let back = !was && member.is_serving();
-        let cools = back || (fresh && source == Source::Header);
-        if cools {
+        let is_restored = !was_serving && member.is_serving();
+        let needs_warm_up = is_restored || (is_newly_cold && source == Source::Header);
+        if needs_warm_up {
             member.warm.start(now);
         }
-        if cools || was != member.is_serving() {
-            self.refresh(now);
+        if needs_warm_up || was_serving != member.is_serving() {
+            self.refresh_stats(now);
         }
     }
 
-    /// Takes in what a target's health endpoint says. It may lag or mislead, so it only makes
-    /// ejection quicker.
-    pub fn health(&mut self, target: TargetKey, health: Health) {
-        if let Some(&place) = self.index.get(&target) {
-            self.members[place].health = health;
+    /// Records the result of a target's health check. It may be late or wrong, so it only speeds up
+    /// ejection.
+    pub fn set_health(&mut self, target: TargetKey, health: Health) {
+        if let Some(&position) = self.index.get(&target) {
+            self.members[position].health = health;
         }
     }
 
-    /// Decides on a request.
-    pub fn admit(&mut self, now: Instant, ask: Ask, rng: &mut impl Rng) -> Verdict {
-        self.refresh_if_old(now);
-        if let Some(reason) = self.hopeless(now, &ask) {
+    /// Admits, queues or refuses a request.
+    pub fn admit(&mut self, now: Instant, request: TargetRequest, rng: &mut impl Rng) -> Verdict {
+        self.refresh_stats_if_old(now);
+        if let Some(reason) = self.rejection_reason(now, &request) {
             return Verdict::Refuse(self.refusal(reason));
         }
-        if let Some(place) = self.place(now, &ask, rng) {
-            return Verdict::Go(self.grant(now, place));
+        if let Some(position) = self.choose_target(now, &request, rng) {
+            return Verdict::Admit(self.grant(now, position));
         }
-        if let Some(wait) = self.opens_in(now, &ask) {
+        if let Some(wait) = self.rate_limit_wait(now, &request) {
             return Verdict::Refuse(Refusal {
                 reason: Reason::Overload,
-                retry_after: wait.max(RETRY_AFTER),
+                retry_after: wait.max(MIN_RETRY_AFTER),
             });
         }
-        self.wait(now, ask)
+        self.enqueue(now, request)
     }
 
-    /// The time until a target may take a request, if all that are left for it name rates and have given out what they take. Others
-    /// come free with each answer; these don't, and a request that waits for one of them holds up those behind it.
-    fn opens_in(&self, now: Instant, ask: &Ask) -> Option<Duration> {
+    /// Returns the time until a target may take a request if all untried targets have used up their rate limits. Targets without a
+    /// rate limit become free with each answer; these don't, and a request queued for one of them would block those behind it.
+    fn rate_limit_wait(&self, now: Instant, request: &TargetRequest) -> Option<Duration> {
         let mut first = None;
-        for member in used(&self.members).filter(|member| !member.has_tried(ask)) {
-            let wait = member.opens_in(now);
+        for member in in_rotation(&self.members).filter(|member| !member.has_tried(request)) {
+            let wait = member.rate_limit_wait(now);
             if wait.is_zero() {
                 return None;
             }
@@ -320,21 +321,21 @@
         first
     }
 
-    /// Sets the requests a second that this host may send to a target, of the rate that the target names; none if it names none.
-    pub fn set_share(&mut self, now: Instant, target: TargetKey, rate: Option<f64>) {
-        let Some(&place) = self.index.get(&target) else {
+    /// Sets this host's share of the rate limit that a target announces, in requests per second; `None` if it announces none.
+    pub fn set_rate_share(&mut self, now: Instant, target: TargetKey, rate: Option<f64>) {
+        let Some(&position) = self.index.get(&target) else {
             return;
         };
-        let share = &mut self.members[place].share;
-        *share = rate.map(|rate| Share {
+        let share = &mut self.members[position].rate_share;
+        *share = rate.map(|rate| RateShare {
             rate,
             bucket: share.map_or(Bucket::new(now), |share| share.bucket),
         });
     }
 
-    /// Whether no target could take the request, however long it waited.
-    fn hopeless(&self, now: Instant, ask: &Ask) -> Option<Reason> {
-        if ask.deadline <= now {
+    /// Returns the reason to refuse a request that no target could serve even after a wait, if there is one.
+    fn rejection_reason(&self, now: Instant, request: &TargetRequest) -> Option<Reason> {
+        if request.deadline <= now {
             return Some(Reason::Deadline);
         }
         let mut serving = self
@@ -345,129 +346,152 @@
         if serving.peek().is_none() {
             return Some(Reason::NoTarget);
         }
-        if !ask.exclude.is_empty() && serving.all(|member| member.has_tried(ask)) {
+        if !request.exclude.is_empty() && serving.all(|member| member.has_tried(request)) {
             return Some(Reason::Tried);
         }
         None
     }
 
-    fn wait(&mut self, now: Instant, ask: Ask) -> Verdict {
-        let start_by = ask
+    fn enqueue(&mut self, now: Instant, request: TargetRequest) -> Verdict {
+        let start_by = request
             .deadline
-            .checked_sub(Duration::from_secs_f64(self.hold))
+            .checked_sub(Duration::from_secs_f64(self.mean_hold_seconds))
             .unwrap_or(now);
-        let expected = self.expected(self.queue.ahead(ask.priority) + 1);
+        let expected = self.expected_wait(self.queue.ahead(request.priority) + 1);
         if now + expected > start_by {
             return Verdict::Refuse(self.refusal(Reason::Deadline));
         }
-        if self.is_overloaded(now) && expected.as_secs_f64() > self.hold * PATIENCE {
+        if self.is_overloaded(now)
+            && expected.as_secs_f64() > self.mean_hold_seconds * MAX_OVERLOAD_WAIT_HOLD_TIMES
+        {
             return Verdict::Refuse(self.refusal(Reason::Overload));
         }
-        let id = ask.id;
+        let id = request.id;
         let entry = Entry {
             id,
-            priority: ask.priority,
+            priority: request.priority,
             start_by,
             since: now,
-            item: ask,
+            item: request,
         };
-        let Some(out) = self.queue.push(entry) else {
+        let Some(dropped) = self.queue.push(entry) else {
             return Verdict::Wait;
         };
         let refusal = self.refusal(Reason::Full);
-        if out.id == id {
+        if dropped.id == id {
             return Verdict::Refuse(refusal);
         }
-        self.shed.push((out.id, refusal));
+        self.shed.push((dropped.id, refusal));
         Verdict::Wait
     }
 
-    /// The time in which so many waiting requests start, at the measured rate.
-    fn expected(&self, count: usize) -> Duration {
-        let rate = self.tally.limit.max(1.0) / self.hold;
+    /// Returns the expected time until `count` queued requests have started, at the measured rate.
+    fn expected_wait(&self, count: usize) -> Duration {
+        let rate = self.stats.limit.max(1.0) / self.mean_hold_seconds;
         Duration::from_secs_f64(count as f64 / rate)
     }
 
     fn is_overloaded(&self, now: Instant) -> bool {
         self.queue.busy_since().is_some_and(|since| {
-            now.saturating_duration_since(since).as_secs_f64() > self.hold * SPIKE
+            now.saturating_duration_since(since).as_secs_f64()
+                > self.mean_hold_seconds * OVERLOAD_AFTER_HOLD_TIMES
         })
     }
 
     fn refusal(&self, reason: Reason) -> Refusal {
         Refusal {
             reason,
-            retry_after: self.expected(self.queue.len()).max(RETRY_AFTER),
+            retry_after: self.expected_wait(self.queue.len()).max(MIN_RETRY_AFTER),
         }
     }
 
-    /// Chooses a target for a request, if one is free.
-    fn place(&mut self, now: Instant, ask: &Ask, rng: &mut impl Rng) -> Option<usize> {
-        if self.config.limit == Switch::On && f64::from(self.in_flight) >= self.tally.limit.ceil() {
+    /// Selects a free target for a request and returns its position.
+    fn choose_target(
+        &mut self,
+        now: Instant,
+        request: &TargetRequest,
+        rng: &mut impl Rng,
+    ) -> Option<usize> {
+        if self.config.limit == Switch::On && f64::from(self.in_flight) >= self.stats.limit.ceil() {
             return None;
         }
-        if let Some(place) = self.probe(now, ask) {
-            return Some(place);
+        if let Some(position) = self.probe_target(now, request) {
+            return Some(position);
         }
-        let place = self.choose(now, ask, rng, true)?;
-        let part = self.seats[place].fraction;
-        if part < 1.0 && rng.random::<f64>() >= part {
-            return self.choose(now, ask, rng, false).or(Some(place));
+        let position = self.choose_free(now, request, rng, true)?;
+        let fraction = self.candidates[position].warm_fraction;
+        if fraction < 1.0 && rng.random::<f64>() >= fraction {
+            return self
+                .choose_free(now, request, rng, false)
+                .or(Some(position));
         }
-        Some(place)
+        Some(position)
     }
 
-    /// The best free target; `cold` says whether one that warms up will do.
-    fn choose(&mut self, now: Instant, ask: &Ask, rng: &mut impl Rng, cold: bool) -> Option<usize> {
+    /// Selects the free target with the lowest cost; `cold` includes targets that are warming up.
+    fn choose_free(
+        &mut self,
+        now: Instant,
+        request: &TargetRequest,
+        rng: &mut impl Rng,
+        cold: bool,
+    ) -> Option<usize> {
         let (members, pick) = (&self.members, self.config.pick);
-        let near = self.preferred(ask);
-        self.picker.choose(&self.seats, rng, |place, seat| {
-            let usable = seat.is_free()
-                && (cold || seat.fraction >= 1.0)
-                && (ask.exclude.is_empty() || !members[place].has_tried(ask))
-                && members[place].opens_in(now).is_zero();
-            let factor = if near == Some(place) { NEAR } else { 1.0 };
-            usable.then(|| seat.cost(pick) * factor)
-        })
-    }
-
-    /// The target that requests of the same content go to while it is not busy, by rendezvous
-    /// hashing.
-    fn preferred(&self, ask: &Ask) -> Option<usize> {
-        if self.config.affinity == Switch::Off || ask.affinity == 0 {
+        let preferred = self.affinity_target(request);
+        self.picker
+            .choose(&self.candidates, rng, |position, candidate| {
+                let usable = candidate.is_free()
+                    && (cold || candidate.warm_fraction >= 1.0)
+                    && (request.exclude.is_empty() || !members[position].has_tried(request))
+                    && members[position].rate_limit_wait(now).is_zero();
+                let factor = if preferred == Some(position) {
+                    AFFINITY_COST_FACTOR
+                } else {
+                    1.0
+                };
+                usable.then(|| candidate.cost(pick) * factor)
+            })
+    }
+
+    /// Returns the target preferred for the request's affinity key, by rendezvous hashing.
+    fn affinity_target(&self, request: &TargetRequest) -> Option<usize> {
+        if self.config.affinity == Switch::Off || request.affinity == 0 {
             return None;
         }
-        let hash = |place: usize| {
-            let key = self.members[place].key.into_raw().into_u32();
-            xxh3_64_with_seed(&key.to_le_bytes(), ask.affinity)
+        let hash = |position: usize| {
+            let key = self.members[position].key.into_raw().into_u32();
+            xxh3_64_with_seed(&key.to_le_bytes(), request.affinity)
         };
-        (0..self.seats.len())
-            .filter(|&place| self.seats[place].allowed > 0)
-            .max_by_key(|&place| hash(place))
+        (0..self.candidates.len())
+            .filter(|&position| self.candidates[position].max_in_flight > 0)
+            .max_by_key(|&position| hash(position))
     }
 
-    /// An ejected target that is due for a probe, if the request can afford it.
-    fn probe(&mut self, now: Instant, ask: &Ask) -> Option<usize> {
-        if !self.tally.probes {
+    /// Returns an ejected target that is due for a probe, if the request has enough time left.
+    fn probe_target(&mut self, now: Instant, request: &TargetRequest) -> Option<usize> {
+        if !self.stats.is_probe_due {
             return None;
         }
-        let left = ask.deadline.saturating_duration_since(now).as_secs_f64();
+        let left = request
+            .deadline
+            .saturating_duration_since(now)
+            .as_secs_f64();
         self.members.iter().position(|member| {
             member.is_serving()
                 && member.in_flight == 0
                 && member.limit.hard() > 0
                 && member.eject.is_due(now)
-                && !member.has_tried(ask)
-                && member.opens_in(now).is_zero()
-                && left > PROBE_SLACK * self.tally.median
+                && !member.has_tried(request)
+                && member.rate_limit_wait(now).is_zero()
+                && left > PROBE_SLACK_LATENCIES * self.stats.median_latency
         })
     }
 
-    fn grant(&mut self, now: Instant, place: usize) -> Grant {
-        let member = &mut self.members[place];
-        member.spend(now);
+    fn grant(&mut self, now: Instant, position: usize) -> Grant {
+        let member = &mut self.members[position];
+        member.charge_rate(now);
         member.in_flight += 1;
-        self.seats[place].in_flight = member.in_flight;
+        self.candidates[position].in_flight = member.in_flight;
         self.in_flight += 1;
         Grant {
             target: member.key,
@@ -476,7 +500,7 @@
         }
     }
 
-    /// Takes back a grant. Returns the waiting requests that may now go.
+    /// Ends a grant and records its report. Returns the queued requests that are now admitted.
     pub fn finish(
         &mut self,
         now: Instant,
@@ -487,19 +511,24 @@
         if let Some(state) = report.state {
             self.set_state(now, grant.target, Source::Header, state);
         }
-        if let Some(&place) = self.index.get(&grant.target) {
-            self.learn(now, place, &report);
-            self.judge(now, place, &grant, &report, rng);
-            let member = &self.members[place];
-            self.seats[place] = Seat::new(&self.config, &self.tally, member, now);
-            self.tally.change = self.tally.change.into_iter().chain(member.rest).min();
+        if let Some(&position) = self.index.get(&grant.target) {
+            self.record_report(now, position, &report);
+            self.update_ejection(now, position, &grant, &report, rng);
+            let member = &self.members[position];
+            self.candidates[position] = Candidate::new(&self.config, &self.stats, member, now);
+            self.stats.next_change = self
+                .stats
+                .next_change
+                .into_iter()
+                .chain(member.backoff_until)
+                .min();
         }
         self.ready(now, rng)
     }
 
-    fn learn(&mut self, now: Instant, place: usize, report: &Report) {
-        let member = &mut self.members[place];
-        let full = member.in_flight >= member.limit.whole(member.warm.fraction());
+    fn record_report(&mut self, now: Instant, position: usize, report: &Report) {
+        let member = &mut self.members[position];
+        let is_full = member.in_flight >= member.limit.whole(member.warm.fraction());
         if let Some(load) = report.load {
             member.estimate.report(now, load, member.in_flight);
         }
@@ -508,19 +537,19 @@
         let seconds = report.latency.as_secs_f64();
         match report.end {
             End::Answered => {
-                member.refusals = 0;
-                member.rest = None;
+                member.consecutive_failures = 0;
+                member.backoff_until = None;
                 member.estimate.record(now, report.latency);
                 member.warm.answer(now);
-                let ratio = member.estimate.ratio(self.baseline);
-                member.limit.answer(now, full, ratio, report.load);
-                self.hold += (seconds - self.hold) * HOLD_WEIGHT;
+                let ratio = member.estimate.ratio(self.baseline_latency);
+                member.limit.answer(now, is_full, ratio, report.load);
+                self.mean_hold_seconds += (seconds - self.mean_hold_seconds) * HOLD_SECONDS_WEIGHT;
             }
             End::Refused => {
                 member.limit.refuse(now);
-                member.start_rest(now);
+                member.start_backoff(now);
             }
-            End::ConnectFailed | End::Broken => member.start_rest(now),
+            End::ConnectFailed | End::Broken => member.start_backoff(now),
             End::TimedOut | End::Cancelled => {
                 if member
                     .estimate
@@ -533,11 +562,11 @@
         }
     }
 
-    /// Ejects a target or takes in a probe.
-    fn judge(
+    /// Ejects a target that is an outlier, or applies the result of a probe.
+    fn update_ejection(
         &mut self,
         now: Instant,
-        place: usize,
+        position: usize,
         grant: &Grant,
         report: &Report,
         rng: &mut impl Rng,
@@ -545,62 +574,62 @@
         if self.config.eject == Switch::Off {
             return;
         }
-        let tally = self.tally;
-        let member = &mut self.members[place];
-        let Some(sign) = sign(report, tally.median) else {
+        let stats = self.stats;
+        let member = &mut self.members[position];
+        let Some(sign) = health_sign(report, stats.median_latency) else {
             return;
         };
         if !member.eject.is_in() {
             if grant.probe && member.eject.probe(now, sign, rng) {
                 member.warm.start(now);
             }
-            self.refresh(now);
+            self.refresh_stats(now);
             return;
         }
         member.eject.record(sign);
         let standing = Standing {
-            ratio: member.estimate.ratio(tally.median),
+            ratio: member.estimate.ratio(stats.median_latency),
             samples: member.estimate.samples(),
-            success: tally.success,
+            success: stats.mean_success_rate,
             down: member.health == Health::Down,
             cold: member.warm.is_cold(),
         };
-        let after = f64::from(tally.ejected + member.slots);
-        let allowed = f64::from(tally.slots) * EJECT_SHARE;
-        if member.is_serving() && after <= allowed && member.eject.is_outlier(&standing) {
+        let ejected_after = f64::from(stats.ejected + member.slots);
+        let allowed = f64::from(stats.slots) * MAX_EJECTED_SHARE;
+        if member.is_serving() && ejected_after <= allowed && member.eject.is_outlier(&standing) {
             member.eject.eject(now, rng);
             member.estimate.forget();
-            self.refresh(now);
+            self.refresh_stats(now);
         }
     }
 
-    /// Returns the waiting requests that may go now.
+    /// Returns the queued requests that are now admitted.
     pub fn ready(&mut self, now: Instant, rng: &mut impl Rng) -> Vec<(Id, Grant)> {
-        self.refresh_if_old(now);
+        self.refresh_stats_if_old(now);
         let mut ready = Vec::new();
-        while let Some((id, place)) = self.next(now, rng) {
-            ready.push((id, self.grant(now, place)));
+        while let Some((id, position)) = self.pop_ready(now, rng) {
+            ready.push((id, self.grant(now, position)));
         }
         ready
     }
 
-    fn next(&mut self, now: Instant, rng: &mut impl Rng) -> Option<(Id, usize)> {
+    fn pop_ready(&mut self, now: Instant, rng: &mut impl Rng) -> Option<(Id, usize)> {
         if self.queue.is_empty() {
             return None;
         }
         let mut queue = std::mem::replace(&mut self.queue, Queue::new(Order::Fifo, 0));
-        let found = queue.pop_fit(TRIES, |entry| {
+        let found = queue.pop_fit(MAX_QUEUE_SCAN, |entry| {
             if entry.start_by <= now {
                 return None;
             }
-            self.place(now, &entry.item, rng)
+            self.choose_target(now, &entry.item, rng)
         });
         self.queue = queue;
-        found.map(|(entry, place)| (entry.id, place))
+        found.map(|(entry, position)| (entry.id, position))
     }
 
-    /// Returns the requests that leave the queue without having run: those whose deadline cannot
-    /// be met any more, and those that had to make room.
+    /// Returns the requests that leave the queue unexecuted: those that can no longer meet their
+    /// deadline, those dropped from a full queue, and all if no target accepts requests.
     pub fn expire(&mut self, now: Instant) -> Vec<(Id, Refusal)> {
         let mut out = std::mem::take(&mut self.shed);
         while let Some(entry) = self.queue.pop_due(now) {
@@ -615,12 +644,12 @@
         out
     }
 
-    /// Takes a waiting request out. False if it does not wait; it was then admitted or refused.
+    /// Removes a queued request. Returns false if it is not queued, having been admitted or refused.
     pub fn cancel(&mut self, id: Id) -> bool {
         self.queue.remove(id).is_some()
     }
 
-    /// When to call [`Group::expire`] and [`Group::ready`] next, if nothing else happens.
+    /// Returns when to call [`Group::expire`] and [`Group::ready`] next if no other event occurs.
     pub fn next_wake(&self, now: Instant) -> Option<Instant> {
         if !self.shed.is_empty() {
             return Some(now);
@@ -635,9 +664,12 @@
         self.queue.next_due().into_iter().chain(change).min()
     }
 
-    /// When a target's rest or ejection ends next.
+    /// Returns the earliest end of a target's backoff or ejection.
     fn next_change(&self, now: Instant) -> Option<Instant> {
-        let rests = self.members.iter().filter_map(|member| member.rest);
+        let rests = self
+            .members
+            .iter()
+            .filter_map(|member| member.backoff_until);
         let ejections = self
             .members
             .iter()
@@ -645,114 +677,127 @@
         rests.chain(ejections).filter(|&at| at > now).min()
     }
 
-    /// The group's summary.
+    /// Returns the group's summary.
     pub fn headroom(&self) -> Headroom {
         Headroom {
-            slots: self.tally.slots,
+            slots: self.stats.slots,
             in_flight: self.in_flight,
-            limit: self.tally.limit.ceil() as u32,
+            limit: self.stats.limit.ceil() as u32,
             queued: self.queue.len(),
-            cold: self.tally.cold,
-            ejected: f64::from(self.tally.ejected) / f64::from(self.tally.slots.max(1)),
+            cold: self.stats.cold,
+            ejected: f64::from(self.stats.ejected) / f64::from(self.stats.slots.max(1)),
         }
     }
 
-    /// This host's requests at one target.
+    /// Returns the number of this host's requests in flight at one target.
     pub fn in_flight(&self, target: TargetKey) -> u32 {
         self.index
             .get(&target)
-            .map_or(0, |&place| self.members[place].in_flight)
+            .map_or(0, |&position| self.members[position].in_flight)
     }
 
-    /// What this host may have at one target at most, now.
+    /// Returns the current limit on this host's requests in flight at one target.
     pub fn limit(&self, target: TargetKey) -> u32 {
-        self.index
-            .get(&target)
-            .map_or(0, |&place| allowed(&self.config, &self.members[place]))
+        self.index.get(&target).map_or(0, |&position| {
+            max_in_flight(&self.config, &self.members[position])
+        })
     }
 
     /// Whether a target is ejected.
     pub fn is_ejected(&self, target: TargetKey) -> bool {
         self.index
             .get(&target)
-            .is_some_and(|&place| !self.members[place].eject.is_in())
+            .is_some_and(|&position| !self.members[position].eject.is_in())
     }
 
-    fn refresh_if_old(&mut self, now: Instant) {
-        let old = self.tally.at.is_none_or(|at| now >= at + TALLY_AGE);
-        let changed = self.tally.change.is_some_and(|at| now >= at);
-        if old || changed {
-            self.refresh(now);
+    fn refresh_stats_if_old(&mut self, now: Instant) {
+        let is_old = self
+            .stats
+            .computed_at
+            .is_none_or(|at| now >= at + MAX_STATS_AGE);
+        let has_changed = self.stats.next_change.is_some_and(|at| now >= at);
+        if is_old || has_changed {
+            self.refresh_stats(now);
         }
     }
 
-    /// Follows the latency without queueing: at once downwards, slowly upwards, so that a change
-    /// of the work itself is accepted in time.
-    fn follow_baseline(&mut self, now: Instant, median: f64) {
-        let age = self
-            .tally
-            .at
+    /// Updates the latency without queueing: it falls immediately and rises slowly, so that a lasting
+    /// change of the requests' cost is eventually accepted.
+    fn update_baseline(&mut self, now: Instant, median: f64) {
+        let elapsed = self
+            .stats
+            .computed_at
             .map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        let part = (age.as_secs_f64() / BASELINE_AGE.as_secs_f64()).min(1.0);
-        let risen = self.baseline + (median - self.baseline) * part;
-        self.baseline = if median < self.baseline {
+        let fraction = (elapsed.as_secs_f64() / BASELINE_RISE_TIME.as_secs_f64()).min(1.0);
+        let risen = self.baseline_latency + (median - self.baseline_latency) * fraction;
+        self.baseline_latency = if median < self.baseline_latency {
             median
         } else {
             risen
         };
     }
 
-    /// Works out the figures of the whole group anew.
-    fn refresh(&mut self, now: Instant) {
+    /// Recomputes the statistics of the whole group and the candidates.
+    fn refresh_stats(&mut self, now: Instant) {
         self.restore_excess(now);
         for member in &mut self.members {
             member.limit.fade(now);
         }
-        let latencies = used(&self.members).filter_map(|member| member.estimate.latency());
-        let typical = median(latencies).map(|found| found.max(f64::MIN_POSITIVE));
-        if let Some(typical) = typical {
-            self.follow_baseline(now, typical);
+        let latencies = in_rotation(&self.members).filter_map(|member| member.estimate.latency());
+        let median_latency = median(latencies).map(|found| found.max(f64::MIN_POSITIVE));
+        if let Some(median_latency) = median_latency {
+            self.update_baseline(now, median_latency);
         }
-        let used = || used(&self.members);
+        let members_in_rotation = || in_rotation(&self.members);
         let slots: u32 = serving(&self.members).map(|member| member.slots).sum();
-        let inside: u32 = used().map(|member| member.slots).sum();
-        let cold: u32 = used()
+        let in_rotation_slots: u32 = members_in_rotation().map(|member| member.slots).sum();
+        let cold: u32 = members_in_rotation()
             .filter(|member| self.config.warm == Switch::On && member.warm.is_cold())
             .map(|member| member.slots)
             .sum();
-        let count = used().count().max(1) as f64;
-        self.tally = Tally {
-            at: Some(now),
+        let count = members_in_rotation().count().max(1) as f64;
+        self.stats = GroupStats {
+            computed_at: Some(now),
             slots,
-            ejected: slots - inside,
+            ejected: slots - in_rotation_slots,
             cold: f64::from(cold) / f64::from(slots.max(1)),
-            limit: used().map(|member| fair(&self.config, member)).sum(),
-            median: typical.unwrap_or(self.tally.median),
-            others: median(used().map(|member| member.estimate.others())).unwrap_or(0.0),
-            success: used().map(|member| member.eject.success()).sum::<f64>() / count,
-            probes: serving(&self.members).any(|member| member.eject.is_due(now)),
-            change: self.next_change(now),
+            limit: members_in_rotation()
+                .map(|member| limit_contribution(&self.config, member))
+                .sum(),
+            median_latency: median_latency.unwrap_or(self.stats.median_latency),
+            median_foreign_load: median(
+                members_in_rotation().map(|member| member.estimate.others()),
+            )
+            .unwrap_or(0.0),
+            mean_success_rate: members_in_rotation()
+                .map(|member| member.eject.success())
+                .sum::<f64>()
+                / count,
+            is_probe_due: serving(&self.members).any(|member| member.eject.is_due(now)),
+            next_change: self.next_change(now),
         };
-        let seat = |member| Seat::new(&self.config, &self.tally, member, now);
-        self.seats.clear();
-        self.seats.extend(self.members.iter().map(seat));
+        let candidate = |member| Candidate::new(&self.config, &self.stats, member, now);
+        self.candidates.clear();
+        self.candidates.extend(self.members.iter().map(candidate));
     }
 
-    /// Brings ejected targets back while more than the allowed part is out, as when others drain.
+    /// Restores ejected targets while more than [`MAX_EJECTED_SHARE`] of the slots is ejected, as happens
+    /// when other targets drain.
     fn restore_excess(&mut self, now: Instant) {
         loop {
             let slots: u32 = serving(&self.members).map(|member| member.slots).sum();
-            let inside: u32 = used(&self.members).map(|member| member.slots).sum();
-            let out = slots - inside;
-            if f64::from(out) <= f64::from(slots) * EJECT_SHARE {
+            let in_rotation_slots: u32 =
+                in_rotation(&self.members).map(|member| member.slots).sum();
+            let ejected = slots - in_rotation_slots;
+            if f64::from(ejected) <= f64::from(slots) * MAX_EJECTED_SHARE {
                 return;
             }
-            let soonest = self
+            let next_restored = self
                 .members
                 .iter_mut()
                 .filter(|member| member.is_serving() && !member.eject.is_in())
                 .min_by_key(|member| member.eject.until());
-            let Some(member) = soonest else {
+            let Some(member) = next_restored else {
                 return;
             };
             member.eject.restore(now);
@@ -760,26 +805,26 @@
     }
 }
 
-/// Targets that take work, also those ejected.
+/// Returns the targets that accept requests, including ejected ones.
 fn serving(members: &[Member]) -> impl Iterator<Item = &Member> {
     members.iter().filter(|member| member.is_serving())
 }
 
-/// Targets that take work in the ordinary way.
-fn used(members: &[Member]) -> impl Iterator<Item = &Member> {
+/// Returns the targets that accept requests and are not ejected.
+fn in_rotation(members: &[Member]) -> impl Iterator<Item = &Member> {
     serving(members).filter(|member| member.eject.is_in())
 }
 
-/// What a target adds to the limit of the whole group.
-fn fair(config: &Config, member: &Member) -> f64 {
+/// Returns a target's contribution to the group's concurrency limit.
+fn limit_contribution(config: &Config, member: &Member) -> f64 {
     match config.limit {
-        Switch::On => member.limit.value() * fraction(config, member),
+        Switch::On => member.limit.value() * warm_fraction(config, member),
         Switch::Off => f64::from(member.limit.hard()),
     }
 }
 
-/// What a request's end shows of its target, if anything.
-fn sign(report: &Report, median: f64) -> Option<Sign> {
+/// Returns the evidence for outlier ejection in a request's report, if any.
+fn health_sign(report: &Report, median: f64) -> Option<Sign> {
     let slow = report.latency.as_secs_f64() > LATENCY_RATIO * median;
     match report.end {
         End::Answered if slow => Some(Sign::Slow),
@@ -790,7 +835,7 @@
     }
 }
 
-/// The upper median, if there are any values.
+/// Returns the upper median, or `None` without values.
 fn median(values: impl Iterator<Item = f64>) -> Option<f64> {
     let mut values: Vec<f64> = values.collect();
     if values.is_empty() {
--- a/src/steer/group/member.rs
+++ b/src/steer/group/member.rs
@@ -1,9 +1,9 @@
-//! One target of a group, and what the choice needs of it.
+//! State of one target of a group, and the data used to select among targets.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use super::{Ask, Config, Health, Pick, Source, State, Switch, Tally};
+use super::{Config, GroupStats, Health, Pick, Source, State, Switch, TargetRequest};
 use crate::catalog::{self, TargetKey};
 use crate::steer::eject::Eject;
 use crate::steer::limit::Limit;
@@ -11,35 +11,35 @@
 use crate::steer::throttle::{Bucket, Fit};
 use crate::steer::warm::Warm;
 
-/// The first rest of a target after a refusal or a failure; doubles with each in a row.
-const REST: Duration = Duration::from_millis(5);
-/// Doublings of the rest at most.
-const REST_DOUBLINGS: u32 = 7;
+/// Initial backoff of a target after a refusal or a failure; doubles with each consecutive one.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(5);
+/// Maximum number of doublings of the backoff.
+const MAX_BACKOFF_DOUBLINGS: u32 = 7;
 
-/// One target.
+/// One target of a group.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
     pub(super) key: TargetKey,
     pub(super) slots: u32,
     pub(super) configured: catalog::State,
-    pub(super) leaving: BTreeMap<Source, Instant>,
-    pub(super) word: State,
+    pub(super) draining_sources: BTreeMap<Source, Instant>,
+    pub(super) header_state: State,
     pub(super) health: Health,
     pub(super) in_flight: u32,
     pub(super) limit: Limit,
     pub(super) warm: Warm,
     pub(super) eject: Eject,
     pub(super) estimate: Estimate,
-    pub(super) refusals: u32,
-    pub(super) rest: Option<Instant>,
-    /// What this host has of the rate that the target names, if it names one.
-    pub(super) share: Option<Share>,
+    pub(super) consecutive_failures: u32,
+    pub(super) backoff_until: Option<Instant>,
+    /// This host's share of the rate limit that the target announces, if it announces one.
+    pub(super) rate_share: Option<RateShare>,
 }
 
-/// This host's part of the rate that a target names.
+/// This host's share of the rate limit that a target announces.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Share {
-    /// Requests a second.
+pub(super) struct RateShare {
+    /// Requests per second.
     pub(super) rate: f64,
     pub(super) bucket: Bucket,
 }
@@ -50,115 +50,115 @@
             key,
             slots: target.slots,
             configured: catalog::State::Serving,
-            leaving: BTreeMap::new(),
-            word: State::Serving,
+            draining_sources: BTreeMap::new(),
+            header_state: State::Serving,
             health: Health::Up,
             in_flight: 0,
             limit: Limit::new(target.slots, target.connections, hosts),
             warm: Warm::new(target.warm),
             eject: Eject::new(),
             estimate: Estimate::new(),
-            refusals: 0,
-            rest: None,
-            share: None,
+            consecutive_failures: 0,
+            backoff_until: None,
+            rate_share: None,
         }
     }
 
-    /// The time until this host may send a request, by the rate that the target names.
-    pub(super) fn opens_in(&self, now: Instant) -> Duration {
-        self.share.map_or(Duration::ZERO, |share| {
+    /// Returns the time until the target's rate limit allows this host to send a request.
+    pub(super) fn rate_limit_wait(&self, now: Instant) -> Duration {
+        self.rate_share.map_or(Duration::ZERO, |share| {
             share.bucket.room_in(now, share.rate, Fit::Own)
         })
     }
 
-    /// Counts a request against the rate that the target names.
-    pub(super) fn spend(&mut self, now: Instant) {
-        if let Some(share) = &mut self.share {
-            // An empty bucket gets nothing that could be taken: the choice passed over it.
+    /// Charges a request to this host's share of the target's rate limit.
+    pub(super) fn charge_rate(&mut self, now: Instant) {
+        if let Some(share) = &mut self.rate_share {
+            // The result can be ignored: selection skips targets whose bucket is empty.
             let _ = share.bucket.take(now, share.rate, Fit::Own, 1);
         }
     }
 
-    /// Whether new work may be sent at all.
+    /// Whether the target accepts new requests by its configured and reported states.
     pub(super) fn is_serving(&self) -> bool {
-        self.configured == catalog::State::Serving && self.leaving.is_empty()
+        self.configured == catalog::State::Serving && self.draining_sources.is_empty()
     }
 
-    pub(super) fn rests(&self, now: Instant) -> bool {
-        self.rest.is_some_and(|until| now < until)
+    pub(super) fn is_backing_off(&self, now: Instant) -> bool {
+        self.backoff_until.is_some_and(|until| now < until)
     }
 
-    pub(super) fn start_rest(&mut self, now: Instant) {
-        let factor = 1 << self.refusals.min(REST_DOUBLINGS);
-        self.refusals += 1;
-        self.rest = Some(now + REST * factor);
+    pub(super) fn start_backoff(&mut self, now: Instant) {
+        let factor = 1 << self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
+        self.consecutive_failures += 1;
+        self.backoff_until = Some(now + INITIAL_BACKOFF * factor);
     }
 
-    pub(super) fn has_tried(&self, ask: &Ask) -> bool {
-        ask.exclude.contains(&self.key)
+    pub(super) fn has_tried(&self, request: &TargetRequest) -> bool {
+        request.exclude.contains(&self.key)
     }
 }
 
-/// What the choice needs of one target, close together as every decision reads it of all.
+/// Data of one target used for selection, stored compactly since each selection reads it for all targets.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Seat {
+pub(super) struct Candidate {
     pub(super) in_flight: u32,
-    /// Requests allowed in flight; 0 if it must not be used.
-    pub(super) allowed: u32,
-    /// Load of other hosts, in requests.
-    pub(super) foreign: f64,
-    /// Slowness over slots.
+    /// Limit on requests in flight; 0 if the target must not be used.
+    pub(super) max_in_flight: u32,
+    /// Estimated requests of other hosts at the target.
+    pub(super) foreign_load: f64,
+    /// Latency relative to the group's median, divided by the slots.
     pub(super) weight: f64,
-    /// The part it may be used to while it warms up.
-    pub(super) fraction: f64,
+    /// Usable fraction of the limit while the target warms up.
+    pub(super) warm_fraction: f64,
 }
 
-impl Seat {
-    pub(super) fn new(config: &Config, tally: &Tally, member: &Member, now: Instant) -> Self {
+impl Candidate {
+    pub(super) fn new(config: &Config, stats: &GroupStats, member: &Member, now: Instant) -> Self {
         Self {
             in_flight: member.in_flight,
-            allowed: if is_usable(config, member, now) {
-                allowed(config, member)
+            max_in_flight: if is_usable(config, member, now) {
+                max_in_flight(config, member)
             } else {
                 0
             },
-            foreign: member.estimate.foreign(now, tally.others),
-            weight: member.estimate.slowness(now, tally.median) / f64::from(member.slots),
-            fraction: fraction(config, member),
+            foreign_load: member.estimate.foreign(now, stats.median_foreign_load),
+            weight: member.estimate.slowness(now, stats.median_latency) / f64::from(member.slots),
+            warm_fraction: warm_fraction(config, member),
         }
     }
 
     pub(super) fn is_free(&self) -> bool {
-        self.in_flight < self.allowed
+        self.in_flight < self.max_in_flight
     }
 
-    /// The cost of sending one more request; lower is better.
+    /// Returns the cost of sending one more request; lower is better.
     pub(super) fn cost(&self, pick: Pick) -> f64 {
         match pick {
-            Pick::TwoChoices => (1.0 + f64::from(self.in_flight) + self.foreign) * self.weight,
+            Pick::TwoChoices => (1.0 + f64::from(self.in_flight) + self.foreign_load) * self.weight,
             Pick::LeastInFlight | Pick::RoundRobin => f64::from(self.in_flight),
         }
     }
 }
 
-/// The part of a target's limit in use while it warms up.
-pub(super) fn fraction(config: &Config, member: &Member) -> f64 {
+/// Returns the usable fraction of a target's limit while it warms up.
+pub(super) fn warm_fraction(config: &Config, member: &Member) -> f64 {
     match config.warm {
         Switch::On => member.warm.fraction(),
         Switch::Off => 1.0,
     }
 }
 
-/// Requests allowed at a target.
-pub(super) fn allowed(config: &Config, member: &Member) -> u32 {
+/// Returns the limit on this host's requests in flight at a target.
+pub(super) fn max_in_flight(config: &Config, member: &Member) -> u32 {
     match config.limit {
-        Switch::On => member.limit.whole(fraction(config, member)),
+        Switch::On => member.limit.whole(warm_fraction(config, member)),
         Switch::Off => member.limit.hard(),
     }
 }
 
-/// Whether a target may be used at all, up to its limit.
+/// Whether a target may receive requests, up to its limit.
 fn is_usable(config: &Config, member: &Member, now: Instant) -> bool {
-    let rests = config.eject == Switch::On && member.rests(now);
-    member.is_serving() && member.eject.is_in() && !rests
+    let is_backing_off = config.eject == Switch::On && member.is_backing_off(now);
+    member.is_serving() && member.eject.is_in() && !is_backing_off
 }
--- a/src/steer/group/request.rs
+++ b/src/steer/group/request.rs
@@ -1,22 +1,22 @@
-//! What a group is asked and told, and what it answers.
+//! Inputs and results of a target group.
 
 use std::time::{Duration, Instant};
 
 use super::{Id, Load};
 use crate::catalog::TargetKey;
 
-/// What a target says of itself, or others of it.
+/// State of a target as reported by a [`Source`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Takes work.
+    /// Accepts requests.
     Serving,
-    /// Takes work, with caches not yet filled.
+    /// Accepts requests, with caches not yet filled.
     Cold,
-    /// Finishes what it has.
+    /// Completes its current requests and accepts no new ones.
     Draining,
 }
 
-/// Who says so.
+/// Source of a target's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Source {
     /// A header of the target's answers.
@@ -27,31 +27,31 @@
     List,
 }
 
-/// What a health endpoint says.
+/// Result of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// Can serve.
+    /// The target can serve requests.
     Up,
-    /// Cannot serve, or cannot be reached.
+    /// The target cannot serve requests, or cannot be reached.
     Down,
 }
 
-/// A request that asks for a target.
+/// A request for a target.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    /// Identifies the request; unique among those that wait.
+pub struct TargetRequest {
+    /// Id of the request; unique among queued requests.
     pub id: Id,
-    /// When its answer is of no more use.
+    /// Time after which an answer is useless.
     pub deadline: Instant,
-    /// Rank in a full queue; higher stays longer.
+    /// Priority in a full queue; lower priorities are dropped first.
     pub priority: u8,
-    /// Requests of one value gain from one target's caches; 0 is none.
+    /// Affinity key: requests with the same key prefer the same target and its caches; 0 is none.
     pub affinity: u64,
-    /// Targets not to use, as they were tried.
+    /// Targets already tried, which are excluded.
     pub exclude: Vec<TargetKey>,
 }
 
-/// Leave to send one request to one target. To be handed back with [`Group::finish`].
+/// Permission to send one request to one target. Must be returned with [`Group::finish`].
 #[derive(Debug, PartialEq, Eq)]
 pub struct Grant {
     pub(super) target: TargetKey,
@@ -60,90 +60,90 @@
 }
 
 impl Grant {
-    /// The target.
+    /// Returns the target.
     pub fn target(&self) -> TargetKey {
         self.target
     }
 
-    /// When it was given.
+    /// Returns the time at which the grant was issued.
     pub fn at(&self) -> Instant {
         self.at
     }
 
-    /// Whether it probes an ejected target; such a request should be hedged if it can be.
+    /// Whether the request probes an ejected target; such a request should be hedged if possible.
     pub fn is_probe(&self) -> bool {
         self.probe
     }
 }
 
-/// Why a request was refused.
+/// Reason for refusing a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
-    /// No target takes work.
+    /// No target accepts requests.
     NoTarget,
-    /// All targets that take work were tried.
+    /// All targets that accept requests were already tried.
     Tried,
     /// The deadline cannot be met.
     Deadline,
-    /// More work than the targets can do.
+    /// The load exceeds the capacity of the targets.
     Overload,
-    /// Others of higher rank fill the queue.
+    /// The queue is full of requests of at least the same priority.
     Full,
 }
 
-/// A request that did not run.
+/// Refusal of a request, which was not executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: Reason,
-    /// When to try again.
+    /// Delay before the caller should retry.
     pub retry_after: Duration,
 }
 
-/// The answer to an [`Ask`].
+/// Decision on a [`TargetRequest`].
 #[derive(Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Send it now.
-    Go(Grant),
-    /// It waits; it comes out of [`Group::finish`], [`Group::ready`] or [`Group::expire`].
+    /// Send the request now.
+    Admit(Grant),
+    /// The request is queued; [`Group::finish`], [`Group::ready`] or [`Group::expire`] returns it later.
     Wait,
-    /// It did not run.
+    /// Refuse the request; it was not executed.
     Refuse(Refusal),
 }
 
-/// How a request to a target ended.
+/// Result of a request to a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     /// The target answered.
     Answered,
-    /// The target refused; the request did not run.
+    /// The target refused; the request was not executed.
     Refused,
-    /// No connection; the request did not run.
+    /// No connection; the request was not executed.
     ConnectFailed,
-    /// The connection broke.
+    /// The connection failed after it had been established.
     Broken,
     /// No answer in time.
     TimedOut,
-    /// Given up by this host or the caller.
+    /// Cancelled by this host or the caller.
     Cancelled,
 }
 
-/// What a request showed of its target.
+/// Report on a request sent to a target.
 #[derive(Clone, Copy, Debug)]
 pub struct Report {
-    /// How it ended.
+    /// Result of the request.
     pub end: End,
-    /// From the grant's use to the end.
+    /// Time from sending the request to its end.
     pub latency: Duration,
-    /// The target's load header.
+    /// Load header of the answer.
     pub load: Option<Load>,
-    /// The target's state header.
+    /// State header of the answer.
     pub state: Option<State>,
 }
 
 impl Report {
-    /// Of a grant that was not used.
-    pub fn idle() -> Self {
+    /// Report for a grant that was not used.
+    pub fn unused() -> Self {
         Self {
             end: End::Cancelled,
             latency: Duration::ZERO,
@@ -153,19 +153,19 @@
     }
 }
 
-/// A summary of the group, for other hosts and for metrics.
+/// Summary of a group, for other hosts and for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Headroom {
-    /// Slots of the targets that take work, of all hosts.
+    /// Slots of the targets that accept requests, for all hosts together.
     pub slots: u32,
-    /// This host's requests at targets.
+    /// This host's requests in flight at targets.
     pub in_flight: u32,
-    /// What this host may have at targets now.
+    /// Current limit on this host's requests in flight.
     pub limit: u32,
-    /// Requests that wait.
+    /// Queued requests.
     pub queued: usize,
-    /// The part of the slots that is warming up, 0 to 1.
+    /// Fraction of the slots that are warming up, 0 to 1.
     pub cold: f64,
-    /// The part of the slots that is ejected, 0 to 1.
+    /// Fraction of the slots that are ejected, 0 to 1.
     pub ejected: f64,
 }
--- a/src/steer/mod.rs
+++ b/src/steer/mod.rs
@@ -1,4 +1,4 @@
-//! Decisions: where a request goes, and whether it goes at all. Pure: no I/O, no clock, no randomness of its own.
+//! Routing and admission of requests. Pure: no I/O; time and random numbers are passed in by the caller.
 
 pub mod allowance;
 pub mod attempt;
--- a/tests/attempt.rs
+++ b/tests/attempt.rs
@@ -8,11 +8,12 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use ragwortfold::catalog::Repeat;
-use ragwortfold::steer::attempt::Break::*;
+use ragwortfold::steer::attempt::FailurePoint::*;
 use ragwortfold::steer::attempt::Outcome::{Answered, NotRun, Unknown};
 use ragwortfold::steer::attempt::Stage::*;
 use ragwortfold::steer::attempt::{
-    judge, Body, Break, Course, Error, Next, Outcome, Place, Reason, Reply, Stage, Step, Try,
+    retry_or_finish, AttemptId, AttemptTracker, Body, Destination, Error, FailurePoint, Next,
+    Outcome, Reason, Reply, Stage, Step,
 };
 
 const LEFT: Duration = Duration::from_millis(500);
@@ -29,12 +30,12 @@
 }
 
 /// Checks one break for all kinds of requests: where it isn't sent again, `given` is the outcome.
-fn check(cause: Break, resend: Resend, given: Outcome) {
-    let give = Next::Give(given);
+fn check(cause: FailurePoint, resend: Resend, given: Outcome) {
+    let give = Next::Finish(given);
     let expected = |repeats: bool| if repeats { Next::Retry } else { give };
     let safe = expected(resend != Resend::No);
     let never = expected(resend == Resend::Both);
-    let next = |repeat, body| judge(cause, repeat, body, LEFT, 1);
+    let next = |repeat, body| retry_or_finish(cause, repeat, body, LEFT, 1);
     assert_eq!(
         next(Repeat::Safe, Body::Replayable),
         safe,
@@ -57,12 +58,12 @@
     );
     for repeat in [Repeat::Safe, Repeat::Never] {
         assert_eq!(
-            judge(cause, repeat, Body::Replayable, Duration::ZERO, 1),
+            retry_or_finish(cause, repeat, Body::Replayable, Duration::ZERO, 1),
             give,
             "no time"
         );
         assert_eq!(
-            judge(cause, repeat, Body::Replayable, LEFT, 0),
+            retry_or_finish(cause, repeat, Body::Replayable, LEFT, 0),
             give,
             "no tries"
         );
@@ -79,7 +80,7 @@
         )*
 
         /// Every break of the table.
-        const ROWS: &[Break] = &[$($cause),*];
+        const ROWS: &[FailurePoint] = &[$($cause),*];
     };
 }
 
@@ -92,7 +93,7 @@
     refused: Refused => Both, NotRun(Reason::Refused);
     unavailable: Unavailable => Safe, Answered;
     server_error: ServerError => No, Answered;
-    garbage: Garbage => Safe, Unknown(Reason::BadAnswer);
+    garbage: NotHttp => Safe, Unknown(Reason::BadAnswer);
     wrong_length_queued: WrongLength(Queued) => Safe, Unknown(Reason::BadAnswer);
     wrong_length_connecting: WrongLength(Connecting) => Safe, Unknown(Reason::BadAnswer);
     wrong_length_connected: WrongLength(Connected) => Safe, Unknown(Reason::BadAnswer);
@@ -101,25 +102,25 @@
     wrong_length_sent: WrongLength(Sent) => Safe, Unknown(Reason::BadAnswer);
     wrong_length_answer_head: WrongLength(AnswerHead) => Safe, Unknown(Reason::BadAnswer);
     wrong_length_answer_body: WrongLength(AnswerBody) => Safe, Unknown(Reason::BadAnswer);
-    wrong_length_passed: WrongLength(Passed) => No, Unknown(Reason::Truncated);
-    cut_queued: Cut(Queued) => Both, NotRun(Reason::Disconnected);
-    cut_connecting: Cut(Connecting) => Both, NotRun(Reason::Disconnected);
-    cut_connected: Cut(Connected) => Both, NotRun(Reason::Disconnected);
-    cut_head: Cut(Head) => Safe, Unknown(Reason::Disconnected);
-    cut_body: Cut(Stage::Body) => Safe, Unknown(Reason::Disconnected);
-    cut_sent: Cut(Sent) => Safe, Unknown(Reason::Disconnected);
-    cut_answer_head: Cut(AnswerHead) => Safe, Unknown(Reason::Disconnected);
-    cut_answer_body: Cut(AnswerBody) => Safe, Unknown(Reason::Disconnected);
-    cut_passed: Cut(Passed) => No, Unknown(Reason::Truncated);
-    stale_queued: Stale(Queued) => Both, NotRun(Reason::Disconnected);
-    stale_connecting: Stale(Connecting) => Both, NotRun(Reason::Disconnected);
-    stale_connected: Stale(Connected) => Both, NotRun(Reason::Disconnected);
-    stale_head: Stale(Head) => Safe, Unknown(Reason::Disconnected);
-    stale_body: Stale(Stage::Body) => Safe, Unknown(Reason::Disconnected);
-    stale_sent: Stale(Sent) => Safe, Unknown(Reason::Disconnected);
-    stale_answer_head: Stale(AnswerHead) => Safe, Unknown(Reason::Disconnected);
-    stale_answer_body: Stale(AnswerBody) => Safe, Unknown(Reason::Disconnected);
-    stale_passed: Stale(Passed) => No, Unknown(Reason::Truncated);
+    wrong_length_passed: WrongLength(Forwarded) => No, Unknown(Reason::Truncated);
+    cut_queued: ConnectionClosed(Queued) => Both, NotRun(Reason::Disconnected);
+    cut_connecting: ConnectionClosed(Connecting) => Both, NotRun(Reason::Disconnected);
+    cut_connected: ConnectionClosed(Connected) => Both, NotRun(Reason::Disconnected);
+    cut_head: ConnectionClosed(Head) => Safe, Unknown(Reason::Disconnected);
+    cut_body: ConnectionClosed(Stage::Body) => Safe, Unknown(Reason::Disconnected);
+    cut_sent: ConnectionClosed(Sent) => Safe, Unknown(Reason::Disconnected);
+    cut_answer_head: ConnectionClosed(AnswerHead) => Safe, Unknown(Reason::Disconnected);
+    cut_answer_body: ConnectionClosed(AnswerBody) => Safe, Unknown(Reason::Disconnected);
+    cut_passed: ConnectionClosed(Forwarded) => No, Unknown(Reason::Truncated);
+    stale_queued: ReusedConnectionClosed(Queued) => Both, NotRun(Reason::Disconnected);
+    stale_connecting: ReusedConnectionClosed(Connecting) => Both, NotRun(Reason::Disconnected);
+    stale_connected: ReusedConnectionClosed(Connected) => Both, NotRun(Reason::Disconnected);
+    stale_head: ReusedConnectionClosed(Head) => Safe, Unknown(Reason::Disconnected);
+    stale_body: ReusedConnectionClosed(Stage::Body) => Safe, Unknown(Reason::Disconnected);
+    stale_sent: ReusedConnectionClosed(Sent) => Safe, Unknown(Reason::Disconnected);
+    stale_answer_head: ReusedConnectionClosed(AnswerHead) => Safe, Unknown(Reason::Disconnected);
+    stale_answer_body: ReusedConnectionClosed(AnswerBody) => Safe, Unknown(Reason::Disconnected);
+    stale_passed: ReusedConnectionClosed(Forwarded) => No, Unknown(Reason::Truncated);
     timeout_queued: Timeout(Queued) => Both, NotRun(Reason::Timeout);
     timeout_connecting: Timeout(Connecting) => Both, NotRun(Reason::Timeout);
     timeout_connected: Timeout(Connected) => Both, NotRun(Reason::Timeout);
@@ -128,7 +129,7 @@
     timeout_sent: Timeout(Sent) => Safe, Unknown(Reason::Timeout);
     timeout_answer_head: Timeout(AnswerHead) => Safe, Unknown(Reason::Timeout);
     timeout_answer_body: Timeout(AnswerBody) => Safe, Unknown(Reason::Timeout);
-    timeout_passed: Timeout(Passed) => No, Unknown(Reason::Truncated);
+    timeout_passed: Timeout(Forwarded) => No, Unknown(Reason::Truncated);
     caller_gone_queued: CallerGone(Queued) => No, NotRun(Reason::CallerGone);
     caller_gone_connecting: CallerGone(Connecting) => No, NotRun(Reason::CallerGone);
     caller_gone_connected: CallerGone(Connected) => No, NotRun(Reason::CallerGone);
@@ -137,7 +138,7 @@
     caller_gone_sent: CallerGone(Sent) => No, Unknown(Reason::CallerGone);
     caller_gone_answer_head: CallerGone(AnswerHead) => No, Unknown(Reason::CallerGone);
     caller_gone_answer_body: CallerGone(AnswerBody) => No, Unknown(Reason::CallerGone);
-    caller_gone_passed: CallerGone(Passed) => No, Unknown(Reason::CallerGone);
+    caller_gone_passed: CallerGone(Forwarded) => No, Unknown(Reason::CallerGone);
     cancelled_queued: Cancelled(Queued) => No, NotRun(Reason::Cancelled);
     cancelled_connecting: Cancelled(Connecting) => No, NotRun(Reason::Cancelled);
     cancelled_connected: Cancelled(Connected) => No, NotRun(Reason::Cancelled);
@@ -146,7 +147,7 @@
     cancelled_sent: Cancelled(Sent) => No, Unknown(Reason::Cancelled);
     cancelled_answer_head: Cancelled(AnswerHead) => No, Unknown(Reason::Cancelled);
     cancelled_answer_body: Cancelled(AnswerBody) => No, Unknown(Reason::Cancelled);
-    cancelled_passed: Cancelled(Passed) => No, Unknown(Reason::Cancelled);
+    cancelled_passed: Cancelled(Forwarded) => No, Unknown(Reason::Cancelled);
     leaving_queued: Leaving(Queued) => No, NotRun(Reason::Leaving);
     leaving_connecting: Leaving(Connecting) => No, NotRun(Reason::Leaving);
     leaving_connected: Leaving(Connected) => No, NotRun(Reason::Leaving);
@@ -155,7 +156,7 @@
     leaving_sent: Leaving(Sent) => No, Unknown(Reason::Leaving);
     leaving_answer_head: Leaving(AnswerHead) => No, Unknown(Reason::Leaving);
     leaving_answer_body: Leaving(AnswerBody) => No, Unknown(Reason::Leaving);
-    leaving_passed: Leaving(Passed) => No, Unknown(Reason::Truncated);
+    leaving_passed: Leaving(Forwarded) => No, Unknown(Reason::Truncated);
 }
 
 #[test]
@@ -169,12 +170,12 @@
         Refused,
         Unavailable,
         ServerError,
-        Garbage,
+        NotHttp,
     ];
     let staged = [
         WrongLength,
-        Cut,
-        Stale,
+        ConnectionClosed,
+        ReusedConnectionClosed,
         Timeout,
         CallerGone,
         Cancelled,
@@ -213,12 +214,12 @@
     reply_truncated: Unknown(Reason::Truncated) => Reply::Abort;
 }
 
-fn place(n: u32) -> Place {
-    Place::Target(Idx::from_raw(RawIdx::from_u32(n)))
+fn place(n: u32) -> Destination {
+    Destination::Target(Idx::from_raw(RawIdx::from_u32(n)))
 }
 
-fn course(now: Instant, repeat: Repeat) -> Course {
-    Course::new(repeat, now + LEFT).with_tries(4)
+fn course(now: Instant, repeat: Repeat) -> AttemptTracker {
+    AttemptTracker::new(repeat, now + LEFT).with_max_attempts(4)
 }
 
 fn outcome(step: Step) -> Outcome {
@@ -229,20 +230,29 @@
 }
 
 /// The outcome of an idempotent request that broke for `cause` and was then refused.
-fn refused_after(cause: Break) -> Outcome {
+fn refused_after(cause: FailurePoint) -> Outcome {
     let now = Instant::now();
     let mut course = course(now, Repeat::Safe);
     let first = course.start(now, place(0)).expect("a first try");
-    assert_eq!(course.fail(now, first, cause, || true), Step::Retry);
+    assert_eq!(
+        course.record_failure(now, first, cause, || true),
+        Step::Retry
+    );
     let second = course.start(now, place(1)).expect("a second try");
-    outcome(course.fail(now, second, Refused, || false))
+    outcome(course.record_failure(now, second, Refused, || false))
 }
 
 #[test]
 fn refusal_after_doubt_is_unknown() {
-    assert_eq!(refused_after(Cut(Sent)), Unknown(Reason::Disconnected));
+    assert_eq!(
+        refused_after(ConnectionClosed(Sent)),
+        Unknown(Reason::Disconnected)
+    );
     assert_eq!(refused_after(Unavailable), Unknown(Reason::Unavailable));
-    assert_eq!(refused_after(Cut(Connected)), NotRun(Reason::Refused));
+    assert_eq!(
+        refused_after(ConnectionClosed(Connected)),
+        NotRun(Reason::Refused)
+    );
 }
 
 #[test]
@@ -250,9 +260,12 @@
     let now = Instant::now();
     let mut course = course(now, Repeat::Never);
     let first = course.start(now, place(0)).unwrap();
-    assert_eq!(course.fail(now, first, Refused, || true), Step::Retry);
+    assert_eq!(
+        course.record_failure(now, first, Refused, || true),
+        Step::Retry
+    );
     let end = course
-        .give_up(Reason::NoTarget, |_| unreachable!())
+        .abandon(Reason::NoTarget, |_| unreachable!())
         .unwrap();
     assert_eq!(end.outcome, NotRun(Reason::NoTarget));
 }
@@ -263,12 +276,12 @@
     let mut course = course(now, Repeat::Safe);
     let first = course.start(now, place(0)).unwrap();
     let second = course.start(now, place(1)).unwrap();
-    let Step::Done(end) = course.answer(second) else {
+    let Step::Done(end) = course.record_answer(second) else {
         panic!("no outcome");
     };
     assert_eq!(end.cancel, [(first, place(0))]);
-    assert_eq!(course.answer(first), Step::Late);
-    assert_eq!(course.late(), 1);
+    assert_eq!(course.record_answer(first), Step::Late);
+    assert_eq!(course.late_answers(), 1);
     assert_eq!(course.start(now, place(2)), Err(Error::Done));
 }
 
@@ -278,11 +291,11 @@
     let mut course = course(now, Repeat::Safe);
     let first = course.start(now, place(0)).unwrap();
     let second = course.start(now, place(1)).unwrap();
-    assert_eq!(course.pass(first), Some(vec![(second, place(1))]));
-    assert_eq!(course.pass(second), None);
-    assert_eq!(course.start(now, place(2)), Err(Error::Won));
+    assert_eq!(course.select_winner(first), Some(vec![(second, place(1))]));
+    assert_eq!(course.select_winner(second), None);
+    assert_eq!(course.start(now, place(2)), Err(Error::AnswerForwarded));
     // Even an edge that reports too early a stage can't have it sent again.
-    let step = course.fail(now, first, Cut(AnswerBody), || true);
+    let step = course.record_failure(now, first, ConnectionClosed(AnswerBody), || true);
     assert_eq!(outcome(step), Unknown(Reason::Truncated));
 }
 
@@ -292,8 +305,11 @@
     let mut course = course(now, Repeat::Safe);
     let first = course.start(now, place(0)).unwrap();
     let second = course.start(now, place(1)).unwrap();
-    assert_eq!(course.fail(now, first, Cut(Sent), || true), Step::Wait);
-    assert_eq!(outcome(course.answer(second)), Answered);
+    assert_eq!(
+        course.record_failure(now, first, ConnectionClosed(Sent), || true),
+        Step::Wait
+    );
+    assert_eq!(outcome(course.record_answer(second)), Answered);
 }
 
 #[test]
@@ -309,7 +325,7 @@
     let now = Instant::now();
     let mut course = course(now, Repeat::Safe);
     course.start(now, place(0)).unwrap();
-    course.consume();
+    course.mark_body_consumed();
     assert_eq!(course.start(now, place(1)), Err(Error::Consumed));
 }
 
@@ -323,13 +339,13 @@
 #[test]
 fn no_try_past_the_limit() {
     let now = Instant::now();
-    let mut course = course(now, Repeat::Never).with_tries(1);
+    let mut course = course(now, Repeat::Never).with_max_attempts(1);
     let first = course.start(now, place(0)).unwrap();
-    let step = course.fail(now, first, Refused, || unreachable!());
+    let step = course.record_failure(now, first, Refused, || unreachable!());
     assert_eq!(outcome(step), NotRun(Reason::Refused));
-    let mut course = self::course(now, Repeat::Safe).with_tries(1);
+    let mut course = self::course(now, Repeat::Safe).with_max_attempts(1);
     course.start(now, place(0)).unwrap();
-    assert_eq!(course.start(now, place(1)), Err(Error::Spent(1)));
+    assert_eq!(course.start(now, place(1)), Err(Error::AttemptsUsed(1)));
 }
 
 #[test]
@@ -337,10 +353,10 @@
     let now = Instant::now();
     let mut course = course(now, Repeat::Never);
     let first = course.start(now, place(0)).unwrap();
-    let end = course.give_up(Reason::CallerGone, |_| Connected).unwrap();
+    let end = course.abandon(Reason::CallerGone, |_| Connected).unwrap();
     assert_eq!(end.outcome, NotRun(Reason::CallerGone));
     assert_eq!(end.cancel, [(first, place(0))]);
-    assert_eq!(course.give_up(Reason::Timeout, |_| Sent), None);
+    assert_eq!(course.abandon(Reason::Timeout, |_| Sent), None);
 }
 
 #[derive(Clone, Debug)]
@@ -348,7 +364,7 @@
     Start(u32),
     Pass(usize),
     Answer(usize),
-    Fail(usize, Break, bool, bool),
+    Fail(usize, FailurePoint, bool, bool),
     GiveUp,
     Advance(u64),
 }
@@ -368,11 +384,15 @@
 
 /// Whether the request can really have run when the edge reports `cause`: written without the
 /// code under test.
-fn may_have_run(cause: Break) -> bool {
+fn may_have_run(cause: FailurePoint) -> bool {
     match cause {
         ConnectRefused | NoLink | FrameNotSent | RelayRefused | Refused => false,
-        RelayUnknown | Unavailable | ServerError | Garbage | WrongLength(_) => true,
-        Cut(stage) | Stale(stage) | Timeout(stage) | CallerGone(stage) | Cancelled(stage)
+        RelayUnknown | Unavailable | ServerError | NotHttp | WrongLength(_) => true,
+        ConnectionClosed(stage)
+        | ReusedConnectionClosed(stage)
+        | Timeout(stage)
+        | CallerGone(stage)
+        | Cancelled(stage)
         | Leaving(stage) => !matches!(stage, Queued | Connecting | Connected),
     }
 }
@@ -391,7 +411,7 @@
         let mut now = Instant::now();
         let repeat = if safe { Repeat::Safe } else { Repeat::Never };
         let mut course = course(now, repeat);
-        let mut running: Vec<Try> = Vec::new();
+        let mut running: Vec<AttemptId> = Vec::new();
         let (mut runs, mut finals) = (0, Vec::new());
         for event in events {
             let step = match event {
@@ -401,19 +421,19 @@
                 }
                 Event::Pass(n) => {
                     if let Some(&key) = running.get(n) {
-                        course.pass(key);
+                        course.select_winner(key);
                     }
                     None
                 }
                 Event::Answer(n) if n < running.len() => {
                     runs += 1;
-                    Some(course.answer(running.remove(n)))
+                    Some(course.record_answer(running.remove(n)))
                 }
                 Event::Fail(n, cause, ran, budget) if n < running.len() => {
                     runs += u32::from(ran && may_have_run(cause));
-                    Some(course.fail(now, running.remove(n), cause, || budget))
+                    Some(course.record_failure(now, running.remove(n), cause, || budget))
                 }
-                Event::GiveUp => course.give_up(Reason::Timeout, |_| Sent).map(Step::Done),
+                Event::GiveUp => course.abandon(Reason::Timeout, |_| Sent).map(Step::Done),
                 Event::Advance(ms) => {
                     now += Duration::from_millis(ms);
                     None
@@ -426,7 +446,7 @@
                 finals.push(end.outcome);
             }
         }
-        finals.extend(course.give_up(Reason::Timeout, |_| Sent).map(|end| end.outcome));
+        finals.extend(course.abandon(Reason::Timeout, |_| Sent).map(|end| end.outcome));
         prop_assert_eq!(finals.len(), 1);
         prop_assert!(safe || runs + running.len() as u32 <= 1, "ran {} times", runs);
     }
--- a/tests/dedupe.rs
+++ b/tests/dedupe.rs
@@ -9,7 +9,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use ragwortfold::catalog::{Repeat, ServiceKey};
-use ragwortfold::steer::attempt::{Break, Course, Outcome, Place, Reason, Stage, Step, Try};
+use ragwortfold::steer::attempt::{
+    AttemptId, AttemptTracker, Destination, FailurePoint, Outcome, Reason, Stage, Step,
+};
 use ragwortfold::steer::dedupe::{
     Answer, Begin, End, Identity, Keys, Run, MAX_ANSWER, MAX_WAITERS,
 };
@@ -318,7 +320,7 @@
     /// A try at a target ends; `ran` where the break leaves that open.
     Break {
         run: usize,
-        cause: Break,
+        cause: FailurePoint,
         ran: bool,
         budget: bool,
     },
@@ -344,15 +346,15 @@
     },
 }
 
-fn cause() -> impl Strategy<Value = Break> {
+fn cause() -> impl Strategy<Value = FailurePoint> {
     let stage = prop::sample::select(&Stage::ALL);
     prop_oneof![
-        Just(Break::ConnectRefused),
-        Just(Break::Refused),
-        Just(Break::RelayUnknown),
-        Just(Break::Unavailable),
-        stage.clone().prop_map(Break::Cut),
-        stage.prop_map(Break::Timeout),
+        Just(FailurePoint::ConnectRefused),
+        Just(FailurePoint::Refused),
+        Just(FailurePoint::RelayUnknown),
+        Just(FailurePoint::Unavailable),
+        stage.clone().prop_map(FailurePoint::ConnectionClosed),
+        stage.prop_map(FailurePoint::Timeout),
     ]
 }
 
@@ -384,8 +386,8 @@
     host: usize,
     request: usize,
     run: Run,
-    course: Course,
-    outstanding: Try,
+    course: AttemptTracker,
+    outstanding: AttemptId,
 }
 
 struct Host {
@@ -414,8 +416,8 @@
     }
 }
 
-fn place() -> Place {
-    Place::Target(Idx::from_raw(RawIdx::from_u32(0)))
+fn place() -> Destination {
+    Destination::Target(Idx::from_raw(RawIdx::from_u32(0)))
 }
 
 impl World {
@@ -501,7 +503,7 @@
 
     fn dispatch(&mut self, host: usize, request: usize, run: Run) {
         let deadline = self.now + Duration::from_secs(30);
-        let mut course = Course::new(Repeat::Never, deadline);
+        let mut course = AttemptTracker::new(Repeat::Never, deadline);
         let outstanding = course.start(self.now, place()).expect("a first try");
         self.running.push(Running {
             host,
@@ -518,12 +520,14 @@
         assert_eq!(self.ran[key], 1, "key {key} ran twice");
     }
 
-    fn fail(&mut self, n: usize, cause: Break, ran: bool, budget: bool) {
+    fn fail(&mut self, n: usize, cause: FailurePoint, ran: bool, budget: bool) {
         let mut running = self.running.swap_remove(n);
         // An answered 503 may or may not have run; a proof of not-run is true by definition.
         let proof = match cause {
-            Break::ConnectRefused | Break::Refused => true,
-            Break::Cut(stage) | Break::Timeout(stage) => stage < Stage::Head,
+            FailurePoint::ConnectRefused | FailurePoint::Refused => true,
+            FailurePoint::ConnectionClosed(stage) | FailurePoint::Timeout(stage) => {
+                stage < Stage::Head
+            }
             _ => false,
         };
         if ran && !proof {
@@ -531,7 +535,7 @@
         }
         let step = running
             .course
-            .fail(self.now, running.outstanding, cause, || budget);
+            .record_failure(self.now, running.outstanding, cause, || budget);
         match step {
             Step::Retry => match running.course.start(self.now, place()) {
                 Ok(key) => {
@@ -548,7 +552,7 @@
     fn answer(&mut self, n: usize, size: usize) {
         let mut running = self.running.swap_remove(n);
         self.run_at_target(running.request);
-        let Step::Done(end) = running.course.answer(running.outstanding) else {
+        let Step::Done(end) = running.course.record_answer(running.outstanding) else {
             panic!("no outcome");
         };
         self.finish(running, end.outcome, size);
@@ -561,7 +565,7 @@
         }
         let end = running
             .course
-            .give_up(Reason::Timeout, |_| Stage::Sent)
+            .abandon(Reason::Timeout, |_| Stage::Sent)
             .expect("no outcome before");
         self.finish(running, end.outcome, 0);
     }
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -17,7 +17,7 @@
 use ragwortfold::border::settings::Steer;
 use ragwortfold::catalog::{Catalog, HostKey, TargetKey};
 use ragwortfold::steer::attempt::Reason;
-use ragwortfold::steer::engine::{Ask, Engine, Kind, Origin, Verdict};
+use ragwortfold::steer::engine::{AttemptKind, Engine, Origin, RouteRequest, Verdict};
 use ragwortfold::steer::fingerprint::Fingerprint;
 use ragwortfold::steer::goal::{Standing, View};
 use ragwortfold::steer::group::{End, Grant, Health, Report, State};
@@ -109,15 +109,15 @@
         let service = service(&self.catalog);
         let free = self.free.iter();
         let free = free.map(|(name, &free)| ((service, zone(&self.catalog, name)), free));
-        self.engine.set_free(free.collect());
+        self.engine.set_free_slots(free.collect());
     }
 
     /// A first request of a caller in `r0`.
-    fn request(&mut self) -> Ask {
+    fn request(&mut self) -> RouteRequest {
         self.next += 1;
-        Ask {
+        RouteRequest {
             id: self.next,
-            kind: Kind::First,
+            kind: AttemptKind::First,
             origin: Origin::Caller,
             service: service(&self.catalog),
             locality: region(&self.catalog, "r0"),
@@ -130,12 +130,12 @@
         }
     }
 
-    fn ask(&mut self, ask: Ask) -> Option<Verdict> {
-        self.engine.ask(self.now, ask, &mut self.rng)
+    fn ask(&mut self, ask: RouteRequest) -> Option<Verdict> {
+        self.engine.submit(self.now, ask, &mut self.rng)
     }
 
     /// Where a changed request goes; it is over at once.
-    fn go(&mut self, change: impl FnOnce(&mut Ask)) -> Way {
+    fn go(&mut self, change: impl FnOnce(&mut RouteRequest)) -> Way {
         self.pass(self.step);
         let mut ask = self.request();
         change(&mut ask);
@@ -164,7 +164,11 @@
     }
 
     /// Where many requests go, counted.
-    fn many(&mut self, count: usize, change: impl Fn(&mut Ask)) -> BTreeMap<String, usize> {
+    fn many(
+        &mut self,
+        count: usize,
+        change: impl Fn(&mut RouteRequest),
+    ) -> BTreeMap<String, usize> {
         let mut ways = BTreeMap::new();
         for _ in 0..count {
             *ways.entry(self.go(&change).to_string()).or_default() += 1;
@@ -193,7 +197,7 @@
     fn lose_own(&mut self) {
         for target in self.own_targets() {
             self.engine
-                .health(self.now, target, Health::Down, Some(State::Draining));
+                .set_health(self.now, target, Health::Down, Some(State::Draining));
         }
     }
 
@@ -256,7 +260,7 @@
         rig.step = 100;
         let own = rig.many(20, |_| {});
         assert_eq!(count(&own, "r0-z1"), 0, "{own:?}");
-        let home = rig.many(100, |ask| ask.origin = Origin::Home);
+        let home = rig.many(100, |ask| ask.origin = Origin::TicketRelay);
         let away = count(&home, "r0-z1");
         assert!((30..70).contains(&away), "{home:?}");
     };
@@ -318,11 +322,11 @@
         rig.free.insert("r0-z1", 0);
         rig.tell_free();
         rig.lose_own();
-        rig.engine.link_rooms(rig.now);
+        rig.engine.link_headroom(rig.now);
         let ways = rig.many(2, |_| {});
         assert_eq!(count(&ways, "no-target"), 2, "{ways:?}");
         rig.pass(1000);
-        assert!(rig.engine.link_rooms(rig.now).values().all(|&room| room == 1.0));
+        assert!(rig.engine.link_headroom(rig.now).values().all(|&room| room == 1.0));
         assert_eq!(rig.engine.passes(), 0);
     };
     spent_link_quota_refuses: {
@@ -336,9 +340,9 @@
         let mut rig = Rig::new();
         rig.many(100, |_| {});
         let r1 = region(&rig.catalog, "r1");
-        assert_eq!(rig.go(|ask| { ask.kind = Kind::Hedge; ask.locality = r1; }), Way::Target);
+        assert_eq!(rig.go(|ask| { ask.kind = AttemptKind::Hedge; ask.locality = r1; }), Way::Target);
         let tried = rig.own_targets();
-        let ways = rig.many(3, |ask| { ask.kind = Kind::Hedge; ask.targets = tried.clone(); });
+        let ways = rig.many(3, |ask| { ask.kind = AttemptKind::Hedge; ask.targets = tried.clone(); });
         assert_eq!(count(&ways, "r0-z1") + count(&ways, "wait"), 0, "{ways:?}");
         let mut held = vec![];
         loop {
@@ -348,15 +352,15 @@
                 _ => break,
             }
         }
-        assert!(matches!(rig.go(|ask| ask.kind = Kind::Hedge), Way::Refused(_)));
+        assert!(matches!(rig.go(|ask| ask.kind = AttemptKind::Hedge), Way::Refused(_)));
     };
     retry_goes_elsewhere_when_no_other_target_is_left: {
         let mut rig = Rig::new();
         rig.many(100, |_| {});
         let tried = rig.own_targets();
-        let other = rig.go(|ask| { ask.kind = Kind::Retry; ask.targets = tried[..1].to_vec(); });
+        let other = rig.go(|ask| { ask.kind = AttemptKind::Retry; ask.targets = tried[..1].to_vec(); });
         assert_eq!(other, Way::Target);
-        let none = rig.go(|ask| { ask.kind = Kind::Retry; ask.targets = tried.clone(); });
+        let none = rig.go(|ask| { ask.kind = AttemptKind::Retry; ask.targets = tried.clone(); });
         assert!(matches!(none, Way::Host(zone, _) if zone == "r0-z1"));
     };
     refused_relay_tries_one_more_host_of_the_zone_then_others: {
@@ -374,7 +378,7 @@
         let mut ways = vec![];
         for tried in 1..3 {
             let way = rig.go(|ask| {
-                ask.kind = Kind::Retry;
+                ask.kind = AttemptKind::Retry;
                 ask.locality = r1;
                 ask.block = block.expect("a block");
                 ask.hosts = hosts[..tried].to_vec();
@@ -454,14 +458,14 @@
     };
     quiet_service_may_retry_within_the_floor: {
         let mut rig = Rig::new();
-        let ways = rig.many(4, |ask| ask.kind = Kind::Retry);
+        let ways = rig.many(4, |ask| ask.kind = AttemptKind::Retry);
         assert_eq!((count(&ways, "target"), count(&ways, "limited")), (3, 1), "{ways:?}");
     };
     changed_retry_share_is_in_force: {
         let mut rig = Rig::new();
         rig.many(100, |_| {});
         rig.reconfigure(|value| value["limits"]["retry_share"] = json!(0.5));
-        let ways = rig.many(60, |ask| ask.kind = Kind::Retry);
+        let ways = rig.many(60, |ask| ask.kind = AttemptKind::Retry);
         assert_eq!(count(&ways, "target"), 53, "{ways:?}");
     };
     nothing_leaves_before_the_first_split: {
@@ -478,7 +482,7 @@
         let splits = rig.engine.splits();
         rig.engine = Engine::new(&Steer::default(), 2);
         rig.configure();
-        rig.engine.adopt(rig.now, splits);
+        rig.engine.adopt_splits(rig.now, splits);
         rig.pass(2000);
         rig.tell();
         rig.many(100, |_| {});
@@ -525,7 +529,7 @@
         rig.pass(400);
         let targets = rig.own_targets();
         let target = targets[number % targets.len()];
-        rig.engine.broke(rig.now, POISON, target, begun);
+        rig.engine.record_crash(rig.now, POISON, target, begun);
         rig.pass(1000);
     }
     rig
@@ -547,12 +551,12 @@
 }
 
 poison! {
-    one_crash_leaves_repeats: 1, Kind::Retry, Origin::Caller => "target";
-    a_suspected_request_is_not_repeated: 2, Kind::Retry, Origin::Caller => "quarantined";
-    nor_is_a_copy_of_it_sent: 2, Kind::Hedge, Origin::Caller => "quarantined";
-    it_is_sent_once: 2, Kind::First, Origin::Caller => "target";
-    a_third_crash_ends_that: 3, Kind::First, Origin::Caller => "quarantined";
-    relayed_ones_are_refused_too: 3, Kind::First, Origin::Host => "quarantined";
+    one_crash_leaves_repeats: 1, AttemptKind::Retry, Origin::Caller => "target";
+    a_suspected_request_is_not_repeated: 2, AttemptKind::Retry, Origin::Caller => "quarantined";
+    nor_is_a_copy_of_it_sent: 2, AttemptKind::Hedge, Origin::Caller => "quarantined";
+    it_is_sent_once: 2, AttemptKind::First, Origin::Caller => "target";
+    a_third_crash_ends_that: 3, AttemptKind::First, Origin::Caller => "quarantined";
+    relayed_ones_are_refused_too: 3, AttemptKind::First, Origin::Host => "quarantined";
 }
 
 #[test]
@@ -569,7 +573,7 @@
     assert!(verdict.is_none());
     rig.pass(100);
     assert!(rig.engine.tick(rig.now, &mut rig.rng).is_empty());
-    rig.engine.done(first);
+    rig.engine.release_suspect_permit(first);
     let decisions = rig.engine.tick(rig.now, &mut rig.rng);
     assert!(matches!(&decisions[..], [(id, Verdict::Target { .. })] if *id == second));
     let (_, verdict) = ask(&mut rig);
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -6,7 +6,7 @@
 
 use ragwortfold::border::settings::Steer;
 use ragwortfold::catalog::{Catalog, HostKey, RegionKey, ServiceKey, TargetKey, ZoneKey};
-use ragwortfold::steer::engine::{Ask, Decision, Engine, Kind, Origin, Verdict};
+use ragwortfold::steer::engine::{AttemptKind, Decision, Engine, Origin, RouteRequest, Verdict};
 use ragwortfold::steer::fingerprint::Fingerprint;
 use ragwortfold::steer::goal::{Standing, View};
 use ragwortfold::steer::group::{End, Grant, Health, Report, State};
@@ -67,12 +67,12 @@
     host: usize,
     incarnation: u64,
     pass: Pass,
-    ask: Ask,
+    ask: RouteRequest,
 }
 
 /// A request that waits for a verdict.
 struct Open {
-    ask: Ask,
+    ask: RouteRequest,
     from: Option<Box<Upstream>>,
 }
 
@@ -240,7 +240,7 @@
         let targets: Vec<TargetKey> = site.map_or(vec![], |site| site.targets.clone());
         for target in targets {
             let engine = &mut self.nodes[at].engine;
-            engine.health(now, target, Health::Up, Some(state));
+            engine.set_health(now, target, Health::Up, Some(state));
         }
     }
 
@@ -274,7 +274,7 @@
         }
         self.configure(at);
         let now = self.now;
-        self.nodes[at].engine.adopt(now, splits);
+        self.nodes[at].engine.adopt_splits(now, splits);
         self.watch(at);
         self.tell_health(at);
     }
@@ -316,7 +316,7 @@
         let node = &mut self.nodes[at];
         node.live = picture.live;
         node.engine.set_live(now, node.live.clone());
-        node.engine.set_free(picture.free);
+        node.engine.set_free_slots(picture.free);
         node.engine.set_view(now, picture.view);
         self.watch(at);
     }
@@ -349,9 +349,9 @@
         let own = self.catalog.region_of(zone);
         let other = region(&self.catalog, "r0");
         self.next += 1;
-        let ask = Ask {
+        let ask = RouteRequest {
             id: self.next,
-            kind: Kind::First,
+            kind: AttemptKind::First,
             origin: Origin::Caller,
             service: service(&self.catalog),
             locality: if self.next.is_multiple_of(4) {
@@ -374,11 +374,11 @@
 
     fn submit(&mut self, at: usize, open: Open) {
         let (now, rng) = (self.now, &mut self.rng);
-        let verdict = self.nodes[at].engine.ask(now, open.ask.clone(), rng);
+        let verdict = self.nodes[at].engine.submit(now, open.ask.clone(), rng);
         match verdict {
             Some(verdict) => self.settle(at, open, verdict),
             None => {
-                assert_ne!(open.ask.kind, Kind::Hedge, "a copy waits");
+                assert_ne!(open.ask.kind, AttemptKind::Hedge, "a copy waits");
                 let before = self.nodes[at].open.insert(open.ask.id, open);
                 assert!(before.is_none());
             }
@@ -434,9 +434,9 @@
             self.sent.entry(way).or_default().push(self.now);
         }
         self.next += 1;
-        let relayed = Ask {
+        let relayed = RouteRequest {
             id: self.next,
-            kind: Kind::First,
+            kind: AttemptKind::First,
             origin: Origin::Host,
             targets: vec![],
             hosts: vec![],
@@ -478,12 +478,12 @@
         self.nodes[from.host].incarnation == from.incarnation
     }
 
-    fn retry(&mut self, at: usize, mut ask: Ask) {
+    fn retry(&mut self, at: usize, mut ask: RouteRequest) {
         if ask.hosts.len() + ask.targets.len() >= TRIES {
             self.ended += 1;
             return;
         }
-        ask.kind = Kind::Retry;
+        ask.kind = AttemptKind::Retry;
         self.submit(at, Open { ask, from: None });
     }
 
@@ -546,7 +546,7 @@
 
     /// Notes a request that goes where its split does not say, weighted by the traffic in the window of
     /// the cap that applies.
-    fn count_spill(&mut self, at: usize, ask: &Ask, to: ZoneKey) {
+    fn count_spill(&mut self, at: usize, ask: &RouteRequest, to: ZoneKey) {
         self.watch(at);
         let now = self.now;
         let Some(split) = self.nodes[at].splits.get(&(ask.service, ask.locality)) else {
@@ -574,7 +574,7 @@
     }
 
     /// Whether a request leaves its zone because that is lost, as far as this host knows.
-    fn is_lost(&self, at: usize, ask: &Ask, home: ZoneKey) -> bool {
+    fn is_lost(&self, at: usize, ask: &RouteRequest, home: ZoneKey) -> bool {
         let node = &self.nodes[at];
         if home == node.zone {
             let site = self.catalog.site(ask.service, home);
