--- a/tests/group.rs
+++ b/tests/group.rs
@@ -12,8 +12,8 @@
 use proptest::test_runner::RngSeed;
 use ragwortfold::catalog::{Catalog, TargetKey};
 use ragwortfold::steer::group::{
-    Ask, Config, End, Grant, Group, Health, Id, Load, Order, Pick, Reason, Report, Source, State,
-    Switch, Verdict,
+    Config, End, Grant, Group, Health, Id, Load, Order, Pick, Reason, Report, Source, State,
+    Switch, TargetRequest, Verdict,
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
@@ -72,7 +72,7 @@
 
     fn ask(&mut self, time: u64, priority: u8, exclude: Vec<TargetKey>) -> Verdict {
         self.next += 1;
-        let ask = Ask {
+        let ask = TargetRequest {
             id: self.next,
             deadline: self.now + Duration::from_millis(time),
             priority,
@@ -85,7 +85,7 @@
     /// Asks until one does not go; the grants.
     fn load(&mut self) -> Vec<Grant> {
         std::iter::from_fn(|| match self.ask(1000, 5, vec![]) {
-            Verdict::Go(grant) => Some(grant),
+            Verdict::Admit(grant) => Some(grant),
             _ => None,
         })
         .collect()
@@ -99,7 +99,7 @@
     fn serve(&mut self, count: usize, ends: &BTreeMap<TargetKey, Report>) -> Vec<TargetKey> {
         (0..count)
             .map(|_| {
-                let Verdict::Go(grant) = self.ask(1000, 5, vec![]) else {
+                let Verdict::Admit(grant) = self.ask(1000, 5, vec![]) else {
                     panic!("nothing goes");
                 };
                 let target = grant.target();
@@ -174,7 +174,7 @@
     };
     busy_target_is_left: {
         let mut rig = Rig::new(3);
-        let Verdict::Go(grant) = rig.ask(1000, 5, vec![]) else { panic!("nothing goes") };
+        let Verdict::Admit(grant) = rig.ask(1000, 5, vec![]) else { panic!("nothing goes") };
         assert!(!rig.serve(20, &BTreeMap::new()).contains(&grant.target()));
     };
     slow_target_is_left: {
@@ -260,7 +260,7 @@
     };
     health_alone_ejects_none: {
         let mut rig = Rig::new(2);
-        rig.group.health(rig.keys[0], Health::Down);
+        rig.group.set_health(rig.keys[0], Health::Down);
         assert!(rig.serve(20, &BTreeMap::new()).contains(&rig.keys[0]));
     };
     half_stays_in: {
@@ -302,8 +302,8 @@
         rig.affinity = 77;
         let served: BTreeSet<_> = rig.serve(20, &BTreeMap::new()).into_iter().collect();
         assert_eq!(served.len(), 1);
-        assert!(matches!(rig.ask(1000, 5, vec![]), Verdict::Go(grant) if served.contains(&grant.target())));
-        assert!(matches!(rig.ask(1000, 5, vec![]), Verdict::Go(grant) if !served.contains(&grant.target())));
+        assert!(matches!(rig.ask(1000, 5, vec![]), Verdict::Admit(grant) if served.contains(&grant.target())));
+        assert!(matches!(rig.ask(1000, 5, vec![]), Verdict::Admit(grant) if !served.contains(&grant.target())));
     };
     cold_target_warms_by_use: {
         let mut rig = Rig::new(1);
@@ -448,7 +448,7 @@
             Step::Ask(time, priority, tried) => {
                 let tried: Vec<_> = tried.iter().map(|&place| rig.keys[place]).collect();
                 match rig.ask(time, priority, tried.clone()) {
-                    Verdict::Go(grant) => {
+                    Verdict::Admit(grant) => {
                         assert!(!tried.contains(&grant.target()));
                         self.go(grant);
                     }
@@ -489,7 +489,7 @@
                     left.remove(&Source::Header);
                 }
             }
-            Step::Health(target, health) => rig.group.health(rig.keys[target], health),
+            Step::Health(target, health) => rig.group.set_health(rig.keys[target], health),
             Step::Cancel(id) => assert_eq!(rig.group.cancel(id), self.asked.remove(&id)),
             Step::Revise(states, slots, connections) => {
                 rig.catalog = revise(&rig.catalog, &states, slots, connections, 1);
@@ -690,7 +690,7 @@
 fn a_target_gets_the_share_of_its_rate_and_no_more() {
     let mut rig = Rig::new(2);
     let (limited, other) = (rig.keys[0], rig.keys[1]);
-    rig.group.set_share(rig.now, limited, Some(2.0));
+    rig.group.set_rate_share(rig.now, limited, Some(2.0));
     let targets = (0..10).flat_map(|_| rig.serve(50, &BTreeMap::new()));
     let targets: Vec<TargetKey> = targets.collect();
     let count = targets.iter().filter(|target| **target == limited).count();
@@ -706,9 +706,9 @@
 fn a_target_of_which_this_host_has_no_share_gets_nothing() {
     let mut rig = Rig::new(2);
     let limited = rig.keys[0];
-    rig.group.set_share(rig.now, limited, Some(0.0));
+    rig.group.set_rate_share(rig.now, limited, Some(0.0));
     assert!(!rig.serve(100, &BTreeMap::new()).contains(&limited));
-    rig.group.set_share(rig.now, limited, None);
+    rig.group.set_rate_share(rig.now, limited, None);
     assert!(rig.serve(100, &BTreeMap::new()).contains(&limited));
 }
 
@@ -716,7 +716,7 @@
 fn requests_are_refused_at_once_when_all_targets_have_given_out_what_they_take() {
     let mut rig = Rig::new(2);
     for key in rig.keys.clone() {
-        rig.group.set_share(rig.now, key, Some(1.0));
+        rig.group.set_rate_share(rig.now, key, Some(1.0));
     }
     let Verdict::Refuse(refusal) = rig.ask(5000, 5, vec![]) else {
         panic!("it is not refused");
@@ -724,5 +724,5 @@
     assert_eq!(refusal.reason, Reason::Overload);
     assert_eq!(refusal.retry_after, Duration::from_secs(1));
     rig.pass(1000);
-    assert!(matches!(rig.ask(5000, 5, vec![]), Verdict::Go(_)));
+    assert!(matches!(rig.ask(5000, 5, vec![]), Verdict::Admit(_)));
 }
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -7,7 +7,7 @@
 
 use ragwortfold::catalog::{Catalog, TargetKey};
 use ragwortfold::steer::group::{
-    Ask, Config, End, Grant, Group, Id, Load as Reported, Report, State, Verdict,
+    Config, End, Grant, Group, Id, Load as Reported, Report, State, TargetRequest, Verdict,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -315,7 +315,7 @@
 
     fn ask(&mut self, id: usize) {
         let request = &self.requests[id];
-        let ask = Ask {
+        let ask = TargetRequest {
             id: id as Id,
             deadline: self.instant(request.at + DEADLINE),
             priority: 5,
@@ -324,7 +324,7 @@
         };
         let (now, host) = (self.instant(self.now), request.host);
         match self.groups[host].admit(now, ask, &mut self.rng) {
-            Verdict::Go(grant) => self.send(id, grant),
+            Verdict::Admit(grant) => self.send(id, grant),
             Verdict::Refuse(_) => self.end(id, false),
             Verdict::Wait => {}
         }
