--- a/benches/control.rs
+++ b/benches/control.rs
@@ -17,7 +17,7 @@
 use net::agents::{catalog, Coding, Fleet, Node, FIRST};
 use ragwortfold::catalog::{Catalog, HostKey, ZoneKey};
 use ragwortfold::control::delegate;
-use ragwortfold::control::membership::{Membership, Sight};
+use ragwortfold::control::membership::{Membership, ZoneStatus};
 use ragwortfold::control::plan::{Bonus, Plan, Stamp};
 use ragwortfold::control::planner::{Causality, Planner, View};
 use ragwortfold::control::summary::{Load, Sample, Sender, Table};
@@ -93,7 +93,12 @@
     let busy = (thread_time() - start) / 1e9;
     let memory = (resident() - before) / hosts as f64 / 1024.0;
     assert!(fleet.is_settled(), "hosts were lost");
-    let alive = |node: &Node| node.agent.sights().values().all(|&s| s == Sight::Alive);
+    let alive = |node: &Node| {
+        node.agent
+            .zone_statuses()
+            .values()
+            .all(|&s| s == ZoneStatus::Alive)
+    };
     assert!(fleet.nodes.values().all(alive), "a zone was lost");
     let by = |row: fn(&Row) -> f64| {
         let mut rows: Vec<(Row, HostKey)> = fleet
@@ -164,14 +169,14 @@
             fleet.until(20_000, |fleet| {
                 let newest = fleet.store.history.last().copied().unwrap_or_default();
                 let mut nodes = fleet.nodes.values();
-                nodes.all(|node| node.agent.stamp() >= newest)
+                nodes.all(|node| node.agent.plan_stamp() >= newest)
             })
         });
         fleet.hot = None;
         let gone = |fleet: &mut Fleet, host: HostKey| {
             let took = fleet.until(30_000, |fleet| {
                 let mut nodes = fleet.nodes.values();
-                nodes.all(|node| !node.agent.live().contains(&host))
+                nodes.all(|node| !node.agent.live_hosts().contains(&host))
             });
             fleet.start(host, FIRST + 1 + fleet.time);
             fleet.settle();
@@ -184,7 +189,7 @@
             .find(|&&zone| zone != fleet.catalog.host(holder).zone)
             .expect("a zone");
         let live = fleet.zone_hosts(zone).into_iter().collect();
-        let delegates = delegate::choose(zone, &live, &fleet.catalog);
+        let delegates = delegate::choose_delegates(zone, &live, &fleet.catalog);
         let last = *live
             .iter()
             .find(|host| !delegates.contains(host))
@@ -299,7 +304,7 @@
                 }
             }
         }
-        let record = plan.record(&catalog);
+        let record = plan.to_record(&catalog);
         let json = serde_json::to_vec(&record).expect("JSON").len();
         let mut cbor = Vec::new();
         ciborium::into_writer(&record, &mut cbor).expect("CBOR");
@@ -330,9 +335,9 @@
     for (host, record) in catalog.hosts() {
         let message = Sender::new(host, 1).message(now, &sample, catalog);
         if record.zone == zone {
-            reports.take(now, &message, Duration::ZERO, catalog);
+            reports.apply(now, &message, Duration::ZERO, catalog);
         }
-        summaries.take(now, &message, Duration::ZERO, catalog);
+        summaries.apply(now, &message, Duration::ZERO, catalog);
     }
     (reports, summaries)
 }
@@ -350,7 +355,7 @@
     let mut membership = node.agent.membership().clone();
     let peers = membership.zone_hosts(node.zone);
     let peer = *peers.iter().find(|&&peer| peer != host).expect("a peer");
-    let beat = Membership::new(now, peer, 2, catalog).beat(delegate::interval(0));
+    let beat = Membership::new(now, peer, 2, catalog).heartbeat(delegate::heartbeat_interval(0));
     let (reports, summaries) = tables(now, node.zone, catalog);
     criterion.bench_function("membership/receive", |b| {
         b.iter(|| membership.receive(now, black_box(&beat)))
@@ -359,7 +364,7 @@
         b.iter(|| membership.tick(now))
     });
     criterion.bench_function("delegate/links at 680", |b| {
-        b.iter(|| delegate::links(host, &membership, catalog))
+        b.iter(|| delegate::wanted_links(host, &membership, catalog))
     });
     criterion.bench_function("summary/merge 46 reports", |b| {
         b.iter(|| reports.merge(now, peers.iter().copied()))
@@ -370,9 +375,9 @@
         let view = View {
             catalog,
             summaries: &summaries,
-            sights: &sights,
+            zone_statuses: &sights,
         };
-        b.iter(|| planner.make(now, Stamp::default(), &view))
+        b.iter(|| planner.make_plan(now, Stamp::default(), &view))
     });
 }
 
--- a/src/control/agent.rs
+++ b/src/control/agent.rs
@@ -1,7 +1,8 @@
-//! One host's part in control: membership, summaries, the lease and the plan, put together.
+//! The control agent of one host: combines membership, load summaries, the planner lease and the
+//! plan.
 //!
-//! Pure: messages and outcomes go in with the time, [`Output`]s come out and are to be carried out
-//! by whoever embeds it.
+//! Does no I/O: the embedding process passes in messages and outcomes together with the current
+//! time, and carries out the [`Output`]s that come back.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,59 +14,62 @@
 use super::detector::INTERVAL;
 use super::digest::{self, Digest, Levels};
 use super::lease::{self, Candidacy, Lease};
-use super::membership::{Beat, Change, Listing, Membership, Sight, Status};
+use super::membership::{Change, Heartbeat, Listing, Membership, Status, ZoneStatus};
 use super::plan::{Gate, Plan, Record, Stamp};
 use super::planner::{self, Planner, View};
-use super::publish::{self, Outcome, Publish};
-use super::summary::{self, Load, Message, Sample, Sender, Table, Taken};
+use super::publish::{self, Outcome, Publisher};
+use super::summary::{self, ApplyResult, Load, Message, Sample, Sender, Table};
 use super::wire::{Ask, Frame};
 use crate::catalog::{Catalog, HostKey, RegionKey, ServiceKey, ZoneKey};
 use crate::steer::quarantine::Note;
 use crate::steer::throttle::News;
 
-/// Time between looks at who fell silent.
-const LOOK: Duration = Duration::from_millis(100);
-/// Hosts of a zone up to which they report their loads every [`summary::INTERVAL`].
-const FREQUENT: usize = 24;
-/// Time between the reports of a host in a larger zone.
-const SLOW: Duration = Duration::from_secs(5);
-/// Time after a suspicion at which it is asked again: a live host has sent the next heartbeat then.
-const AGAIN: Duration = Duration::from_millis(600);
-/// Time between looks at which hosts to be linked with when nothing changes.
-const RELINK: Duration = Duration::from_secs(5);
-
-/// What is to be done.
+/// Interval between checks for silent hosts.
+const LIVENESS_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Largest number of hosts in a zone for which every host reports its load each
+/// [`summary::INTERVAL`].
+const MAX_FREQUENT_REPORTERS: usize = 24;
+/// Interval between the load reports of a host in a larger zone.
+const SLOW_REPORT_INTERVAL: Duration = Duration::from_secs(5);
+/// Delay after a suspicion before the linked hosts are asked about the suspect again. A live host
+/// has sent its next heartbeat by then.
+const SUSPECT_RETRY_DELAY: Duration = Duration::from_millis(600);
+/// Interval at which the wanted links are recomputed when nothing changes.
+const RELINK_INTERVAL: Duration = Duration::from_secs(5);
+
+/// An action for the embedding process to carry out.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Send a message to hosts.
+    /// Send a message to these hosts.
     Send(Vec<HostKey>, Frame),
-    /// Keep links with these hosts and no others.
+    /// Keep links to exactly these hosts.
     Links(BTreeSet<HostKey>),
-    /// Ask the store about the lease; the outcome goes to [`Agent::leased`].
+    /// Run a command on the lease object and pass its outcome to [`Agent::handle_lease_event`].
     Lease(lease::Command),
-    /// Ask the store about the plan; the outcome goes to [`Agent::published`].
+    /// Run a command on the plan object and pass its outcome to [`Agent::handle_publish_event`].
+    /// The record is the value to write.
     Plan(publish::Command, Box<Record>),
-    /// A host can be spoken with that could not before.
+    /// A link to this host has opened.
     Joined(HostKey),
-    /// A host has a newer configuration.
+    /// This host has a newer configuration, with this revision.
     Newer(HostKey, u64),
-    /// Who is alive, or what is known of zones, is not what it was.
+    /// The set of live hosts, or the status or load known of a zone, may have changed.
     Changed,
-    /// Another plan is in force.
+    /// A different plan is in force.
     Planned,
-    /// A host told of requests that crash targets.
+    /// A host reported requests that crash targets.
     Notes(HostKey, Vec<Note>),
-    /// A host told of targets that name the rate that they take.
+    /// A host reported request rates that targets announced.
     Rates(HostKey, Vec<News>),
 }
 
-/// When regular work is due next.
+/// When each periodic task is due next.
 #[derive(Clone, Copy, Debug)]
 struct Due {
-    look: Instant,
-    beat: Instant,
-    far: Instant,
-    load: Instant,
+    liveness_check: Instant,
+    zone_heartbeat: Instant,
+    remote_heartbeat: Instant,
+    load_report: Instant,
     summary: Instant,
     digest: Instant,
     relink: Instant,
@@ -75,10 +79,10 @@
 impl Due {
     fn new(now: Instant, phase: Duration) -> Self {
         Self {
-            look: now,
-            beat: now + phase / 4,
-            far: now,
-            load: now + phase,
+            liveness_check: now,
+            zone_heartbeat: now + phase / 4,
+            remote_heartbeat: now,
+            load_report: now + phase,
             summary: now + phase,
             digest: now + phase,
             relink: now,
@@ -87,8 +91,8 @@
     }
 }
 
-/// When work that is due every `interval` is due next; what was missed is not made up for.
-fn next(due: Instant, interval: Duration, now: Instant) -> Instant {
+/// Returns the next due time of a task that runs every `interval`. Missed runs are skipped.
+fn next_due(due: Instant, interval: Duration, now: Instant) -> Instant {
     let next = due + interval;
     if next > now {
         next
@@ -97,17 +101,17 @@
     }
 }
 
-/// Planning, while the lease is held.
+/// The planner state that exists while this host holds the lease.
 #[derive(Debug)]
-struct Reign {
+struct PlannerTerm {
     planner: Planner,
-    publish: Publish,
+    publish: Publisher,
     plan: Plan,
-    /// What was written last, with its stamp.
-    written: Record,
+    /// The record written last, with its stamp.
+    last_written: Record,
 }
 
-/// One host's part in control.
+/// The control agent of one host.
 #[derive(Debug)]
 pub struct Agent {
     own: HostKey,
@@ -115,153 +119,153 @@
     zone: ZoneKey,
     catalog: Arc<Catalog>,
     membership: Membership,
-    near: BTreeSet<HostKey>,
-    far: BTreeSet<HostKey>,
-    /// First delegates of all zones.
-    heads: BTreeMap<ZoneKey, HostKey>,
-    /// Hosts configured in the own zone.
-    size: usize,
+    zone_links: BTreeSet<HostKey>,
+    remote_links: BTreeSet<HostKey>,
+    /// The first delegate of each zone.
+    first_delegates: BTreeMap<ZoneKey, HostKey>,
+    /// Number of hosts configured in the own zone.
+    hosts_in_zone: usize,
     reports: Sender,
     summary: Sender,
     digest: digest::Sender,
-    /// What the host measured of its own targets, and when.
+    /// The loads that the host measured at its own targets, and the time of the measurement.
     loads: BTreeMap<ServiceKey, Load>,
-    measured: Instant,
-    moving: BTreeSet<ServiceKey>,
-    needs: BTreeMap<(HostKey, RegionKey), f32>,
-    /// Reports of the hosts of the own zone.
-    table: Table,
-    /// Summaries of all zones, at a first delegate.
+    loads_measured_at: Instant,
+    unsettled_services: BTreeSet<ServiceKey>,
+    quota_needs: BTreeMap<(HostKey, RegionKey), f32>,
+    /// Load reports of the hosts in the own zone.
+    zone_reports: Table,
+    /// Summaries of all zones. Only the first delegate of a zone receives them.
     summaries: Table,
-    /// How full the sites of other zones are, at other hosts.
+    /// Fill levels of the sites in other zones. Hosts that are not first delegates use them.
     levels: Levels,
     record: Record,
     gate: Gate,
     lease: Lease,
-    reign: Option<Reign>,
-    /// The epoch for which the store was asked about the plan, until it answers.
-    asked: Option<u64>,
-    /// Digest of the roster that other zones were told last.
-    roster: u64,
-    /// When those who are linked are asked again for a suspect.
-    again: Option<Instant>,
+    planner_term: Option<PlannerTerm>,
+    /// The epoch of the pending command on the plan object; none if no answer is awaited.
+    pending_epoch: Option<u64>,
+    /// Digest of the roster that was last sent to the other zones.
+    sent_roster_digest: u64,
+    /// When the linked hosts are asked about a suspect again.
+    suspect_retry: Option<Instant>,
     due: Due,
     outputs: Vec<Output>,
 }
 
 impl Agent {
-    /// The part of the host `own`, which starts now.
+    /// Creates the agent of the host `own`, which starts now.
     pub fn new(now: Instant, own: HostKey, incarnation: u64, catalog: Arc<Catalog>) -> Self {
         let host = catalog.host(own);
-        let phase = phase(&host.name, incarnation);
-        let size = size(host.zone, &catalog);
+        let phase = initial_delay(&host.name, incarnation);
+        let size = zone_size(host.zone, &catalog);
         Self {
             own,
             name: host.name.clone(),
             zone: host.zone,
             membership: Membership::new(now, own, incarnation, &catalog),
-            near: BTreeSet::new(),
-            far: BTreeSet::new(),
-            heads: BTreeMap::new(),
-            size,
+            zone_links: BTreeSet::new(),
+            remote_links: BTreeSet::new(),
+            first_delegates: BTreeMap::new(),
+            hosts_in_zone: size,
             reports: Sender::new(own, incarnation).with_hosts(size),
             summary: Sender::new(own, incarnation),
             digest: digest::Sender::new(own, incarnation),
             loads: BTreeMap::new(),
-            measured: now,
-            moving: BTreeSet::new(),
-            needs: BTreeMap::new(),
-            table: Table::new(),
+            loads_measured_at: now,
+            unsettled_services: BTreeSet::new(),
+            quota_needs: BTreeMap::new(),
+            zone_reports: Table::new(),
             summaries: Table::new(),
             levels: Levels::new(),
             record: Record::default(),
             gate: Gate::default(),
             lease: Lease::new(now, format!("{}.{incarnation}", host.name).into()),
-            reign: None,
-            asked: None,
-            roster: 0,
-            again: None,
+            planner_term: None,
+            pending_epoch: None,
+            sent_roster_digest: 0,
+            suspect_retry: None,
             due: Due::new(now, phase),
             outputs: Vec::new(),
             catalog,
         }
     }
 
-    /// Takes in a configuration.
-    pub fn configure(&mut self, now: Instant, catalog: Arc<Catalog>) {
-        self.membership.configured(&catalog);
-        self.size = size(self.zone, &catalog);
+    /// Applies a new configuration.
+    pub fn apply_catalog(&mut self, now: Instant, catalog: Arc<Catalog>) {
+        self.membership.apply_catalog(&catalog);
+        self.hosts_in_zone = zone_size(self.zone, &catalog);
         self.catalog = catalog;
         self.due.relink = now;
         self.outputs.push(Output::Changed);
     }
 
-    /// This host takes no new work from now on, and says so at once.
+    /// Stops taking new work, announces it to all linked hosts at once and gives up the lease.
     pub fn leave(&mut self, now: Instant) {
         self.membership.leave();
-        self.call();
-        self.lease.stand(now, Candidacy::Abstains);
+        self.send_extra_heartbeats();
+        self.lease.set_candidacy(now, Candidacy::Ineligible);
         self.outputs.push(Output::Changed);
     }
 
-    /// What the host measured of its own targets, and the services whose splits here have yet to
-    /// reach the plan.
-    pub fn measure(
+    /// Sets the loads measured at the host's own targets, and the services whose splits on this
+    /// host have not reached the plan yet.
+    pub fn set_loads(
         &mut self,
         now: Instant,
         loads: BTreeMap<ServiceKey, Load>,
         moving: BTreeSet<ServiceKey>,
     ) {
         self.loads = loads;
-        self.measured = now;
-        self.moving = moving;
+        self.loads_measured_at = now;
+        self.unsettled_services = moving;
     }
 
-    /// What the host wants to send to other regions above its static parts, by region and in the
-    /// unit of the quota.
-    pub fn need(&mut self, needs: BTreeMap<RegionKey, f32>) {
+    /// Sets the quota that the host needs beyond its static parts, by target region and in the unit
+    /// of the quota.
+    pub fn set_quota_needs(&mut self, needs: BTreeMap<RegionKey, f32>) {
         let own = self.own;
-        self.needs = needs
+        self.quota_needs = needs
             .into_iter()
             .map(|(region, wanted)| ((own, region), wanted))
             .collect();
     }
 
-    /// A link to a host is open.
+    /// Records that a link to a host is open.
     pub fn link_up(&mut self, now: Instant, host: HostKey) {
         self.membership.link_up(now, host);
         self.outputs.push(Output::Joined(host));
-        self.hail(host);
+        self.send_heartbeat(host);
         if self.catalog.host(host).zone != self.zone {
-            self.summary.refill();
+            self.summary.request_full();
             return;
         }
-        self.reports.refill();
-        self.digest.refill();
-        if self.is_head() {
+        self.reports.request_full();
+        self.digest.request_full();
+        if self.is_first_delegate() {
             self.send_plan(host);
         }
     }
 
-    /// Sends a sign of life to one host, out of turn.
-    fn hail(&mut self, host: HostKey) {
-        let interval = match self.far.contains(&host) {
-            true => delegate::interval(self.far.len()),
+    /// Sends a heartbeat to one host outside the regular schedule.
+    fn send_heartbeat(&mut self, host: HostKey) {
+        let interval = match self.remote_links.contains(&host) {
+            true => delegate::heartbeat_interval(self.remote_links.len()),
             false => INTERVAL,
         };
         let beat = Frame::Beat(
-            nameless(self.membership.beat(interval)),
+            without_sender(self.membership.heartbeat(interval)),
             self.catalog.revision,
         );
         self.outputs.push(Output::Send(vec![host], beat));
     }
 
-    /// Sends a sign of life to all that are linked with this host, out of turn.
-    fn call(&mut self) {
-        let slow = delegate::interval(self.far.len());
-        for (hosts, interval) in [(&self.near, INTERVAL), (&self.far, slow)] {
+    /// Sends a heartbeat to all linked hosts outside the regular schedule.
+    fn send_extra_heartbeats(&mut self) {
+        let slow = delegate::heartbeat_interval(self.remote_links.len());
+        for (hosts, interval) in [(&self.zone_links, INTERVAL), (&self.remote_links, slow)] {
             let beat = Frame::Beat(
-                nameless(self.membership.beat(interval)),
+                without_sender(self.membership.heartbeat(interval)),
                 self.catalog.revision,
             );
             let hosts = hosts.iter().copied().collect();
@@ -276,32 +280,33 @@
         }
     }
 
-    fn ask(&mut self, host: HostKey, ask: Ask) {
+    fn send_request(&mut self, host: HostKey, ask: Ask) {
         self.outputs.push(Output::Send(vec![host], Frame::Ask(ask)));
     }
 
-    /// The link to a host broke.
+    /// Records that the link to a host broke.
     pub fn link_down(&mut self, now: Instant, host: HostKey) {
         if self.is_linked(host) {
             self.membership.link_down(now, host);
         } else {
-            // It was the other side that wanted the link, and does not any more.
-            self.membership.unlinked(host);
+            // Only the other host wanted this link, and has closed it.
+            self.membership.link_closed(host);
         }
     }
 
-    /// What the platform lists of a host.
-    pub fn listed(&mut self, now: Instant, host: HostKey, listing: Listing) {
-        self.membership.listed(now, host, listing);
+    /// Records how the platform lists a host.
+    pub fn set_listing(&mut self, now: Instant, host: HostKey, listing: Listing) {
+        self.membership.set_listing(now, host, listing);
     }
 
-    /// A message came over the link from `from`, `own_revision` being the configuration here.
+    /// Handles a message that came over the link from `from`. `own_revision` is the revision of the
+    /// configuration in force on this host.
     pub fn receive(&mut self, now: Instant, from: HostKey, frame: Frame, own_revision: u64) {
         match frame {
             Frame::Beat(mut beat, revision) => {
                 beat.host = self.catalog.host(from).name.clone();
                 if let Some(answer) = self.membership.receive(now, &beat) {
-                    let answer = Frame::Beat(nameless(answer), own_revision);
+                    let answer = Frame::Beat(without_sender(answer), own_revision);
                     self.outputs.push(Output::Send(vec![from], answer));
                 }
                 if revision > own_revision {
@@ -310,108 +315,120 @@
             }
             Frame::Load(message) => {
                 let taken = self
-                    .table
-                    .take(now, &message, Duration::ZERO, &self.catalog);
-                if taken == Taken::Gap {
-                    self.ask(from, Ask::Load);
+                    .zone_reports
+                    .apply(now, &message, Duration::ZERO, &self.catalog);
+                if taken == ApplyResult::Gap {
+                    self.send_request(from, Ask::Load);
                 }
             }
             Frame::Summary(message, stamp) => {
-                self.hear_summary(now, from, &message);
-                self.compare(from, stamp);
+                self.receive_summary(now, from, &message);
+                self.request_newer_plan(from, stamp);
             }
             Frame::Digest(digest, stamp) => {
-                self.hear_digest(now, &digest);
-                self.compare(from, stamp);
+                self.receive_digest(now, &digest);
+                self.request_newer_plan(from, stamp);
                 let root = digest.host.clone();
-                self.spread(&root, Frame::Digest(digest, stamp));
+                self.send_to_branches(&root, Frame::Digest(digest, stamp));
             }
             Frame::Roster(roster, root) => {
-                self.membership.enroll(now, roster.clone(), Duration::ZERO);
+                self.membership
+                    .merge_roster(now, roster.clone(), Duration::ZERO);
                 self.outputs.push(Output::Changed);
-                self.pass_on(root, |root| Frame::Roster(roster, root));
+                self.forward(root, |root| Frame::Roster(roster, root));
             }
-            Frame::Plan(record, root) => self.hear_plan(from, record, root),
-            Frame::Ask(ask) => self.answer(now, from, &ask),
+            Frame::Plan(record, root) => self.receive_plan(from, record, root),
+            Frame::Ask(ask) => self.handle_request(now, from, &ask),
             Frame::Notes(notes) => self.outputs.push(Output::Notes(from, notes)),
             Frame::Rates(news) => self.outputs.push(Output::Rates(from, news)),
         }
     }
 
-    /// Tells all that are linked with this host, but the one that told it, of requests that crash targets or of rates.
-    pub fn tell(&mut self, frame: Frame, teller: Option<HostKey>) {
-        let linked = self.near.union(&self.far).copied();
+    /// Sends a frame about crashing requests or target rates to all linked hosts except the one it
+    /// came from.
+    pub fn broadcast(&mut self, frame: Frame, teller: Option<HostKey>) {
+        let linked = self.zone_links.union(&self.remote_links).copied();
         let hosts: Vec<HostKey> = linked.filter(|host| Some(*host) != teller).collect();
         if !hosts.is_empty() {
             self.outputs.push(Output::Send(hosts, frame));
         }
     }
 
-    fn hear_summary(&mut self, now: Instant, from: HostKey, message: &Message) {
+    fn receive_summary(&mut self, now: Instant, from: HostKey, message: &Message) {
         let taken = self
             .summaries
-            .take(now, message, Duration::ZERO, &self.catalog);
-        if taken == Taken::Gap {
-            self.ask(from, Ask::Summary);
+            .apply(now, message, Duration::ZERO, &self.catalog);
+        if taken == ApplyResult::Gap {
+            self.send_request(from, Ask::Summary);
         }
-        if taken == Taken::Ignored {
+        if taken == ApplyResult::Ignored {
             return;
         }
-        // The loads have an age; the hosts were as they are when it was sent.
+        // The age in the message is that of the loads. The roster digest is current as of sending.
         let age = Duration::ZERO;
-        self.vouch(now, from, &message.zone, message.roster, age);
+        self.confirm_roster(now, from, &message.zone, message.roster, age);
         self.outputs.push(Output::Changed);
     }
 
-    fn hear_digest(&mut self, now: Instant, digest: &Digest) {
+    fn receive_digest(&mut self, now: Instant, digest: &Digest) {
         let Some(teller) = self.catalog.host_key(&digest.host) else {
             return;
         };
-        match self.levels.take(now, digest, Duration::ZERO, &self.catalog) {
-            Taken::Ignored => return,
-            Taken::Gap => self.ask(teller, Ask::Digest),
-            Taken::Newer => {}
+        match self
+            .levels
+            .apply(now, digest, Duration::ZERO, &self.catalog)
+        {
+            ApplyResult::Ignored => return,
+            ApplyResult::Gap => self.send_request(teller, Ask::Digest),
+            ApplyResult::Newer => {}
         }
         let reports: Vec<_> = digest
             .zones
             .iter()
             .map(|zone| zone.report.clone())
             .collect();
-        self.membership.report(now, &reports, Duration::ZERO);
+        self.membership.merge_reports(now, &reports, Duration::ZERO);
         for zone in digest.zones.iter().filter(|zone| zone.roster != 0) {
             let age = Duration::from_millis(zone.report.age_ms.into());
-            self.vouch(now, teller, &zone.report.zone, zone.roster, age);
+            self.confirm_roster(now, teller, &zone.report.zone, zone.roster, age);
         }
         self.outputs.push(Output::Changed);
     }
 
-    /// Takes in that the hosts of a zone are as they were, or asks who they are.
-    fn vouch(&mut self, now: Instant, from: HostKey, zone: &Arc<str>, roster: u64, age: Duration) {
+    /// Confirms the known roster of a zone if its digest matches, else requests the roster.
+    fn confirm_roster(
+        &mut self,
+        now: Instant,
+        from: HostKey,
+        zone: &Arc<str>,
+        roster: u64,
+        age: Duration,
+    ) {
         let Some(key) = self.catalog.zone_key(zone) else {
             return;
         };
-        if key != self.zone && !self.membership.vouch(now, key, roster, age) {
-            self.ask(from, Ask::Roster(zone.clone()));
+        if key != self.zone && !self.membership.confirm_roster(now, key, roster, age) {
+            self.send_request(from, Ask::Roster(zone.clone()));
         }
     }
 
-    /// Asks for the plan of a host if it is newer.
-    fn compare(&mut self, from: HostKey, stamp: Stamp) {
+    /// Requests the plan of a host if it is newer than the known one.
+    fn request_newer_plan(&mut self, from: HostKey, stamp: Stamp) {
         if stamp > self.record.stamp {
-            self.ask(from, Ask::Plan);
+            self.send_request(from, Ask::Plan);
         }
     }
 
-    fn answer(&mut self, now: Instant, from: HostKey, ask: &Ask) {
+    fn handle_request(&mut self, now: Instant, from: HostKey, ask: &Ask) {
         match ask {
-            Ask::Load => self.reports.refill(),
-            Ask::Summary => self.summary.refill(),
-            Ask::Digest => self.digest.refill(),
+            Ask::Load => self.reports.request_full(),
+            Ask::Summary => self.summary.request_full(),
+            Ask::Digest => self.digest.request_full(),
             Ask::Plan => self.send_plan(from),
             Ask::Roster(zone) => {
                 let roster = match self.catalog.zone_key(zone) {
                     Some(zone) if zone == self.zone => Some(self.membership.roster(now)),
-                    Some(zone) => self.membership.kept(now, zone),
+                    Some(zone) => self.membership.cached_roster(now, zone),
                     None => None,
                 };
                 if let Some(roster) = roster {
@@ -422,41 +439,42 @@
         }
     }
 
-    fn hear_plan(&mut self, from: HostKey, record: Record, root: Option<Arc<str>>) {
+    fn receive_plan(&mut self, from: HostKey, record: Record, root: Option<Arc<str>>) {
         if record.stamp <= self.gate.newest() {
             return;
         }
-        let Some(whole) = record.onto(&self.record) else {
-            self.ask(from, Ask::Plan);
+        let Some(whole) = record.applied_to(&self.record) else {
+            self.send_request(from, Ask::Plan);
             return;
         };
         if !self.gate.accept(whole.stamp) {
             return;
         }
-        self.lease.learn(whole.stamp.epoch);
+        self.lease.observe_epoch(whole.stamp.epoch);
         self.record = whole;
         self.outputs.push(Output::Planned);
-        self.pass_on(root, |root| Frame::Plan(record, root));
+        self.forward(root, |root| Frame::Plan(record, root));
     }
 
-    /// Passes a message on: along the tree of its root, or as the root of one if it came from another
-    /// zone and this is the first delegate here.
-    fn pass_on(&mut self, root: Option<Arc<str>>, frame: impl FnOnce(Option<Arc<str>>) -> Frame) {
+    /// Forwards a message to the hosts of the own zone. A message with a root goes on along the
+    /// tree of that root. One without a root came from another zone: the first delegate becomes the
+    /// root of a new tree.
+    fn forward(&mut self, root: Option<Arc<str>>, frame: impl FnOnce(Option<Arc<str>>) -> Frame) {
         match root {
             Some(root) => {
                 let frame = frame(Some(root.clone()));
-                self.spread(&root, frame);
+                self.send_to_branches(&root, frame);
             }
-            None if self.is_head() => {
+            None if self.is_first_delegate() => {
                 let name = self.name.clone();
                 let frame = frame(Some(name.clone()));
-                self.spread(&name, frame);
+                self.send_to_branches(&name, frame);
             }
             None => {}
         }
     }
 
-    fn spread(&mut self, root: &str, frame: Frame) {
+    fn send_to_branches(&mut self, root: &str, frame: Frame) {
         let Some(root) = self.catalog.host_key(root) else {
             return;
         };
@@ -468,233 +486,248 @@
     }
 
     fn is_linked(&self, host: HostKey) -> bool {
-        self.near.contains(&host) || self.far.contains(&host)
+        self.zone_links.contains(&host) || self.remote_links.contains(&host)
     }
 
-    fn is_head(&self) -> bool {
-        self.heads.get(&self.zone) == Some(&self.own)
+    fn is_first_delegate(&self) -> bool {
+        self.first_delegates.get(&self.zone) == Some(&self.own)
     }
 
-    /// The outcome of a command on the lease.
-    pub fn leased(&mut self, now: Instant, event: lease::Event, rng: &mut impl Rng) {
-        self.lease.event(now, event, rng);
-        self.rule(now);
+    /// Handles the outcome of a command on the lease object.
+    pub fn handle_lease_event(&mut self, now: Instant, event: lease::Event, rng: &mut impl Rng) {
+        self.lease.handle_event(now, event, rng);
+        self.update_planner_term(now);
     }
 
-    /// The outcome of a command on the plan.
-    pub fn published(&mut self, now: Instant, event: publish::Event, rng: &mut impl Rng) {
-        let asked = self.asked.take();
-        let Some(reign) = &mut self.reign else {
+    /// Handles the outcome of a command on the plan object.
+    pub fn handle_publish_event(
+        &mut self,
+        now: Instant,
+        event: publish::Event,
+        rng: &mut impl Rng,
+    ) {
+        let asked = self.pending_epoch.take();
+        let Some(reign) = &mut self.planner_term else {
             return;
         };
         if asked != Some(reign.publish.epoch()) {
             return;
         }
-        match reign.publish.event(now, event, rng) {
-            Some(Outcome::Published(stamp)) if stamp == reign.written.stamp => {
+        match reign.publish.handle_event(now, event, rng) {
+            Some(Outcome::Published(stamp)) if stamp == reign.last_written.stamp => {
                 reign.plan.stamp = stamp;
-                let record = reign.written.clone();
-                self.take_own(record);
+                let record = reign.last_written.clone();
+                self.adopt_published_plan(record);
             }
             Some(Outcome::Published(_)) | None => {}
             Some(Outcome::Fenced(epoch)) => {
-                self.lease.learn(epoch);
-                self.reign = None;
+                self.lease.observe_epoch(epoch);
+                self.planner_term = None;
             }
         }
     }
 
-    /// The plan that was found in the store. It counts if it is newer than what is known here, and a
-    /// planner goes on from it.
-    pub fn stored(&mut self, now: Instant, record: Record) {
+    /// Adopts a plan that was read from the store if it is newer than the known plan, and
+    /// distributes it. An active planner continues from it.
+    pub fn adopt_stored_plan(&mut self, now: Instant, record: Record) {
         let stamp = record.stamp;
         if record.base.is_some() || !self.gate.accept(stamp) {
             return;
         }
-        self.lease.learn(stamp.epoch);
+        self.lease.observe_epoch(stamp.epoch);
         self.record = record;
         self.outputs.push(Output::Planned);
-        let heads = self.other_heads();
+        let heads = self.other_first_delegates();
         let frame = Frame::Plan(self.record.clone(), None);
         self.outputs.push(Output::Send(heads, frame));
         let name = self.name.clone();
         let frame = Frame::Plan(self.record.clone(), Some(name.clone()));
-        self.spread(&name, frame);
-        let previous = self.record.plan(&self.catalog);
-        let others = |reign: &&mut Reign| reign.written.stamp != stamp;
-        if let Some(reign) = self.reign.as_mut().filter(others) {
+        self.send_to_branches(&name, frame);
+        let previous = self.record.to_plan(&self.catalog);
+        let others = |reign: &&mut PlannerTerm| reign.last_written.stamp != stamp;
+        if let Some(reign) = self.planner_term.as_mut().filter(others) {
             reign.planner = Planner::new(now, Some(&previous), &self.catalog);
             reign.plan = previous;
         }
     }
 
-    /// Puts a plan in force that this host published, and tells the other zones.
-    fn take_own(&mut self, record: Record) {
+    /// Puts a plan in force that this host published, and sends it to the other zones and the own
+    /// zone.
+    fn adopt_published_plan(&mut self, record: Record) {
         if !self.gate.accept(record.stamp) {
             return;
         }
-        let difference = record.since(&self.record);
+        let difference = record.difference_from(&self.record);
         self.record = record;
         self.outputs.push(Output::Planned);
-        let heads = self.other_heads();
+        let heads = self.other_first_delegates();
         self.outputs
             .push(Output::Send(heads, Frame::Plan(difference.clone(), None)));
         let name = self.name.clone();
-        self.spread(&name, Frame::Plan(difference, Some(name.clone())));
+        self.send_to_branches(&name, Frame::Plan(difference, Some(name.clone())));
     }
 
-    fn other_heads(&self) -> Vec<HostKey> {
-        self.heads
+    fn other_first_delegates(&self) -> Vec<HostKey> {
+        self.first_delegates
             .values()
             .copied()
             .filter(|&head| head != self.own)
             .collect()
     }
 
-    /// Begins to plan when the lease was gained, and ends when it was lost.
-    fn rule(&mut self, now: Instant) {
-        match (self.lease.held(now), &self.reign) {
+    /// Creates the planner state when the lease was gained, and drops it when the lease was lost.
+    fn update_planner_term(&mut self, now: Instant) {
+        match (self.lease.held_epoch(now), &self.planner_term) {
             (Some(epoch), None) => {
-                let previous = self.record.plan(&self.catalog);
-                self.reign = Some(Reign {
+                let previous = self.record.to_plan(&self.catalog);
+                self.planner_term = Some(PlannerTerm {
                     planner: Planner::new(now, Some(&previous), &self.catalog),
-                    publish: Publish::new(now, epoch),
+                    publish: Publisher::new(now, epoch),
                     plan: previous,
-                    written: Record::default(),
+                    last_written: Record::default(),
                 });
                 self.due.plan = now;
             }
-            (None, Some(_)) => self.reign = None,
+            (None, Some(_)) => self.planner_term = None,
             _ => {}
         }
     }
 
-    /// Does what is due, and gives all that is to be done. `revision` is the configuration in force.
+    /// Runs all tasks that are due and returns the resulting actions. `revision` is the revision of
+    /// the configuration in force.
     pub fn tick(&mut self, now: Instant, revision: u64, rng: &mut impl Rng) -> Vec<Output> {
-        if now >= self.due.look {
-            self.due.look = now + LOOK;
-            self.look(now);
+        if now >= self.due.liveness_check {
+            self.due.liveness_check = now + LIVENESS_CHECK_INTERVAL;
+            self.check_liveness(now);
         }
         if now >= self.due.relink {
-            self.due.relink = now + RELINK;
+            self.due.relink = now + RELINK_INTERVAL;
             self.relink(now);
         }
-        self.beat(now, revision);
-        if now >= self.due.load {
-            self.due.load = next(self.due.load, self.interval(), now);
-            self.report(now);
+        self.send_due_heartbeats(now, revision);
+        if now >= self.due.load_report {
+            self.due.load_report = next_due(self.due.load_report, self.report_interval(), now);
+            self.send_load_report(now);
         }
         if now >= self.due.summary {
-            self.due.summary = next(self.due.summary, summary::INTERVAL, now);
-            self.summarize(now);
+            self.due.summary = next_due(self.due.summary, summary::INTERVAL, now);
+            self.send_summary(now);
         }
         if now >= self.due.digest {
-            self.due.digest = next(self.due.digest, digest::INTERVAL, now);
-            self.tell_zones(now);
+            self.due.digest = next_due(self.due.digest, digest::INTERVAL, now);
+            self.send_digest(now);
         }
-        self.govern(now, rng);
+        self.run_planner(now, rng);
         std::mem::take(&mut self.outputs)
     }
 
-    /// Time between the reports of the hosts of the own zone. The first delegate of a large one
-    /// would receive too much otherwise.
-    fn interval(&self) -> Duration {
-        if self.size <= FREQUENT {
+    /// Interval between the load reports of the hosts in the own zone. It is longer in a large
+    /// zone, to limit the traffic at its first delegate.
+    fn report_interval(&self) -> Duration {
+        if self.hosts_in_zone <= MAX_FREQUENT_REPORTERS {
             summary::INTERVAL
         } else {
-            SLOW
+            SLOW_REPORT_INTERVAL
         }
     }
 
-    fn look(&mut self, now: Instant) {
-        if self.again.take_if(|at| now >= *at).is_some() {
-            self.call();
+    fn check_liveness(&mut self, now: Instant) {
+        if self.suspect_retry.take_if(|at| now >= *at).is_some() {
+            self.send_extra_heartbeats();
         }
         let changes = self.membership.tick(now);
         if changes.is_empty() {
             return;
         }
         self.outputs.push(Output::Changed);
-        // Those who are linked can hear a suspect only if it is linked, too.
+        // Linked hosts can hear the suspect only if it is within the set of linked hosts, too.
         let asked = |c: &Change| matches!(c, Change::Suspected(host) if self.is_linked(*host));
         if changes.iter().any(asked) {
-            self.call();
-            self.again = Some(now + AGAIN);
+            self.send_extra_heartbeats();
+            self.suspect_retry = Some(now + SUSPECT_RETRY_DELAY);
         }
         if changes.iter().any(|c| matches!(c, Change::Zone(..))) {
             self.due.digest = now;
         }
         self.relink(now);
-        if self.is_head() {
-            self.tell_roster(now);
+        if self.is_first_delegate() {
+            self.send_roster(now);
         }
     }
 
     fn relink(&mut self, now: Instant) {
         let catalog = &self.catalog;
-        let links = delegate::links(self.own, &self.membership, catalog);
-        let before: BTreeSet<HostKey> = self.near.union(&self.far).copied().collect();
+        let links = delegate::wanted_links(self.own, &self.membership, catalog);
+        let before: BTreeSet<HostKey> =
+            self.zone_links.union(&self.remote_links).copied().collect();
         for &gone in before.difference(&links) {
-            self.membership.unlinked(gone);
+            self.membership.link_closed(gone);
         }
         for &new in links.difference(&before) {
-            self.membership.linking(now, new);
+            self.membership.link_opening(now, new);
         }
         let zone = self.zone;
         let near = |other: &HostKey| catalog.host(*other).zone == zone;
-        (self.near, self.far) = links.iter().copied().partition(near);
-        self.heads = catalog
+        (self.zone_links, self.remote_links) = links.iter().copied().partition(near);
+        self.first_delegates = catalog
             .zones()
             .filter_map(|(zone, _)| {
-                let delegates = delegate::of(zone, &self.membership, catalog);
+                let delegates = delegate::zone_delegates(zone, &self.membership, catalog);
                 Some((zone, *delegates.first()?))
             })
             .collect();
-        // Only first delegates have the summaries of all zones.
-        let candidacy = if self.is_head() {
-            Candidacy::Stands
+        // Only first delegates receive the summaries of all zones, which planning needs.
+        let candidacy = if self.is_first_delegate() {
+            Candidacy::Eligible
         } else {
-            Candidacy::Abstains
+            Candidacy::Ineligible
         };
-        self.lease.stand(now, candidacy);
+        self.lease.set_candidacy(now, candidacy);
         if links != before {
             self.outputs.push(Output::Links(links));
         }
     }
 
-    fn beat(&mut self, now: Instant, revision: u64) {
-        if now < self.due.beat {
+    fn send_due_heartbeats(&mut self, now: Instant, revision: u64) {
+        if now < self.due.zone_heartbeat {
             return;
         }
-        self.due.beat = next(self.due.beat, INTERVAL, now);
-        self.membership.advance();
-        let near = Frame::Beat(nameless(self.membership.beat(INTERVAL)), revision);
-        self.outputs
-            .push(Output::Send(self.near.iter().copied().collect(), near));
-        let slow = delegate::interval(self.far.len());
-        if now < self.due.far {
+        self.due.zone_heartbeat = next_due(self.due.zone_heartbeat, INTERVAL, now);
+        self.membership.advance_sequence();
+        let near = Frame::Beat(
+            without_sender(self.membership.heartbeat(INTERVAL)),
+            revision,
+        );
+        self.outputs.push(Output::Send(
+            self.zone_links.iter().copied().collect(),
+            near,
+        ));
+        let slow = delegate::heartbeat_interval(self.remote_links.len());
+        if now < self.due.remote_heartbeat {
             return;
         }
-        self.due.far = now + slow.saturating_sub(INTERVAL / 2);
-        let far = Frame::Beat(nameless(self.membership.beat(slow)), revision);
-        self.outputs
-            .push(Output::Send(self.far.iter().copied().collect(), far));
+        self.due.remote_heartbeat = now + slow.saturating_sub(INTERVAL / 2);
+        let far = Frame::Beat(without_sender(self.membership.heartbeat(slow)), revision);
+        self.outputs.push(Output::Send(
+            self.remote_links.iter().copied().collect(),
+            far,
+        ));
     }
 
-    fn report(&mut self, now: Instant) {
+    fn send_load_report(&mut self, now: Instant) {
         let sample = Sample {
-            age: now.saturating_duration_since(self.measured),
+            age: now.saturating_duration_since(self.loads_measured_at),
             hosts: (1, 1),
             applied: self.record.stamp,
-            moving: self.moving.clone(),
+            moving: self.unsettled_services.clone(),
             loads: self.loads.clone(),
-            needs: self.needs.clone(),
+            needs: self.quota_needs.clone(),
             ..Sample::default()
         };
         let message = self.reports.message(now, &sample, &self.catalog);
-        self.table
-            .take(now, &message, Duration::ZERO, &self.catalog);
-        let Some(&head) = self.heads.get(&self.zone) else {
+        self.zone_reports
+            .apply(now, &message, Duration::ZERO, &self.catalog);
+        let Some(&head) = self.first_delegates.get(&self.zone) else {
             return;
         };
         if head != self.own {
@@ -703,41 +736,44 @@
         }
     }
 
-    /// What the first delegate of a zone tells those of the others.
-    fn summarize(&mut self, now: Instant) {
-        if !self.is_head() {
+    /// As first delegate, sends the merged load summary of the own zone to the first delegates of
+    /// the other zones.
+    fn send_summary(&mut self, now: Instant) {
+        if !self.is_first_delegate() {
             return;
         }
-        self.tell_roster(now);
+        self.send_roster(now);
         let hosts = self.membership.zone_hosts(self.zone);
-        let fresh = self.interval() + summary::FRESH.saturating_sub(summary::INTERVAL);
-        let Some(mut sample) = self.table.merge_within(now, fresh, hosts) else {
+        let fresh =
+            self.report_interval() + summary::MAX_REPORT_AGE.saturating_sub(summary::INTERVAL);
+        let Some(mut sample) = self.zone_reports.merge_within(now, fresh, hosts) else {
             return;
         };
-        sample.roster = self.roster;
+        sample.roster = self.sent_roster_digest;
         let message = self.summary.message(now, &sample, &self.catalog);
         self.summaries
-            .take(now, &message, Duration::ZERO, &self.catalog);
-        let heads = self.other_heads();
+            .apply(now, &message, Duration::ZERO, &self.catalog);
+        let heads = self.other_first_delegates();
         let summary = Frame::Summary(message, self.record.stamp);
         self.outputs.push(Output::Send(heads, summary));
     }
 
-    /// Tells the other zones who is here, if that is not what they were told last.
-    fn tell_roster(&mut self, now: Instant) {
+    /// Sends the roster of the own zone to the other zones if it has changed since it was last
+    /// sent.
+    fn send_roster(&mut self, now: Instant) {
         let roster = self.membership.roster(now);
         let digest = roster.digest();
-        if self.roster != digest {
-            self.roster = digest;
-            let heads = self.other_heads();
+        if self.sent_roster_digest != digest {
+            self.sent_roster_digest = digest;
+            let heads = self.other_first_delegates();
             self.outputs
                 .push(Output::Send(heads, Frame::Roster(roster, None)));
         }
     }
 
-    /// What the first delegate of a zone tells its hosts of the other zones.
-    fn tell_zones(&mut self, now: Instant) {
-        if !self.is_head() {
+    /// As first delegate, sends a digest of the other zones to the hosts of the own zone.
+    fn send_digest(&mut self, now: Instant) {
+        if !self.is_first_delegate() {
             return;
         }
         let digest = self
@@ -745,21 +781,21 @@
             .digest(now, &self.summaries, &self.membership, &self.catalog);
         let name = self.name.clone();
         let stamp = self.record.stamp;
-        self.spread(&name, Frame::Digest(digest, stamp));
+        self.send_to_branches(&name, Frame::Digest(digest, stamp));
     }
 
-    /// Seeks the lease, and plans while it is held.
-    fn govern(&mut self, now: Instant, rng: &mut impl Rng) {
+    /// Tries to gain or renew the lease, and makes and publishes plans while it is held.
+    fn run_planner(&mut self, now: Instant, rng: &mut impl Rng) {
         if let Some(command) = self.lease.tick(now, rng) {
             self.outputs.push(Output::Lease(command));
         }
-        self.rule(now);
-        let held = self.lease.held(now);
-        let Some(reign) = &mut self.reign else {
+        self.update_planner_term(now);
+        let held = self.lease.held_epoch(now);
+        let Some(reign) = &mut self.planner_term else {
             return;
         };
-        // The first act of an epoch writes the plan as it was, if there was one. After that a plan is
-        // made only when the one before it is in the store.
+        // The first write of an epoch repeats the existing plan, if there is one, to fence off
+        // earlier holders. Later plans are made only once the previous one is in the store.
         let free = reign.publish.is_idle() || reign.plan.splits.is_empty();
         if now >= self.due.plan && free {
             self.due.plan = now + planner::INTERVAL;
@@ -767,34 +803,36 @@
             let view = View {
                 catalog: &self.catalog,
                 summaries: &self.summaries,
-                sights: &sights,
+                zone_statuses: &sights,
             };
-            let (plan, changed) = reign.planner.make(now, reign.publish.next(), &view);
+            let (plan, changed) = reign
+                .planner
+                .make_plan(now, reign.publish.next_stamp(), &view);
             if changed {
                 reign.plan = plan;
-                reign.publish.want();
+                reign.publish.request_write();
             }
         }
-        if self.asked.is_some() {
+        if self.pending_epoch.is_some() {
             return;
         }
         if let Some(command) = reign.publish.tick(now, held) {
-            self.asked = Some(reign.publish.epoch());
+            self.pending_epoch = Some(reign.publish.epoch());
             if let publish::Command::Write { stamp, .. } = &command {
                 reign.plan.stamp = *stamp;
-                reign.written = reign.plan.record(&self.catalog);
+                reign.last_written = reign.plan.to_record(&self.catalog);
             }
-            let record = Box::new(reign.written.clone());
+            let record = Box::new(reign.last_written.clone());
             self.outputs.push(Output::Plan(command, record));
         }
     }
 
-    /// The hosts to which new work may be sent.
-    pub fn live(&self) -> BTreeSet<HostKey> {
+    /// The hosts that may receive new work.
+    pub fn live_hosts(&self) -> BTreeSet<HostKey> {
         self.membership.live_hosts()
     }
 
-    /// Whether any host of a zone is heard, without suspicion. Always so for the own zone.
+    /// Whether any host of a zone is alive and not suspected. Always true for the own zone.
     pub fn is_heard(&self, zone: ZoneKey) -> bool {
         let hosts = self.membership.zone_hosts(zone);
         zone == self.zone
@@ -803,32 +841,32 @@
                 .any(|&host| self.membership.status(host) == Status::Alive)
     }
 
-    /// What is believed of each zone.
-    pub fn sights(&self) -> BTreeMap<ZoneKey, Sight> {
+    /// The status of each zone.
+    pub fn zone_statuses(&self) -> BTreeMap<ZoneKey, ZoneStatus> {
         sights(&self.catalog, &self.membership)
     }
 
-    /// What is known of a service in a zone, with its age.
+    /// The known load of a service in a zone, with its age.
     ///
-    /// First delegates know the summaries of all zones. To other hosts the figures of another zone
-    /// are its configured slots and the requests that run or wait on them, in steps of a twentieth
-    /// of the slots and up to five times these; no slot is live if none is there. Rates and the
-    /// part that is cold are not known to them. Of the own zone they know the live slots, and of the
-    /// requests only their own.
+    /// First delegates have the summaries of all zones. Other hosts know of another zone only its
+    /// configured slots and the requests that run or wait on them, in steps of a twentieth of the
+    /// slots and up to five times the slots. If the site has no live slot, all figures are zero.
+    /// Rates and the cold share are zero as well. Of the own zone, other hosts know the live slots,
+    /// and only the requests that they handle themselves.
     pub fn load(
         &self,
         now: Instant,
         service: ServiceKey,
         zone: ZoneKey,
     ) -> Option<(Load, Duration)> {
-        if self.is_head() {
-            let source = self.summaries.zone(now, zone, &self.catalog)?;
+        if self.is_first_delegate() {
+            let source = self.summaries.zone_source(now, zone, &self.catalog)?;
             let entry = source.load(service)?;
             return Some((entry.load, now.saturating_duration_since(entry.sampled)));
         }
         if zone == self.zone {
             let load = *self.loads.get(&service)?;
-            return Some((load, now.saturating_duration_since(self.measured)));
+            return Some((load, now.saturating_duration_since(self.loads_measured_at)));
         }
         let level = self.levels.level(service, zone)?;
         let slots = self.catalog.site(service, zone)?.slots as f32;
@@ -845,17 +883,17 @@
 
     /// The splits of the plan in force.
     pub fn splits(&self) -> BTreeMap<(ServiceKey, RegionKey), super::plan::Shares> {
-        self.record.plan(&self.catalog).splits
+        self.record.to_plan(&self.catalog).splits
     }
 
-    /// The plan in force.
-    pub fn stamp(&self) -> Stamp {
+    /// The stamp of the plan in force.
+    pub fn plan_stamp(&self) -> Stamp {
         self.record.stamp
     }
 
     /// The epoch of the lease, if this host holds it.
-    pub fn held(&self, now: Instant) -> Option<u64> {
-        self.lease.held(now)
+    pub fn held_epoch(&self, now: Instant) -> Option<u64> {
+        self.lease.held_epoch(now)
     }
 
     /// Whether this host is a delegate of its zone.
@@ -863,41 +901,41 @@
         delegate::is_delegate(self.own, &self.membership, &self.catalog)
     }
 
-    /// The hosts this one is to be linked with.
-    pub fn linked(&self) -> BTreeSet<HostKey> {
-        self.near.union(&self.far).copied().collect()
+    /// The hosts that this host should be linked with.
+    pub fn wanted_links(&self) -> BTreeSet<HostKey> {
+        self.zone_links.union(&self.remote_links).copied().collect()
     }
 
-    /// Who is believed to be alive, with incarnations.
+    /// The membership: the status and incarnation of all hosts.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 }
 
-fn sights(catalog: &Catalog, membership: &Membership) -> BTreeMap<ZoneKey, Sight> {
+fn sights(catalog: &Catalog, membership: &Membership) -> BTreeMap<ZoneKey, ZoneStatus> {
     catalog
         .zones()
-        .map(|(zone, _)| (zone, membership.zone(zone)))
+        .map(|(zone, _)| (zone, membership.zone_status(zone)))
         .collect()
 }
 
-/// Hosts configured in a zone.
-fn size(zone: ZoneKey, catalog: &Catalog) -> usize {
+/// Number of hosts configured in a zone.
+fn zone_size(zone: ZoneKey, catalog: &Catalog) -> usize {
     catalog
         .hosts()
         .filter(|(_, host)| host.zone == zone)
         .count()
 }
 
-/// Delay of the first reports of a host, so that they do not all come at once.
-fn phase(name: &str, incarnation: u64) -> Duration {
+/// Delay of a host's first reports, derived from its name, so that hosts do not all report at once.
+fn initial_delay(name: &str, incarnation: u64) -> Duration {
     let hash = xxhash_rust::xxh3::xxh3_64_with_seed(name.as_bytes(), incarnation);
     summary::INTERVAL.mul_f64((hash % 64) as f64 / 64.0)
 }
 
-/// A heartbeat without the name of its sender, whom the receiver knows by the link.
-fn nameless(beat: Beat) -> Beat {
-    Beat {
+/// A heartbeat without the sender's name. The receiver knows the sender from the link.
+fn without_sender(beat: Heartbeat) -> Heartbeat {
+    Heartbeat {
         host: Arc::default(),
         ..beat
     }
--- a/src/control/delegate.rs
+++ b/src/control/delegate.rs
@@ -1,8 +1,9 @@
-//! The hosts of a zone that talk to the platform and to other zones.
+//! Selects the delegates of a zone: the hosts that communicate with the platform and with other
+//! zones.
 //!
-//! Two a zone, by rendezvous hashing over its live hosts: a host that comes or goes changes the
-//! delegates only if it is, or becomes, one of the two. Hosts that see the membership otherwise
-//! may choose others for a while, which costs calls and breaks nothing.
+//! Each zone has two, selected by rendezvous hashing over its live hosts, so a host that joins or
+//! leaves changes the delegates only if it is, or becomes, one of the two. Hosts with a different
+//! view of the membership may select others for a while, which costs calls and breaks nothing.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,18 +14,19 @@
 use super::membership::Membership;
 use crate::catalog::{Catalog, HostKey, State, ZoneKey};
 
-/// Delegates of a zone.
-pub const COUNT: usize = 2;
-/// Most hosts of a zone that are all linked with each other.
-pub const MESH: usize = 48;
-/// Links of a host to others of its zone when the zone is larger than that, besides its delegates.
-pub const NEIGHBOURS: usize = 12;
-/// Hosts to which each passes on what its delegate sends to its zone.
-pub const FAN: usize = 2;
-/// Links to other zones up to which heartbeats between zones are as frequent as within one.
-const FREQUENT: usize = 24;
-/// Time between heartbeats to other zones above that.
-const SLOW: Duration = Duration::from_secs(1);
+/// Number of delegates of a zone.
+pub const DELEGATES_PER_ZONE: usize = 2;
+/// Maximum number of hosts of a zone that are all linked with each other.
+pub const MAX_FULL_MESH: usize = 48;
+/// Links of a host to other hosts of a larger zone, besides those to its delegates.
+pub const NEIGHBOUR_LINKS: usize = 12;
+/// Number of hosts to which each host forwards what its delegate sends to its zone.
+pub const TREE_FANOUT: usize = 2;
+/// Number of links to other zones up to which heartbeats between zones are as frequent as within a
+/// zone.
+const MAX_FREQUENT_LINKS: usize = 24;
+/// Interval between heartbeats to other zones above that number.
+const SLOW_INTERVAL: Duration = Duration::from_secs(1);
 
 fn score(seed: &str, host: &str) -> u64 {
     let mut hash = Xxh3::new();
@@ -34,7 +36,7 @@
     hash.digest()
 }
 
-/// The best `count` of `hosts` for `seed`, best first.
+/// The `count` highest-ranked of `hosts` for `seed`, highest first.
 fn rank(
     catalog: &Catalog,
     seed: &str,
@@ -49,32 +51,36 @@
     ranked.into_iter().map(|(_, host)| host).collect()
 }
 
-/// The delegates among the live hosts of a zone, best first.
-pub fn choose(zone: ZoneKey, live: &BTreeSet<HostKey>, catalog: &Catalog) -> Vec<HostKey> {
+/// Selects the delegates from the live hosts of a zone, highest-ranked first.
+pub fn choose_delegates(
+    zone: ZoneKey,
+    live: &BTreeSet<HostKey>,
+    catalog: &Catalog,
+) -> Vec<HostKey> {
     let hosts = live.iter().copied();
-    rank(catalog, &catalog.zone(zone).name, hosts, COUNT)
+    rank(catalog, &catalog.zone(zone).name, hosts, DELEGATES_PER_ZONE)
 }
 
-/// The delegates of a zone as `membership` sees it. Where nobody is known to be alive, hosts that
-/// were not yet tried come first, then those whose link failed longest ago.
-pub fn of(zone: ZoneKey, membership: &Membership, catalog: &Catalog) -> Vec<HostKey> {
+/// The delegates of a zone as `membership` sees it. If no host is known to be alive, hosts that
+/// were not tried yet come first, then those whose link failed longest ago.
+pub fn zone_delegates(zone: ZoneKey, membership: &Membership, catalog: &Catalog) -> Vec<HostKey> {
     let live = membership.zone_hosts(zone);
     if !live.is_empty() {
-        return choose(zone, &live, catalog);
+        return choose_delegates(zone, &live, catalog);
     }
-    let hosts = configured(zone, catalog).into_iter();
+    let hosts = configured_hosts(zone, catalog).into_iter();
     let mut ranked = rank(catalog, &catalog.zone(zone).name, hosts, usize::MAX);
     ranked.sort_by_key(|&host| membership.link_failed(host));
-    ranked.truncate(COUNT);
+    ranked.truncate(DELEGATES_PER_ZONE);
     ranked
 }
 
 /// Whether `host` is a delegate of its zone.
 pub fn is_delegate(host: HostKey, membership: &Membership, catalog: &Catalog) -> bool {
-    of(catalog.host(host).zone, membership, catalog).contains(&host)
+    zone_delegates(catalog.host(host).zone, membership, catalog).contains(&host)
 }
 
-fn configured(zone: ZoneKey, catalog: &Catalog) -> BTreeSet<HostKey> {
+fn configured_hosts(zone: ZoneKey, catalog: &Catalog) -> BTreeSet<HostKey> {
     catalog
         .hosts()
         .filter(|(_, host)| host.zone == zone)
@@ -83,9 +89,13 @@
         .collect()
 }
 
-/// The hosts with which `host` is to be linked: all of its zone, or some if there are many; and
-/// for a delegate the delegates of the other zones.
-pub fn links(host: HostKey, membership: &Membership, catalog: &Catalog) -> BTreeSet<HostKey> {
+/// The hosts that `host` should be linked with: all of its zone, or some if there are many, and for
+/// a delegate also the delegates of the other zones.
+pub fn wanted_links(
+    host: HostKey,
+    membership: &Membership,
+    catalog: &Catalog,
+) -> BTreeSet<HostKey> {
     let zone = catalog.host(host).zone;
     let mut links = zone_links(host, zone, membership, catalog);
     if is_delegate(host, membership, catalog) {
@@ -93,7 +103,7 @@
             .zones()
             .map(|(key, _)| key)
             .filter(|&key| key != zone);
-        links.extend(others.flat_map(|other| of(other, membership, catalog)));
+        links.extend(others.flat_map(|other| zone_delegates(other, membership, catalog)));
     }
     links.remove(&host);
     links
@@ -105,14 +115,19 @@
     membership: &Membership,
     catalog: &Catalog,
 ) -> BTreeSet<HostKey> {
-    let hosts = configured(zone, catalog);
-    let delegates = of(zone, membership, catalog);
-    if hosts.len() <= MESH || delegates.contains(&host) {
+    let hosts = configured_hosts(zone, catalog);
+    let delegates = zone_delegates(zone, membership, catalog);
+    if hosts.len() <= MAX_FULL_MESH || delegates.contains(&host) {
         return hosts;
     }
     let near = |from: HostKey| {
         let others = hosts.iter().copied().filter(move |&other| other != from);
-        rank(catalog, &catalog.host(from).name, others, NEIGHBOURS / 2)
+        rank(
+            catalog,
+            &catalog.host(from).name,
+            others,
+            NEIGHBOUR_LINKS / 2,
+        )
     };
     let mut links: BTreeSet<HostKey> = delegates.into_iter().collect();
     links.extend(near(host));
@@ -124,18 +139,18 @@
     links
 }
 
-/// Time between the heartbeats of a host on its links to other zones, by how many there are.
-pub fn interval(links: usize) -> Duration {
-    if links <= FREQUENT {
+/// Interval between the heartbeats of a host on its links to other zones, by their number.
+pub fn heartbeat_interval(links: usize) -> Duration {
+    if links <= MAX_FREQUENT_LINKS {
         INTERVAL
     } else {
-        SLOW
+        SLOW_INTERVAL
     }
 }
 
-/// The hosts of its zone to which `host` passes on what `root` sends to all of them: a tree of
-/// [`FAN`] branches over the live hosts. Hosts that see the membership otherwise may be left out
-/// for a while; they ask when they notice.
+/// The hosts of its zone to which `host` forwards what `root` sends to all of them: its children in
+/// a tree with [`TREE_FANOUT`] branches over the live hosts. Hosts with a different view of the
+/// membership may be left out for a while. They request what they missed once they notice.
 pub fn branches(
     root: HostKey,
     host: HostKey,
@@ -148,7 +163,7 @@
     let Some(place) = order.iter().position(|&other| other == host) else {
         return Vec::new();
     };
-    let first = (FAN * place + 1).min(order.len());
-    let end = (first + FAN).min(order.len());
+    let first = (TREE_FANOUT * place + 1).min(order.len());
+    let end = (first + TREE_FANOUT).min(order.len());
     order[first..end].to_vec()
 }
--- a/src/control/digest.rs
+++ b/src/control/digest.rs
@@ -1,6 +1,7 @@
-//! What a delegate tells the hosts of its own zone about the other zones: which are heard, and
-//! how full their sites are, in coarse steps. That is all a host needs to choose a zone for work
-//! that its own cannot take; the zone that gets it decides by what it knows itself.
+//! The digest that a delegate sends to the hosts of its own zone about the other zones: which of
+//! them are heard, and how full their sites are, in coarse steps. A host needs no more to choose a
+//! zone for work that its own cannot take. The receiving zone decides by its own, more precise
+//! figures.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,21 +10,21 @@
 use serde::{Deserialize, Serialize};
 
 use super::membership::{Membership, Report};
-use super::summary::{Load, Source, Table, Taken};
+use super::summary::{ApplyResult, Load, Source, Table};
 use crate::catalog::{Catalog, HostKey, ServiceKey, ZoneKey};
 
-/// Time between the digests of a delegate, when no zone is lost or found.
+/// Interval between the digests of a delegate while no zone is lost or found.
 pub const INTERVAL: Duration = Duration::from_secs(4);
-/// Time between digests that hold all levels.
-const FULL: Duration = Duration::from_secs(32);
-/// Steps of a level for a site whose live slots are all in use.
-const STEPS: f32 = 20.0;
-/// The highest level that is told apart.
-const HIGHEST: u8 = 100;
-/// Level of a site without a live slot.
+/// Interval between digests that contain all levels.
+const FULL_INTERVAL: Duration = Duration::from_secs(32);
+/// Number of level steps for a site whose live slots are all in use.
+const LEVEL_STEPS: f32 = 20.0;
+/// The highest level; fuller sites have the same one.
+const MAX_LEVEL: u8 = 100;
+/// The level of a site without a live slot.
 const CLOSED: u8 = u8::MAX;
 
-/// The zones as a delegate sees them.
+/// The other zones from the view of a delegate.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Digest {
     /// The delegate.
@@ -32,13 +33,13 @@
     /// Its incarnation.
     #[serde(rename = "i")]
     pub incarnation: u64,
-    /// Rises by one with each digest of the incarnation.
+    /// Increases by one with each digest of the incarnation.
     #[serde(rename = "s")]
     pub sequence: u64,
-    /// Whether all levels are in it.
+    /// Whether it contains all levels.
     #[serde(rename = "f")]
     pub full: bool,
-    /// What it says of each zone.
+    /// The digests of the zones.
     #[serde(rename = "z")]
     pub zones: Vec<Zone>,
 }
@@ -46,7 +47,7 @@
 /// One zone in a digest.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Zone {
-    /// Whether it is heard.
+    /// When it was last heard, and whether it is lost.
     #[serde(rename = "z")]
     pub report: Report,
     /// Digest of its roster.
@@ -55,13 +56,13 @@
     /// Time since its loads were sampled, in milliseconds.
     #[serde(rename = "a")]
     pub age_ms: u32,
-    /// Levels by service; without those that are as they were.
+    /// Levels by service. Unchanged levels are left out unless the digest is full.
     #[serde(rename = "l")]
     pub levels: BTreeMap<Arc<str>, u8>,
 }
 
 impl Zone {
-    /// A zone that told nothing of its load yet.
+    /// A zone that has not reported its load yet.
     fn unmeasured(report: Report) -> Self {
         Self {
             report,
@@ -77,38 +78,40 @@
         return CLOSED;
     }
     let full = (load.in_flight + load.queued) / load.live;
-    let level = (full * STEPS).round().clamp(0.0, f32::from(HIGHEST));
+    let level = (full * LEVEL_STEPS)
+        .round()
+        .clamp(0.0, f32::from(MAX_LEVEL));
     level as u8
 }
 
-/// Makes the digests of one delegate.
+/// Builds the digests of one delegate.
 #[derive(Clone, Debug)]
 pub struct Sender {
     host: HostKey,
     incarnation: u64,
     sequence: u64,
     sent: BTreeMap<(ZoneKey, ServiceKey), u8>,
-    filled: Option<Instant>,
+    last_full: Option<Instant>,
 }
 
 impl Sender {
-    /// A sender that has sent nothing.
+    /// Creates a sender that has sent nothing.
     pub fn new(host: HostKey, incarnation: u64) -> Self {
         Self {
             host,
             incarnation,
             sequence: 0,
             sent: BTreeMap::new(),
-            filled: None,
+            last_full: None,
         }
     }
 
-    /// The next digest is to hold all levels: somebody missed one.
-    pub fn refill(&mut self) {
-        self.filled = None;
+    /// Makes the next digest contain all levels, after a receiver missed one.
+    pub fn request_full(&mut self) {
+        self.last_full = None;
     }
 
-    /// The next digest.
+    /// Builds the next digest.
     pub fn digest(
         &mut self,
         now: Instant,
@@ -117,9 +120,9 @@
         catalog: &Catalog,
     ) -> Digest {
         self.sequence += 1;
-        let full = self.filled.is_none_or(|at| now >= at + FULL);
+        let full = self.last_full.is_none_or(|at| now >= at + FULL_INTERVAL);
         if full {
-            self.filled = Some(now);
+            self.last_full = Some(now);
             self.sent.clear();
         }
         let mut zones = Vec::new();
@@ -127,7 +130,7 @@
             let Some(zone) = catalog.zone_key(&report.zone) else {
                 continue;
             };
-            match summaries.zone(now, zone, catalog) {
+            match summaries.zone_source(now, zone, catalog) {
                 Some(source) => zones.push(self.zone(now, report, zone, source, catalog)),
                 None => zones.push(Zone::unmeasured(report)),
             }
@@ -166,49 +169,49 @@
     }
 }
 
-/// How full a site is, as far as is known.
+/// The last known fill level of a site.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Level {
-    /// Requests running and waiting for each live slot; infinite if there is none.
+    /// Running and waiting requests per live slot; infinite if there is none.
     pub filled: f64,
-    /// When it was sampled, at the latest, on the own clock.
+    /// Latest possible time of its sampling, on this host's clock.
     pub sampled: Instant,
 }
 
-/// The levels of the sites in other zones, as the delegate tells them.
+/// The fill levels of the sites in other zones, as received from the delegate.
 #[derive(Clone, Debug, Default)]
 pub struct Levels {
-    order: Option<(HostKey, u64, u64)>,
-    /// Whether no digest was missed since the last one that held all levels.
-    whole: bool,
+    last_order: Option<(HostKey, u64, u64)>,
+    /// Whether no digest was missed since the last full one.
+    is_complete: bool,
     levels: BTreeMap<(ZoneKey, ServiceKey), Level>,
 }
 
 impl Levels {
-    /// Nothing is known.
+    /// Creates an empty set of levels.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes in a digest, `delay` after it was sent as far as is known.
-    pub fn take(
+    /// Applies a digest, `delay` after it was sent.
+    pub fn apply(
         &mut self,
         now: Instant,
         digest: &Digest,
         delay: Duration,
         catalog: &Catalog,
-    ) -> Taken {
+    ) -> ApplyResult {
         let Some(host) = catalog.host_key(&digest.host) else {
-            return Taken::Ignored;
+            return ApplyResult::Ignored;
         };
         let next = (host, digest.incarnation, digest.sequence);
-        let follows = match self.order {
-            Some(last) if last.0 == host && next <= last => return Taken::Ignored,
+        let follows = match self.last_order {
+            Some(last) if last.0 == host && next <= last => return ApplyResult::Ignored,
             Some(last) => next == (last.0, last.1, last.2 + 1),
             None => false,
         };
-        self.order = Some(next);
-        self.whole = digest.full || (self.whole && follows);
+        self.last_order = Some(next);
+        self.is_complete = digest.full || (self.is_complete && follows);
         if digest.full {
             self.levels.clear();
         }
@@ -216,24 +219,24 @@
             let age = Duration::from_millis(zone.age_ms.into()) + delay;
             let sampled = now.checked_sub(age);
             if let Some((key, sampled)) = catalog.zone_key(&zone.report.zone).zip(sampled) {
-                self.take_zone(key, sampled, &zone.levels, catalog);
+                self.apply_zone(key, sampled, &zone.levels, catalog);
             }
         }
-        if self.whole {
-            Taken::Newer
+        if self.is_complete {
+            ApplyResult::Newer
         } else {
-            Taken::Gap
+            ApplyResult::Gap
         }
     }
 
-    fn take_zone(
+    fn apply_zone(
         &mut self,
         zone: ZoneKey,
         sampled: Instant,
         levels: &BTreeMap<Arc<str>, u8>,
         catalog: &Catalog,
     ) {
-        if self.whole {
+        if self.is_complete {
             let first = (zone, ServiceKey::from_raw(0.into()));
             let last = (zone, ServiceKey::from_raw(u32::MAX.into()));
             let known = self.levels.range_mut(first..=last);
@@ -242,7 +245,7 @@
         for (name, &level) in levels {
             let filled = match level {
                 CLOSED => f64::INFINITY,
-                level => f64::from(level) / f64::from(STEPS),
+                level => f64::from(level) / f64::from(LEVEL_STEPS),
             };
             if let Some(service) = catalog.service_key(name) {
                 let level = Level { filled, sampled };
@@ -251,7 +254,7 @@
         }
     }
 
-    /// How full the site of a service in another zone is, if that was told.
+    /// The level of a service's site in another zone, if it was received.
     pub fn level(&self, service: ServiceKey, zone: ZoneKey) -> Option<Level> {
         self.levels.get(&(zone, service)).copied()
     }
--- a/src/control/beat.rs
+++ b/src/control/heartbeat.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other of who is alive.
+//! Messages that hosts exchange about which hosts are alive.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,22 +6,23 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::Xxh3;
 
-/// What a host says of itself.
+/// The state that a host announces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// It takes new work.
+    /// The host takes new work.
     Serving,
-    /// It finishes what it has.
+    /// The host finishes its current work and takes no new work.
     Leaving,
 }
 
-/// The wire form of a [`Beat`]: its fields in order, and whether its sender is leaving.
+/// The wire form of a [`Heartbeat`]: its fields in order, with the state as whether the sender is
+/// leaving.
 #[derive(Serialize, Deserialize)]
 struct Packed(Arc<str>, u64, u64, bool, u32, Vec<Arc<str>>, Vec<Known>);
 
-impl From<Beat> for Packed {
-    fn from(beat: Beat) -> Self {
+impl From<Heartbeat> for Packed {
+    fn from(beat: Heartbeat) -> Self {
         Self(
             beat.host,
             beat.incarnation,
@@ -34,7 +35,7 @@
     }
 }
 
-impl From<Packed> for Beat {
+impl From<Packed> for Heartbeat {
     fn from(packed: Packed) -> Self {
         Self {
             host: packed.0,
@@ -54,47 +55,47 @@
 /// A heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(into = "Packed", from = "Packed")]
-pub struct Beat {
+pub struct Heartbeat {
     /// The sender.
     pub host: Arc<str>,
     /// Its incarnation.
     pub incarnation: u64,
-    /// Rises by one with each regular heartbeat of the incarnation.
+    /// Increases by one with each regular heartbeat of the incarnation.
     pub sequence: u64,
-    /// What it says of itself.
+    /// Its state.
     pub state: State,
-    /// Time to its next heartbeat on this link, in milliseconds.
+    /// Time to the sender's next heartbeat on this link, in milliseconds.
     pub interval_ms: u32,
-    /// Hosts that the sender ought to hear and does not.
+    /// Hosts that the sender should hear and does not.
     pub missed: Vec<Arc<str>>,
-    /// What the sender knows of hosts that others asked for.
+    /// What the sender knows of the hosts that the receiver asked about.
     pub known: Vec<Known>,
 }
 
 /// What one host knows of another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Known {
-    /// The host that is spoken of.
+    /// The host that this is about.
     #[serde(rename = "h")]
     pub host: Arc<str>,
-    /// The incarnation that was heard.
+    /// The incarnation that was last heard.
     #[serde(rename = "i")]
     pub incarnation: u64,
-    /// The last sequence that was heard.
+    /// The last sequence number that was heard.
     #[serde(rename = "s")]
     pub sequence: u64,
-    /// What that host said of itself.
+    /// The state that the host announced.
     #[serde(rename = "t")]
     pub state: State,
-    /// How long ago it was heard, in milliseconds.
+    /// How long ago it was last heard, in milliseconds.
     #[serde(rename = "a")]
     pub age_ms: u32,
-    /// Whether it is held to be dead.
+    /// Whether it is considered dead.
     #[serde(rename = "d", default, skip_serializing_if = "is_false")]
     pub dead: bool,
 }
 
-/// All that is known of the hosts of one zone, told to other zones.
+/// Everything known of the hosts of one zone, for other zones.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Roster {
     /// The zone.
@@ -104,8 +105,9 @@
 }
 
 impl Roster {
-    /// A digest of who is there, without the times at which they were heard. Those who have a
-    /// roster with the same digest need not be sent it again, see [`Membership::vouch`](super::membership::Membership::vouch).
+    /// A digest of the hosts and their states, without the times at which they were heard.
+    /// Receivers that have a roster with the same digest need not receive it again, see
+    /// [`Membership::confirm_roster`](super::membership::Membership::confirm_roster).
     pub fn digest(&self) -> u64 {
         let mut hash = Xxh3::new();
         for known in &self.hosts {
@@ -117,16 +119,16 @@
     }
 }
 
-/// What a delegate tells the hosts of its zone about another zone.
+/// A delegate's report to the hosts of its zone about another zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The zone that is spoken of.
+    /// The zone that this is about.
     #[serde(rename = "z")]
     pub zone: Arc<str>,
     /// Time since any host of it was heard, in milliseconds.
     #[serde(rename = "a")]
     pub age_ms: u32,
-    /// Whether it is held to be lost.
+    /// Whether it is considered lost.
     #[serde(rename = "l", default, skip_serializing_if = "is_false")]
     pub lost: bool,
 }
@@ -135,7 +137,7 @@
     !flag
 }
 
-/// Milliseconds as they are sent.
+/// Whole milliseconds, as they are sent.
 pub(crate) fn millis(age: Duration) -> u32 {
     u32::try_from(age.as_millis()).unwrap_or(u32::MAX)
 }
--- a/src/control/lease.rs
+++ b/src/control/lease.rs
@@ -1,16 +1,16 @@
 //! The planner lease.
 //!
-//! The lease is one object in the platform's store, changed only by conditional writes. The
-//! holder counts its validity from before it sent a write; the others wait a full time-to-live on
-//! their own clocks from when they first read a version, so the validity of the holder ends
-//! before anybody else may write, whatever the clocks show. Each new holder raises the epoch.
+//! The lease is one object in the platform's store, changed only by conditional writes. The holder
+//! counts its validity from before it sent a write. Other hosts wait a full time-to-live on their
+//! own clocks from when they first read a version. So the holder's validity ends before any other
+//! host may write, whatever the clocks show. Each new holder raises the epoch.
 //!
-//! A holder that was paused may still believe in its lease until it looks at [`Lease::held`]. So
-//! the lease alone protects nothing: what a holder does is fenced by the epoch, see
+//! A holder that was paused may consider its lease valid until it next calls [`Lease::held_epoch`].
+//! The lease alone therefore protects nothing: the writes of a holder are fenced by the epoch, see
 //! [`publish`](super::publish).
 //!
-//! A write whose answer was lost is settled by reading: each carries an identity, and the lease
-//! is held from the time at which the write with the identity that is found was sent.
+//! A write whose answer was lost is settled by reading the object. Each write carries an identity,
+//! and the lease counts as held from the time at which the write with the found identity was sent.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,42 +18,43 @@
 
 use rand::{Rng, RngExt};
 
-/// A version of an object, as the store names it.
+/// A version of an object, in the store's format.
 pub type Version = Arc<str>;
 
-/// Time a lease lasts.
+/// Time for which a lease is valid.
 pub const TTL: Duration = Duration::from_secs(5);
-/// Time from one renewal to the next.
-pub const RENEW: Duration = Duration::from_millis(1500);
-/// Mean time between the reads of a host that waits for the lease.
-pub const POLL: Duration = Duration::from_millis(1500);
-/// Part of the time-to-live that the holder gives up, against clocks that run at other rates.
-const DRIFT: f64 = 0.02;
-/// Longest random delay before a lapsed lease is taken, so that few hosts write at once.
-const SPREAD: Duration = Duration::from_millis(600);
-/// First delay after the store failed; doubles up to [`MAX_DELAY`].
-const MIN_DELAY: Duration = Duration::from_millis(400);
-/// Longest delay after the store failed.
-const MAX_DELAY: Duration = Duration::from_secs(3);
-/// Longest time-to-live that is believed, should the object hold nonsense.
+/// Interval between renewals.
+pub const RENEW_INTERVAL: Duration = Duration::from_millis(1500);
+/// Mean interval between the reads of a host that waits for the lease.
+pub const MEAN_POLL_INTERVAL: Duration = Duration::from_millis(1500);
+/// Fraction of the time-to-live that the holder gives up to allow for clocks that run at different
+/// rates.
+const CLOCK_DRIFT_MARGIN: f64 = 0.02;
+/// Longest random delay before a lapsed lease is acquired, so that only few hosts write at once.
+const MAX_ACQUIRE_DELAY: Duration = Duration::from_millis(600);
+/// First delay after a store failure; doubles up to [`MAX_BACKOFF`].
+const MIN_BACKOFF: Duration = Duration::from_millis(400);
+/// Longest delay after a store failure.
+const MAX_BACKOFF: Duration = Duration::from_secs(3);
+/// Longest time-to-live that is accepted, in case the object holds an invalid value.
 const MAX_TTL: Duration = Duration::from_secs(60);
-/// Sent writes whose identity is remembered.
-const REMEMBERED: usize = 8;
+/// Number of writes with a lost answer whose identity is remembered.
+const MAX_UNCERTAIN_WRITES: usize = 8;
 
 /// The value of the lease object.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Value {
-    /// The holder, with its incarnation.
+    /// The holder's name and incarnation.
     pub holder: Arc<str>,
-    /// Rises with every new holder.
+    /// Increases with every new holder.
     pub epoch: u64,
-    /// Identity of the write.
+    /// Identifies the write.
     pub identity: u64,
-    /// Time it lasts; zero if the holder gave it up.
+    /// Time for which it is valid; zero if the holder gave it up.
     pub ttl: Duration,
 }
 
-/// What the store must check before it takes a write.
+/// The condition that the store must check before it accepts a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Condition {
     /// The object does not exist.
@@ -62,12 +63,12 @@
     Version(Version),
 }
 
-/// What to do with the lease object. Its outcome is to be told by [`Lease::event`].
+/// A command on the lease object. Its outcome is passed to [`Lease::handle_event`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Read it.
+    /// Read the object.
     Read,
-    /// Write it.
+    /// Write the object.
     Write {
         /// The new value.
         value: Value,
@@ -79,145 +80,149 @@
 /// The outcome of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// It was read; none if the object does not exist.
+    /// The object was read; none if it does not exist.
     Read(Option<(Version, Value)>),
-    /// It was written, and has this version now.
+    /// The object was written and now has this version.
     Written(Version),
     /// The condition did not hold.
     Conflict,
-    /// The write was sent and its answer was lost: it may take effect, or may have.
+    /// The write was sent and its answer was lost. It may have taken effect, or may yet do so.
     Uncertain,
-    /// The store could not be asked.
+    /// The store could not be reached.
     Down,
 }
 
 /// Whether this host wants to hold the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Candidacy {
-    /// It is a delegate of its zone and stays.
-    Stands,
-    /// It is none, or it is leaving.
-    Abstains,
+    /// It does: it is the first delegate of its zone and is not leaving.
+    Eligible,
+    /// It does not: it is not the first delegate, or it is leaving.
+    Ineligible,
 }
 
-/// What the lease object was when it was read or written last.
+/// The lease object as it was last read or written.
 #[derive(Clone, Debug)]
-struct Seen {
+struct ObservedLease {
     version: Version,
     value: Value,
-    /// When this version was first seen, on the own clock.
-    since: Instant,
+    /// When this version was first seen, on this host's clock.
+    first_seen: Instant,
 }
 
-/// The planner lease as one host sees it.
+/// The planner lease from the view of one host.
 #[derive(Clone, Debug)]
 pub struct Lease {
     holder: Arc<str>,
     candidacy: Candidacy,
-    seen: Option<Seen>,
-    /// Whether the object was ever read, so that its absence is known.
-    read: bool,
-    /// Epoch and end of the lease, if it was held last.
-    valid: Option<(u64, Instant)>,
-    /// The command whose outcome is awaited, and when it was sent.
+    observed: Option<ObservedLease>,
+    /// Whether the object has been read, so that a missing object is known to be absent.
+    is_read: bool,
+    /// Epoch and end of validity of the lease, if this host was the last known holder.
+    valid_until: Option<(u64, Instant)>,
+    /// The pending command, and when it was sent.
     pending: Option<(Command, Instant)>,
-    /// The highest epoch known of.
-    highest: u64,
-    /// Writes whose outcome was lost, by identity: when they were sent.
-    sent: BTreeMap<u64, Instant>,
+    /// The highest known epoch.
+    highest_epoch: u64,
+    /// When each write with a lost outcome was sent, by identity.
+    uncertain_writes: BTreeMap<u64, Instant>,
     due: Instant,
     failures: u32,
-    /// Conflicts since a new version was seen: a store that lags must not be asked in a loop.
+    /// Number of conflicts since a new version was seen. Repeated conflicts cause a delay, so that
+    /// a lagging store is not called in a loop.
     conflicts: u32,
 }
 
 impl Lease {
-    /// The lease as seen by a host that has not asked for it. `holder` must name the incarnation.
+    /// Creates the state of a host that has not read the lease. `holder` must include the
+    /// incarnation.
     pub fn new(now: Instant, holder: Arc<str>) -> Self {
         Self {
             holder,
-            candidacy: Candidacy::Abstains,
-            seen: None,
-            read: false,
-            valid: None,
+            candidacy: Candidacy::Ineligible,
+            observed: None,
+            is_read: false,
+            valid_until: None,
             pending: None,
-            highest: 0,
-            sent: BTreeMap::new(),
+            highest_epoch: 0,
+            uncertain_writes: BTreeMap::new(),
             due: now,
             failures: 0,
             conflicts: 0,
         }
     }
 
-    /// The epoch, if this host holds the lease at `now`. To be asked before every act.
-    pub fn held(&self, now: Instant) -> Option<u64> {
-        let (epoch, until) = self.valid?;
+    /// The epoch, if this host holds the lease at `now`. To be checked before every action under
+    /// the lease.
+    pub fn held_epoch(&self, now: Instant) -> Option<u64> {
+        let (epoch, until) = self.valid_until?;
         (now < until).then_some(epoch)
     }
 
-    /// The highest epoch known of.
-    pub fn epoch(&self) -> u64 {
-        self.highest
+    /// The highest known epoch.
+    pub fn highest_epoch(&self) -> u64 {
+        self.highest_epoch
     }
 
-    /// Takes in an epoch that a plan bears. A lease object that was deleted and made anew must
-    /// not start below it.
-    pub fn learn(&mut self, epoch: u64) {
-        self.highest = self.highest.max(epoch);
-        if self.valid.is_some_and(|(own, _)| own < epoch) {
-            self.valid = None;
+    /// Records an epoch that was seen in a plan. A lease object that was deleted and created again
+    /// must not start below it.
+    pub fn observe_epoch(&mut self, epoch: u64) {
+        self.highest_epoch = self.highest_epoch.max(epoch);
+        if self.valid_until.is_some_and(|(own, _)| own < epoch) {
+            self.valid_until = None;
         }
     }
 
-    /// When [`Lease::tick`] has something to do next, unless an outcome is awaited.
+    /// When [`Lease::tick`] next has something to do, unless a command is pending.
     pub fn due(&self) -> Instant {
         self.due
     }
 
-    /// Sets whether the host stands for the lease. One that holds it and abstains gives it up.
-    pub fn stand(&mut self, now: Instant, candidacy: Candidacy) {
+    /// Sets whether this host wants to hold the lease. A holder that becomes ineligible gives it
+    /// up.
+    pub fn set_candidacy(&mut self, now: Instant, candidacy: Candidacy) {
         if self.candidacy != candidacy {
             self.candidacy = candidacy;
             self.due = now;
         }
     }
 
-    /// What to do now, if anything. Only one command is out at a time.
+    /// Returns the command to run now, if any. Only one command is pending at a time.
     pub fn tick(&mut self, now: Instant, rng: &mut impl Rng) -> Option<Command> {
         if self.pending.is_some() || now < self.due {
             return None;
         }
         let command = match self.candidacy {
-            Candidacy::Abstains => self.release(now, rng)?,
-            Candidacy::Stands => self.next(now, rng),
+            Candidacy::Ineligible => self.release(now, rng)?,
+            Candidacy::Eligible => self.next_command(now, rng),
         };
         self.pending = Some((command.clone(), now));
         Some(command)
     }
 
-    fn next(&mut self, now: Instant, rng: &mut impl Rng) -> Command {
-        if !self.read {
+    fn next_command(&mut self, now: Instant, rng: &mut impl Rng) -> Command {
+        if !self.is_read {
             return Command::Read;
         }
-        let Some(seen) = &self.seen else {
-            return self.write(self.highest + 1, TTL, Condition::Absent, rng);
+        let Some(seen) = &self.observed else {
+            return self.write(self.highest_epoch + 1, TTL, Condition::Absent, rng);
         };
         let condition = Condition::Version(seen.version.clone());
-        if let Some(epoch) = self.held(now) {
+        if let Some(epoch) = self.held_epoch(now) {
             return self.write(epoch, TTL, condition, rng);
         }
         let own = seen.value.holder == self.holder;
-        if own || now >= seen.since + seen.value.ttl {
-            return self.write(self.highest + 1, TTL, condition, rng);
+        if own || now >= seen.first_seen + seen.value.ttl {
+            return self.write(self.highest_epoch + 1, TTL, condition, rng);
         }
         Command::Read
     }
 
-    /// Gives the lease up, so that the next holder need not wait.
+    /// Gives the lease up, so that the next holder need not wait for its end.
     fn release(&mut self, now: Instant, rng: &mut impl Rng) -> Option<Command> {
-        let epoch = self.held(now)?;
-        let version = self.seen.as_ref()?.version.clone();
-        self.valid = None;
+        let epoch = self.held_epoch(now)?;
+        let version = self.observed.as_ref()?.version.clone();
+        self.valid_until = None;
         Some(self.write(epoch, Duration::ZERO, Condition::Version(version), rng))
     }
 
@@ -237,8 +242,8 @@
         Command::Write { value, condition }
     }
 
-    /// Takes in the outcome of the last command.
-    pub fn event(&mut self, now: Instant, event: Event, rng: &mut impl Rng) {
+    /// Handles the outcome of the pending command.
+    pub fn handle_event(&mut self, now: Instant, event: Event, rng: &mut impl Rng) {
         let Some((command, sent)) = self.pending.take() else {
             return;
         };
@@ -247,114 +252,115 @@
             self.failures = 0;
         }
         match (command, event) {
-            (_, Event::Read(found)) => self.found(now, found, rng),
+            (_, Event::Read(found)) => self.handle_read(now, found, rng),
             (Command::Write { value, .. }, Event::Written(version)) => {
-                self.written(now, version, value, sent);
+                self.handle_written(now, version, value, sent);
             }
             (Command::Write { value, .. }, Event::Uncertain) => {
-                self.remember(value.identity, sent);
-                self.read = false;
-                self.due = now + self.delay(rng);
+                self.remember_uncertain_write(value.identity, sent);
+                self.is_read = false;
+                self.due = now + self.next_backoff(rng);
             }
             (Command::Write { .. }, Event::Conflict) => {
-                self.read = false;
+                self.is_read = false;
                 self.conflicts += 1;
                 self.due = if self.conflicts > 1 {
-                    now + self.delay(rng)
+                    now + self.next_backoff(rng)
                 } else {
                     now
                 };
             }
             (_, Event::Down | Event::Uncertain | Event::Conflict) => {
-                self.due = now + self.delay(rng);
+                self.due = now + self.next_backoff(rng);
             }
             (Command::Read, Event::Written(_)) => self.due = now,
         }
     }
 
-    fn remember(&mut self, identity: u64, sent: Instant) {
-        self.sent.insert(identity, sent);
-        if self.sent.len() > REMEMBERED {
-            let oldest = self.sent.iter().min_by_key(|(_, &at)| at);
+    fn remember_uncertain_write(&mut self, identity: u64, sent: Instant) {
+        self.uncertain_writes.insert(identity, sent);
+        if self.uncertain_writes.len() > MAX_UNCERTAIN_WRITES {
+            let oldest = self.uncertain_writes.iter().min_by_key(|(_, &at)| at);
             let oldest = oldest.map(|(&identity, _)| identity);
-            self.sent.retain(|&identity, _| Some(identity) != oldest);
+            self.uncertain_writes
+                .retain(|&identity, _| Some(identity) != oldest);
         }
     }
 
-    fn found(&mut self, now: Instant, found: Option<(Version, Value)>, rng: &mut impl Rng) {
-        self.read = true;
+    fn handle_read(&mut self, now: Instant, found: Option<(Version, Value)>, rng: &mut impl Rng) {
+        self.is_read = true;
         let Some((version, value)) = found else {
-            self.seen = None;
-            self.valid = None;
-            self.due = now + spread(rng);
+            self.observed = None;
+            self.valid_until = None;
+            self.due = now + random_acquire_delay(rng);
             return;
         };
         let own = value.holder == self.holder;
-        if let (true, Some(&at)) = (own, self.sent.get(&value.identity)) {
-            return self.written(now, version, value, at);
+        if let (true, Some(&at)) = (own, self.uncertain_writes.get(&value.identity)) {
+            return self.handle_written(now, version, value, at);
         }
-        self.look(now, version, value);
-        self.plan_wait(now, rng);
+        self.observe_version(now, version, value);
+        self.schedule_next_command(now, rng);
     }
 
-    /// Takes in a version that another wrote, or an old one of its own.
-    fn look(&mut self, now: Instant, version: Version, mut value: Value) {
-        let same = self.seen.as_ref().is_some_and(|s| s.version == version);
+    /// Records a version that another host wrote, or that this host wrote earlier.
+    fn observe_version(&mut self, now: Instant, version: Version, mut value: Value) {
+        let same = self.observed.as_ref().is_some_and(|s| s.version == version);
         if same {
             return;
         }
         self.conflicts = 0;
         value.ttl = value.ttl.min(MAX_TTL);
-        self.learn(value.epoch);
-        if value.holder != self.holder && value.epoch == self.highest {
-            self.valid = None;
+        self.observe_epoch(value.epoch);
+        if value.holder != self.holder && value.epoch == self.highest_epoch {
+            self.valid_until = None;
         }
-        self.seen = Some(Seen {
+        self.observed = Some(ObservedLease {
             version,
             value,
-            since: now,
+            first_seen: now,
         });
     }
 
-    fn plan_wait(&mut self, now: Instant, rng: &mut impl Rng) {
-        let Some(seen) = &self.seen else {
+    fn schedule_next_command(&mut self, now: Instant, rng: &mut impl Rng) {
+        let Some(seen) = &self.observed else {
             self.due = now;
             return;
         };
-        if self.held(now).is_some() {
+        if self.held_epoch(now).is_some() {
             self.due = now;
             return;
         }
-        let lapses = seen.since + seen.value.ttl;
-        let poll = now + POLL.mul_f64(rng.random_range(0.7..1.3));
+        let lapses = seen.first_seen + seen.value.ttl;
+        let poll = now + MEAN_POLL_INTERVAL.mul_f64(rng.random_range(0.7..1.3));
         self.due = if lapses <= poll {
-            lapses.max(now) + spread(rng)
+            lapses.max(now) + random_acquire_delay(rng)
         } else {
             poll
         };
     }
 
-    fn written(&mut self, now: Instant, version: Version, value: Value, sent: Instant) {
-        self.sent.clear();
+    fn handle_written(&mut self, now: Instant, version: Version, value: Value, sent: Instant) {
+        self.uncertain_writes.clear();
         self.conflicts = 0;
-        self.learn(value.epoch);
-        let until = sent + value.ttl.mul_f64(1.0 - DRIFT);
-        self.valid = (!value.ttl.is_zero()).then_some((value.epoch, until));
-        self.due = (sent + RENEW).max(now);
-        self.seen = Some(Seen {
+        self.observe_epoch(value.epoch);
+        let until = sent + value.ttl.mul_f64(1.0 - CLOCK_DRIFT_MARGIN);
+        self.valid_until = (!value.ttl.is_zero()).then_some((value.epoch, until));
+        self.due = (sent + RENEW_INTERVAL).max(now);
+        self.observed = Some(ObservedLease {
             version,
             value,
-            since: now,
+            first_seen: now,
         });
     }
 
-    fn delay(&mut self, rng: &mut impl Rng) -> Duration {
-        let doubled = MIN_DELAY.saturating_mul(1 << self.failures.min(6));
+    fn next_backoff(&mut self, rng: &mut impl Rng) -> Duration {
+        let doubled = MIN_BACKOFF.saturating_mul(1 << self.failures.min(6));
         self.failures = self.failures.saturating_add(1);
-        doubled.min(MAX_DELAY).mul_f64(rng.random_range(0.5..1.0))
+        doubled.min(MAX_BACKOFF).mul_f64(rng.random_range(0.5..1.0))
     }
 }
 
-fn spread(rng: &mut impl Rng) -> Duration {
-    SPREAD.mul_f64(rng.random_range(0.0..1.0))
+fn random_acquire_delay(rng: &mut impl Rng) -> Duration {
+    MAX_ACQUIRE_DELAY.mul_f64(rng.random_range(0.0..1.0))
 }
--- a/src/control/member.rs
+++ b/src/control/member.rs
@@ -1,20 +1,20 @@
-//! One entry host as another sees it.
+//! The state of one entry host from the view of another.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::beat::{millis, Known, State};
 use super::detector::Detector;
+use super::heartbeat::{millis, Known, State};
 use crate::catalog::{self, ZoneKey};
 
-/// Time from a broken link to death when nobody hears the host.
-pub const CONFIRM: Duration = Duration::from_millis(800);
+/// Time from a broken link until the host counts as dead if no other host hears it.
+pub const DEATH_CONFIRMATION: Duration = Duration::from_millis(800);
 /// Silence after which a host known only through others is suspected.
-const REMOTE_SUSPECT: Duration = Duration::from_secs(8);
+const REMOTE_SUSPECT_SILENCE: Duration = Duration::from_secs(8);
 /// Silence after which a host known only through others is dead.
-pub(super) const REMOTE_DEAD: Duration = Duration::from_secs(12);
+pub(super) const REMOTE_DEAD_SILENCE: Duration = Duration::from_secs(12);
 
-/// What the platform's lagging list says of a host.
+/// How the platform's list, which lags, shows a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listing {
     /// Listed as live.
@@ -25,30 +25,30 @@
     Absent,
 }
 
-/// What is believed of a host.
+/// The status of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
     /// Never heard.
     Unknown,
-    /// Heard lately.
+    /// Heard recently.
     Alive,
     /// Silent for too long, or its link broke.
     Suspect,
-    /// Silent, and nobody else hears it.
+    /// Silent, and no other host hears it.
     Dead,
 }
 
-/// The link to a host, as far as there is to be one.
+/// The state of the link to a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Link {
     Absent,
-    /// It is to be opened since then.
+    /// It should be opened, since this time.
     Opening(Instant),
     Up,
     Down(Instant),
 }
 
-/// What is known of one host.
+/// The known state of one host.
 #[derive(Clone, Debug)]
 pub(super) struct Record {
     pub(super) name: Arc<str>,
@@ -56,18 +56,18 @@
     pub(super) incarnation: u64,
     pub(super) sequence: u64,
     pub(super) state: State,
-    /// Last heard over a link.
-    pub(super) direct: Option<Instant>,
-    /// Last heard at all.
-    pub(super) heard: Option<Instant>,
-    /// Whether it was last heard only in that its zone vouched for it.
-    pub(super) vouched: bool,
+    /// When it was last heard over a link.
+    pub(super) last_direct: Option<Instant>,
+    /// When it was last heard at all.
+    pub(super) last_heard: Option<Instant>,
+    /// Whether its most recent sign of life is the confirmation of its zone's roster.
+    pub(super) is_confirmed: bool,
     pub(super) link: Link,
     pub(super) detector: Detector,
     pub(super) listing: Listing,
     pub(super) status: Status,
-    /// Whether the host says that it does not hear this one.
-    pub(super) unheard: bool,
+    /// Whether the host reports that it does not hear this one.
+    pub(super) is_unheard: bool,
 }
 
 impl Record {
@@ -78,60 +78,60 @@
             incarnation: 0,
             sequence: 0,
             state: State::Serving,
-            direct: None,
-            heard: None,
-            vouched: false,
+            last_direct: None,
+            last_heard: None,
+            is_confirmed: false,
             link: Link::Absent,
             detector: Detector::default(),
             listing: Listing::Live,
             status: Status::Unknown,
-            unheard: false,
+            is_unheard: false,
         }
     }
 
-    /// Whether there is, or was until now, a link to the host.
-    pub(super) fn linked(&self) -> bool {
-        matches!(self.link, Link::Up | Link::Down(_)) || self.direct.is_some()
+    /// Whether there is a link to the host, or was one until now.
+    pub(super) fn is_linked(&self) -> bool {
+        matches!(self.link, Link::Up | Link::Down(_)) || self.last_direct.is_some()
     }
 
     /// Whether the link is still to be opened.
-    pub(super) fn opening(&self) -> bool {
+    pub(super) fn is_opening(&self) -> bool {
         matches!(self.link, Link::Opening(_))
     }
 
-    /// Silences after which the host is suspected, and dead.
-    pub(super) fn limits(&self) -> (Duration, Duration) {
-        if self.linked() {
-            (self.detector.suspect(), self.detector.dead())
+    /// The silences after which the host is suspected, and after which it counts as dead.
+    pub(super) fn silence_limits(&self) -> (Duration, Duration) {
+        if self.is_linked() {
+            (self.detector.suspect_after(), self.detector.dead_after())
         } else {
-            (REMOTE_SUSPECT, REMOTE_DEAD)
+            (REMOTE_SUSPECT_SILENCE, REMOTE_DEAD_SILENCE)
         }
     }
 
-    /// When the link broke, if nothing was heard since.
-    fn broken(&self) -> Option<Instant> {
+    /// When the link broke, if the host has not been heard since.
+    fn broken_since(&self) -> Option<Instant> {
         match self.link {
-            Link::Down(at) if self.heard.is_none_or(|heard| heard <= at) => Some(at),
+            Link::Down(at) if self.last_heard.is_none_or(|heard| heard <= at) => Some(at),
             Link::Down(_) | Link::Up | Link::Opening(_) | Link::Absent => None,
         }
     }
 
-    /// The status at `now`, silence being counted from `resumed` at the earliest.
-    pub(super) fn judge(&self, now: Instant, resumed: Instant) -> Status {
-        let Some(heard) = self.heard else {
+    /// The status at `now`. Silence is counted from `resumed` at the earliest.
+    pub(super) fn evaluate(&self, now: Instant, resumed: Instant) -> Status {
+        let Some(heard) = self.last_heard else {
             return Status::Unknown;
         };
         if self.status == Status::Dead {
             return Status::Dead;
         }
-        let (suspect, dead) = self.limits();
+        let (suspect, dead) = self.silence_limits();
         let since = heard.max(resumed);
         let silence = now.saturating_duration_since(since);
         if silence >= dead {
             return Status::Dead;
         }
-        if let Some(at) = self.broken() {
-            let confirmed = now.saturating_duration_since(at) >= CONFIRM;
+        if let Some(at) = self.broken_since() {
+            let confirmed = now.saturating_duration_since(at) >= DEATH_CONFIRMATION;
             let awake = now.saturating_duration_since(resumed) >= dead;
             return if confirmed && awake {
                 Status::Dead
@@ -146,16 +146,16 @@
         }
     }
 
-    pub(super) fn alive(&self) -> bool {
+    pub(super) fn is_alive(&self) -> bool {
         matches!(self.status, Status::Alive | Status::Suspect)
     }
 
-    pub(super) fn leaving(&self) -> bool {
+    pub(super) fn is_leaving(&self) -> bool {
         self.state == State::Leaving || self.listing == Listing::Leaving
     }
 
-    pub(super) fn known(&self, now: Instant) -> Option<Known> {
-        let heard = self.heard?;
+    pub(super) fn to_known(&self, now: Instant) -> Option<Known> {
+        let heard = self.last_heard?;
         Some(Known {
             host: self.name.clone(),
             incarnation: self.incarnation,
--- a/src/control/membership.rs
+++ b/src/control/membership.rs
@@ -1,78 +1,79 @@
-//! Which entry hosts are alive, by incarnation.
+//! Tracks which entry hosts are alive, by incarnation.
 //!
-//! A host is heard directly, by its heartbeats over a link, or through others, with an age. One
-//! that falls silent is suspected; those who still hear it are asked, and only when nobody does
-//! is it dead. The platform's list is a hint: it never kills a host that is heard. A restarted
-//! host has a higher incarnation, and what an older one said is ignored.
+//! A host is heard directly, by its heartbeats over a link, or through other hosts, with an age. A
+//! silent host is suspected. The hosts linked with this one are then asked whether they hear it,
+//! and it counts as dead only if none does. The platform's list is a hint: it never causes a host
+//! that is heard to count as dead. A restarted host has a higher incarnation, and messages of older
+//! incarnations are ignored.
 //!
-//! A pause of the observer itself shows as a gap between ticks. After it every silence is counted
-//! anew, so that nobody is declared dead for what the observer slept through.
+//! A pause of this process shows as a gap between ticks. After it all silences are counted from the
+//! end of the pause, so that no host is declared dead because of the pause.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::beat::millis;
 use super::detector::{Detector, INTERVAL};
-use super::member::{Link, Record, REMOTE_DEAD};
+use super::heartbeat::millis;
+use super::member::{Link, Record, REMOTE_DEAD_SILENCE};
 use crate::catalog::{self, Catalog, HostKey, ZoneKey};
 
-pub use super::beat::{Beat, Known, Report, Roster, State};
-pub use super::member::{Listing, Status, CONFIRM};
+pub use super::heartbeat::{Heartbeat, Known, Report, Roster, State};
+pub use super::member::{Listing, Status, DEATH_CONFIRMATION};
 
-/// Least silence of a whole zone before it counts as lost.
-const ZONE_SILENCE: Duration = Duration::from_secs(2);
-/// Additional silence while links to other hosts of the zone are still to be opened.
-const TRY: Duration = Duration::from_secs(2);
-/// A gap between ticks that means that this process was paused.
-pub const PAUSE: Duration = Duration::from_millis(700);
+/// Minimum silence of a whole zone before it counts as lost.
+const ZONE_LOSS_SILENCE: Duration = Duration::from_secs(2);
+/// Additional silence allowed while links to other hosts of the zone are still to be opened.
+const OPENING_ALLOWANCE: Duration = Duration::from_secs(2);
+/// A gap between ticks of at least this length means that this process was paused.
+pub const PAUSE_THRESHOLD: Duration = Duration::from_millis(700);
 
 /// How a host was heard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Via {
-    /// Over a link to it.
+    /// Over a direct link.
     Direct,
-    /// Through another host that had heard it this long ago.
+    /// Through another host that heard it this long ago.
     Relayed(Duration),
 }
 
-/// What is believed of an availability zone.
+/// The status of an availability zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sight {
-    /// Some host of it was heard lately.
+pub enum ZoneStatus {
+    /// Some host of it was heard recently.
     Alive,
-    /// All of it is silent while most other zones are heard.
+    /// All its hosts are silent while most other zones are heard.
     Lost,
-    /// Not heard, for this long if ever; but it may be this zone that is cut off.
+    /// Not heard for this time, or never. The own zone may be the one that is cut off.
     Unknown(Option<Duration>),
 }
 
-/// What changed.
+/// A change of the membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     /// A host is heard for the first time, or again after it was dead.
     Joined(HostKey),
     /// A host is heard with a higher incarnation.
     Restarted(HostKey),
-    /// A host takes no new work any more.
+    /// A host no longer takes new work.
     Left(HostKey),
-    /// A host is silent: send a [`Beat`] at once to ask who hears it.
+    /// A host is silent. Send a [`Heartbeat`] at once to ask which hosts hear it.
     Suspected(HostKey),
     /// A host is dead.
     Died(HostKey),
-    /// An availability zone is seen otherwise than before.
-    Zone(ZoneKey, Sight),
+    /// The status of an availability zone changed.
+    Zone(ZoneKey, ZoneStatus),
 }
 
-/// A delegate's word on a zone.
+/// A delegate's report on a zone.
 #[derive(Clone, Copy, Debug)]
-struct Word {
+struct ZoneReport {
     received: Instant,
     heard: Instant,
     lost: bool,
 }
 
-/// The membership as one host sees it.
+/// The membership from the view of one host.
 #[derive(Clone, Debug)]
 pub struct Membership {
     own: HostKey,
@@ -84,16 +85,16 @@
     records: BTreeMap<HostKey, Record>,
     names: BTreeMap<Arc<str>, HostKey>,
     zones: BTreeMap<ZoneKey, Arc<str>>,
-    words: BTreeMap<ZoneKey, Word>,
+    zone_reports: BTreeMap<ZoneKey, ZoneReport>,
     rosters: BTreeMap<ZoneKey, Roster>,
-    sights: BTreeMap<ZoneKey, Sight>,
-    ticked: Instant,
-    resumed: Instant,
+    zone_statuses: BTreeMap<ZoneKey, ZoneStatus>,
+    last_tick: Instant,
+    resumed_at: Instant,
     changes: Vec<Change>,
 }
 
 impl Membership {
-    /// The membership of a host that starts now and has heard nobody.
+    /// Creates the membership of a host that starts now and has not heard any other.
     pub fn new(now: Instant, own: HostKey, incarnation: u64, catalog: &Catalog) -> Self {
         let mut membership = Self {
             own,
@@ -105,19 +106,19 @@
             records: BTreeMap::new(),
             names: BTreeMap::new(),
             zones: BTreeMap::new(),
-            words: BTreeMap::new(),
+            zone_reports: BTreeMap::new(),
             rosters: BTreeMap::new(),
-            sights: BTreeMap::new(),
-            ticked: now,
-            resumed: now,
+            zone_statuses: BTreeMap::new(),
+            last_tick: now,
+            resumed_at: now,
             changes: Vec::new(),
         };
-        membership.configured(catalog);
+        membership.apply_catalog(catalog);
         membership
     }
 
-    /// Takes in the hosts of a revision; those it removed are forgotten.
-    pub fn configured(&mut self, catalog: &Catalog) {
+    /// Applies the hosts of a configuration; removed hosts are forgotten.
+    pub fn apply_catalog(&mut self, catalog: &Catalog) {
         let mut records = BTreeMap::new();
         self.names.clear();
         self.zones.clear();
@@ -136,17 +137,18 @@
             }
         }
         self.records = records;
-        self.words.retain(|zone, _| self.zones.contains_key(zone));
+        self.zone_reports
+            .retain(|zone, _| self.zones.contains_key(zone));
         self.rosters.retain(|zone, _| self.zones.contains_key(zone));
     }
 
-    /// From now on this host tells the others that it is leaving.
+    /// From now on the heartbeats of this host say that it is leaving.
     pub fn leave(&mut self) {
         self.state = State::Leaving;
     }
 
-    /// A host was heard. Old incarnations and old sequences count for nothing.
-    pub fn heard(
+    /// Records that a host was heard. Old incarnations and old sequence numbers are ignored.
+    pub fn record_heard(
         &mut self,
         now: Instant,
         host: HostKey,
@@ -155,11 +157,11 @@
         state: State,
         via: Via,
     ) {
-        self.heard_every(now, host, incarnation, sequence, state, via, INTERVAL);
+        self.record_heard_with_interval(now, host, incarnation, sequence, state, via, INTERVAL);
     }
 
     #[allow(clippy::too_many_arguments)]
-    fn heard_every(
+    fn record_heard_with_interval(
         &mut self,
         now: Instant,
         host: HostKey,
@@ -169,7 +171,7 @@
         via: Via,
         interval: Duration,
     ) {
-        self.notice_pause(now);
+        self.detect_pause(now);
         let Some(record) = self.records.get_mut(&host) else {
             return;
         };
@@ -186,16 +188,16 @@
             record.state = State::Serving;
             record.listing = Listing::Live;
             record.detector = Detector::new(interval);
-            record.heard = None;
-            record.unheard = false;
+            record.last_heard = None;
+            record.is_unheard = false;
         }
         let at = match via {
             Via::Direct if sequence < record.sequence => return,
             Via::Direct => {
-                if sequence > record.sequence || record.direct.is_none() {
-                    record.detector.arrive(now, interval, sequence);
+                if sequence > record.sequence || record.last_direct.is_none() {
+                    record.detector.record_arrival(now, interval, sequence);
                 }
-                record.direct = Some(now);
+                record.last_direct = Some(now);
                 now
             }
             Via::Relayed(age) => match now.checked_sub(age) {
@@ -204,17 +206,17 @@
             },
         };
         record.sequence = record.sequence.max(sequence);
-        let left = record.leaving();
+        let left = record.is_leaving();
         record.state = record.state.max(state);
-        if !left && record.leaving() {
+        if !left && record.is_leaving() {
             self.changes.push(Change::Left(host));
         }
-        let fresh = record.heard.is_none_or(|heard| at > heard);
+        let fresh = record.last_heard.is_none_or(|heard| at > heard);
         if fresh {
-            record.heard = Some(at);
-            record.vouched = false;
+            record.last_heard = Some(at);
+            record.is_confirmed = false;
         }
-        let (_, dead) = record.limits();
+        let (_, dead) = record.silence_limits();
         let lately = now.saturating_duration_since(at) < dead;
         if !fresh || !lately {
             return;
@@ -229,16 +231,16 @@
         }
     }
 
-    /// A link to a host is open.
+    /// Records that a link to a host is open.
     pub fn link_up(&mut self, now: Instant, host: HostKey) {
-        self.notice_pause(now);
+        self.detect_pause(now);
         if let Some(record) = self.records.get_mut(&host) {
             record.link = Link::Up;
         }
     }
 
-    /// From now on a link to a host is to be opened.
-    pub fn linking(&mut self, now: Instant, host: HostKey) {
+    /// Records that a link to a host is to be opened.
+    pub fn link_opening(&mut self, now: Instant, host: HostKey) {
         if let Some(record) = self.records.get_mut(&host) {
             if record.link == Link::Absent {
                 record.link = Link::Opening(now);
@@ -246,81 +248,86 @@
         }
     }
 
-    /// The link to a host broke or could not be opened.
+    /// Records that the link to a host broke or could not be opened.
     pub fn link_down(&mut self, now: Instant, host: HostKey) {
-        self.notice_pause(now);
+        self.detect_pause(now);
         if let Some(record) = self.records.get_mut(&host) {
-            // Another failure to open it says nothing new of a host that others hear.
-            if !(matches!(record.link, Link::Down(_)) && record.alive()) {
+            // Another failure to open the link is no news about a host that other hosts hear.
+            if !(matches!(record.link, Link::Down(_)) && record.is_alive()) {
                 record.link = Link::Down(now);
             }
         }
     }
 
-    /// The link to a host was closed on purpose; from now on it is known through others.
-    pub fn unlinked(&mut self, host: HostKey) {
+    /// Records that the link to a host was closed on purpose. From now on the host is known only
+    /// through others.
+    pub fn link_closed(&mut self, host: HostKey) {
         if let Some(record) = self.records.get_mut(&host) {
             record.link = Link::Absent;
-            record.direct = None;
-            record.detector.resume();
+            record.last_direct = None;
+            record.detector.forget_arrival();
         }
     }
 
-    /// What the platform lists of a host.
-    pub fn listed(&mut self, now: Instant, host: HostKey, listing: Listing) {
-        self.notice_pause(now);
+    /// Records how the platform lists a host.
+    pub fn set_listing(&mut self, now: Instant, host: HostKey, listing: Listing) {
+        self.detect_pause(now);
         let Some(record) = self.records.get_mut(&host) else {
             return;
         };
-        let left = record.leaving();
+        let left = record.is_leaving();
         record.listing = listing;
-        if !left && record.leaving() {
+        if !left && record.is_leaving() {
             self.changes.push(Change::Left(host));
         }
     }
 
-    /// Begins the next heartbeat; to be called every [`INTERVAL`].
-    pub fn advance(&mut self) {
+    /// Increases the sequence number for the next regular heartbeat. To be called every
+    /// [`INTERVAL`].
+    pub fn advance_sequence(&mut self) {
         self.sequence += 1;
     }
 
-    /// The heartbeat to send over a link whose next one follows after `interval`. One sent out of
-    /// turn, to ask for a suspect at once, is made without [`Membership::advance`].
-    pub fn beat(&self, interval: Duration) -> Beat {
-        Beat {
+    /// Returns the heartbeat to send over a link whose next heartbeat follows after `interval`. An
+    /// extra one, sent at once to ask about a suspect, is made without
+    /// [`Membership::advance_sequence`].
+    pub fn heartbeat(&self, interval: Duration) -> Heartbeat {
+        Heartbeat {
             host: self.name.clone(),
             incarnation: self.incarnation,
             sequence: self.sequence,
             state: self.state,
             interval_ms: millis(interval),
-            missed: self.missed(),
+            missed: self.missed_hosts(),
             known: Vec::new(),
         }
     }
 
-    /// The hosts that ought to be heard over their links and are not, whether others hear them
-    /// or not.
-    fn missed(&self) -> Vec<Arc<str>> {
+    /// The live hosts with a link that are not heard directly, whether other hosts hear them or
+    /// not.
+    fn missed_hosts(&self) -> Vec<Arc<str>> {
         self.records
             .values()
-            .filter(|record| record.linked() && record.alive())
-            .filter(|record| !self.direct_within(record, record.detector.suspect()))
+            .filter(|record| record.is_linked() && record.is_alive())
+            .filter(|record| {
+                !self.is_heard_directly_within(record, record.detector.suspect_after())
+            })
             .map(|record| record.name.clone())
             .collect()
     }
 
-    fn direct_within(&self, record: &Record, silence: Duration) -> bool {
+    fn is_heard_directly_within(&self, record: &Record, silence: Duration) -> bool {
         let whole = !matches!(record.link, Link::Down(_));
-        let silent = |at| self.ticked.saturating_duration_since(at);
-        whole && record.direct.is_some_and(|at| silent(at) < silence)
+        let silent = |at| self.last_tick.saturating_duration_since(at);
+        whole && record.last_direct.is_some_and(|at| silent(at) < silence)
     }
 
-    /// Takes in a heartbeat that came over the link from its sender. If it asks for hosts that
-    /// are heard here, an answer is returned to be sent back at once.
-    pub fn receive(&mut self, now: Instant, beat: &Beat) -> Option<Beat> {
+    /// Processes a heartbeat that came over the link from its sender. If it asks about hosts that
+    /// are heard here, returns an answer to send back at once.
+    pub fn receive(&mut self, now: Instant, beat: &Heartbeat) -> Option<Heartbeat> {
         let &host = self.names.get(&beat.host)?;
         let interval = Duration::from_millis(beat.interval_ms.into());
-        self.heard_every(
+        self.record_heard_with_interval(
             now,
             host,
             beat.incarnation,
@@ -329,58 +336,59 @@
             Via::Direct,
             interval,
         );
-        self.know(now, &beat.known, Duration::ZERO);
-        // An answer asks for nobody, so that two who each miss a host do not answer for ever.
+        self.merge_known(now, &beat.known, Duration::ZERO);
+        // An answer does not ask about other hosts. Otherwise two hosts that both miss a third
+        // would answer each other endlessly.
         if beat.known.is_empty() {
-            self.note_unheard(host, beat);
+            self.update_unheard(host, beat);
         }
         let known: Vec<Known> = beat
             .missed
             .iter()
             .filter_map(|name| self.names.get(name))
-            .filter(|&&asked| self.hears(asked))
-            .filter_map(|asked| self.records[asked].known(now))
+            .filter(|&&asked| self.is_recently_heard(asked))
+            .filter_map(|asked| self.records[asked].to_known(now))
             .collect();
         if known.is_empty() {
             return None;
         }
-        Some(Beat {
+        Some(Heartbeat {
             known,
             missed: Vec::new(),
-            ..self.beat(interval)
+            ..self.heartbeat(interval)
         })
     }
 
-    fn note_unheard(&mut self, host: HostKey, beat: &Beat) {
+    fn update_unheard(&mut self, host: HostKey, beat: &Heartbeat) {
         let own = self.own;
         let unheard = beat
             .missed
             .iter()
             .any(|name| self.names.get(name) == Some(&own));
         if let Some(record) = self.records.get_mut(&host) {
-            record.unheard = unheard;
+            record.is_unheard = unheard;
         }
     }
 
-    /// Whether a host was heard over a link so lately that it is worth telling others.
-    fn hears(&self, host: HostKey) -> bool {
+    /// Whether a host was heard over a link so recently that it is worth reporting to others.
+    fn is_recently_heard(&self, host: HostKey) -> bool {
         self.records
             .get(&host)
-            .is_some_and(|record| self.direct_within(record, INTERVAL.mul_f64(1.5)))
+            .is_some_and(|record| self.is_heard_directly_within(record, INTERVAL.mul_f64(1.5)))
     }
 
-    /// Takes in what others know of hosts, `delay` after they said it.
-    pub fn know(&mut self, now: Instant, known: &[Known], delay: Duration) {
+    /// Merges what other hosts know, `delay` after they sent it.
+    pub fn merge_known(&mut self, now: Instant, known: &[Known], delay: Duration) {
         for known in known {
             let Some(&host) = self.names.get(&known.host) else {
                 continue;
             };
             let age = Duration::from_millis(known.age_ms.into()) + delay;
             if known.dead {
-                self.told_dead(now, host, known.incarnation, age);
+                self.apply_reported_death(now, host, known.incarnation, age);
             } else {
                 let via = Via::Relayed(age);
-                self.heard(
+                self.record_heard(
                     now,
                     host,
                     known.incarnation,
@@ -392,19 +400,25 @@
         }
     }
 
-    /// Takes in the roster of another zone, `delay` after it was made.
-    pub fn enroll(&mut self, now: Instant, roster: Roster, delay: Duration) {
+    /// Merges the roster of another zone, `delay` after it was made.
+    pub fn merge_roster(&mut self, now: Instant, roster: Roster, delay: Duration) {
         let found = self.zones.iter().find(|(_, name)| **name == roster.zone);
         let Some((&zone, _)) = found else {
             return;
         };
-        self.know(now, &roster.hosts, delay);
+        self.merge_known(now, &roster.hosts, delay);
         self.rosters.insert(zone, roster);
     }
 
-    /// A delegate of a zone says that the roster with this digest held `age` ago. Returns false if
-    /// another one is known here, so that the roster must be asked for.
-    pub fn vouch(&mut self, now: Instant, zone: ZoneKey, digest: u64, age: Duration) -> bool {
+    /// Processes a delegate's statement that the roster with this digest was valid `age` ago.
+    /// Returns false if no roster with this digest is known here, so that it must be requested.
+    pub fn confirm_roster(
+        &mut self,
+        now: Instant,
+        zone: ZoneKey,
+        digest: u64,
+        age: Duration,
+    ) -> bool {
         let Some(roster) = self.rosters.remove(&zone) else {
             return false;
         };
@@ -414,8 +428,8 @@
                 if let Some(&host) = self.names.get(&known.host) {
                     let (incarnation, state) = (known.incarnation, known.state);
                     let via = Via::Relayed(age);
-                    self.heard(now, host, incarnation, known.sequence, state, via);
-                    self.note_vouched(now, host, age);
+                    self.record_heard(now, host, incarnation, known.sequence, state, via);
+                    self.mark_confirmed(now, host, age);
                 }
             }
         }
@@ -423,42 +437,47 @@
         same
     }
 
-    /// Notes that a host was last heard only in that its zone vouched for it.
-    fn note_vouched(&mut self, now: Instant, host: HostKey, age: Duration) {
+    /// Marks a host whose most recent sign of life is the confirmation of its zone's roster.
+    fn mark_confirmed(&mut self, now: Instant, host: HostKey, age: Duration) {
         if let Some(record) = self.records.get_mut(&host) {
-            record.vouched |= record.heard == now.checked_sub(age);
+            record.is_confirmed |= record.last_heard == now.checked_sub(age);
         }
     }
 
-    /// The last roster of another zone, with the times at which its hosts were heard brought up to
-    /// date, to be passed on.
-    pub fn kept(&self, now: Instant, zone: ZoneKey) -> Option<Roster> {
+    /// The last known roster of another zone, with current ages, to be sent to other hosts.
+    pub fn cached_roster(&self, now: Instant, zone: ZoneKey) -> Option<Roster> {
         let mut roster = self.rosters.get(&zone)?.clone();
         for known in &mut roster.hosts {
             let record = self.names.get(&known.host);
             let record = record.and_then(|host| self.records.get(host));
-            if let Some(heard) = record.and_then(|record| record.heard) {
+            if let Some(heard) = record.and_then(|record| record.last_heard) {
                 known.age_ms = millis(now.saturating_duration_since(heard));
             }
         }
         Some(roster)
     }
 
-    /// Others hold a host to be dead that they last heard `age` ago. It counts unless the host
-    /// was heard later than that, or is watched from here.
-    fn told_dead(&mut self, now: Instant, host: HostKey, incarnation: u64, age: Duration) {
-        self.notice_pause(now);
+    /// Processes a report that a host is dead which others last heard `age` ago. The report is
+    /// ignored if the host was heard later than that, or if this host has a link to it.
+    fn apply_reported_death(
+        &mut self,
+        now: Instant,
+        host: HostKey,
+        incarnation: u64,
+        age: Duration,
+    ) {
+        self.detect_pause(now);
         let Some(record) = self.records.get_mut(&host) else {
             return;
         };
-        let later = match (record.heard, now.checked_sub(age)) {
-            // Its zone vouched for it while the silence had begun, and does not any more.
-            _ if record.vouched => false,
-            (Some(heard), Some(theirs)) => heard > theirs + CONFIRM,
+        let later = match (record.last_heard, now.checked_sub(age)) {
+            // Its zone confirmed it when the silence had already begun, and no longer does.
+            _ if record.is_confirmed => false,
+            (Some(heard), Some(theirs)) => heard > theirs + DEATH_CONFIRMATION,
             (Some(_), None) => true,
             (None, _) => true,
         };
-        if later || record.linked() || incarnation < record.incarnation {
+        if later || record.is_linked() || incarnation < record.incarnation {
             return;
         }
         if record.status != Status::Dead {
@@ -467,7 +486,7 @@
         }
     }
 
-    /// What this host knows of the hosts of its zone, itself included.
+    /// The known hosts of the own zone, this host included.
     pub fn roster(&self, now: Instant) -> Roster {
         let own = Known {
             host: self.name.clone(),
@@ -481,32 +500,32 @@
             .records
             .values()
             .filter(|record| record.zone == self.zone)
-            .filter_map(|record| record.known(now));
+            .filter_map(|record| record.to_known(now));
         Roster {
             zone: self.zones.get(&self.zone).cloned().unwrap_or_default(),
             hosts: std::iter::once(own).chain(others).collect(),
         }
     }
 
-    /// What a delegate tells the hosts of its zone about the others.
+    /// The reports on other zones that a delegate sends to the hosts of its zone.
     pub fn reports(&self, now: Instant) -> Vec<Report> {
         self.zones
             .iter()
             .filter(|(&zone, _)| zone != self.zone)
             .filter_map(|(&zone, name)| {
-                let heard = self.zone_heard(zone)?;
+                let heard = self.zone_last_heard(zone)?;
                 Some(Report {
                     zone: name.clone(),
                     age_ms: millis(now.saturating_duration_since(heard)),
-                    lost: self.zone(zone) == Sight::Lost,
+                    lost: self.zone_status(zone) == ZoneStatus::Lost,
                 })
             })
             .collect()
     }
 
-    /// Takes in a delegate's reports, `delay` after they were sent.
-    pub fn report(&mut self, now: Instant, reports: &[Report], delay: Duration) {
-        self.notice_pause(now);
+    /// Merges a delegate's reports, `delay` after they were sent.
+    pub fn merge_reports(&mut self, now: Instant, reports: &[Report], delay: Duration) {
+        self.detect_pause(now);
         for report in reports {
             let found = self.zones.iter().find(|(_, name)| **name == report.zone);
             let Some((&zone, _)) = found else {
@@ -516,24 +535,28 @@
             let Some(heard) = now.checked_sub(age) else {
                 continue;
             };
-            let newer = self.words.get(&zone).is_none_or(|word| heard >= word.heard);
+            let newer = self
+                .zone_reports
+                .get(&zone)
+                .is_none_or(|word| heard >= word.heard);
             if newer {
-                let word = Word {
+                let word = ZoneReport {
                     received: now,
                     heard,
                     lost: report.lost,
                 };
-                self.words.insert(zone, word);
+                self.zone_reports.insert(zone, word);
             }
         }
     }
 
-    /// Lets time pass: finds who fell silent, and returns all changes since the last tick.
+    /// Updates the status of all hosts and zones for the current time, and returns all changes
+    /// since the last tick.
     pub fn tick(&mut self, now: Instant) -> Vec<Change> {
-        self.notice_pause(now);
-        let resumed = self.resumed;
+        self.detect_pause(now);
+        let resumed = self.resumed_at;
         for (&host, record) in &mut self.records {
-            let status = record.judge(now, resumed);
+            let status = record.evaluate(now, resumed);
             if status == record.status {
                 continue;
             }
@@ -544,68 +567,75 @@
                 Status::Alive | Status::Unknown => {}
             }
         }
-        self.see_zones(now);
+        self.update_zone_statuses(now);
         std::mem::take(&mut self.changes)
     }
 
-    fn notice_pause(&mut self, now: Instant) {
-        if now.saturating_duration_since(self.ticked) >= PAUSE {
-            self.resumed = now;
+    fn detect_pause(&mut self, now: Instant) {
+        if now.saturating_duration_since(self.last_tick) >= PAUSE_THRESHOLD {
+            self.resumed_at = now;
             for record in self.records.values_mut() {
-                record.detector.resume();
+                record.detector.forget_arrival();
             }
         }
-        self.ticked = self.ticked.max(now);
+        self.last_tick = self.last_tick.max(now);
     }
 
-    fn see_zones(&mut self, now: Instant) {
+    fn update_zone_statuses(&mut self, now: Instant) {
         let silent: BTreeMap<ZoneKey, bool> = self
             .zones
             .keys()
-            .map(|&zone| (zone, self.zone_silent(now, zone)))
+            .map(|&zone| (zone, self.is_zone_silent(now, zone)))
             .collect();
         let heard = silent.values().filter(|&&silent| !silent).count();
         let majority = 2 * heard > silent.len();
         for (zone, silent) in silent {
-            let sight = self.sight(now, zone, silent, majority);
-            let before = self.sights.insert(zone, sight);
-            if before.map(kind) != Some(kind(sight)) {
+            let sight = self.evaluate_zone(now, zone, silent, majority);
+            let before = self.zone_statuses.insert(zone, sight);
+            if before.map(status_kind) != Some(status_kind(sight)) {
                 self.changes.push(Change::Zone(zone, sight));
             }
         }
-        self.sights.retain(|zone, _| self.zones.contains_key(zone));
+        self.zone_statuses
+            .retain(|zone, _| self.zones.contains_key(zone));
     }
 
-    fn sight(&self, now: Instant, zone: ZoneKey, silent: bool, majority: bool) -> Sight {
+    fn evaluate_zone(
+        &self,
+        now: Instant,
+        zone: ZoneKey,
+        silent: bool,
+        majority: bool,
+    ) -> ZoneStatus {
         if !silent {
-            return Sight::Alive;
+            return ZoneStatus::Alive;
         }
-        let Some(heard) = self.zone_heard(zone) else {
-            return Sight::Unknown(None);
+        let Some(heard) = self.zone_last_heard(zone) else {
+            return ZoneStatus::Unknown(None);
         };
-        let lost = if self.zone_linked(zone) {
+        let lost = if self.has_zone_link(zone) {
             majority
         } else {
-            self.told_lost(now, zone)
+            self.is_reported_lost(now, zone)
         };
         if lost {
-            return Sight::Lost;
+            return ZoneStatus::Lost;
         }
-        Sight::Unknown(Some(now.saturating_duration_since(heard)))
+        ZoneStatus::Unknown(Some(now.saturating_duration_since(heard)))
     }
 
-    /// Whether a delegate said lately that a zone is lost, and nothing was heard of it since.
-    fn told_lost(&self, now: Instant, zone: ZoneKey) -> bool {
-        self.words.get(&zone).is_some_and(|word| {
-            let lately = now.saturating_duration_since(word.received) < REMOTE_DEAD;
-            let later = self.zone_heard(zone) > Some(word.heard + CONFIRM);
+    /// Whether a delegate recently reported a zone as lost and nothing was heard of the zone since.
+    fn is_reported_lost(&self, now: Instant, zone: ZoneKey) -> bool {
+        self.zone_reports.get(&zone).is_some_and(|word| {
+            let lately = now.saturating_duration_since(word.received) < REMOTE_DEAD_SILENCE;
+            let later = self.zone_last_heard(zone) > Some(word.heard + DEATH_CONFIRMATION);
             word.lost && lately && !later
         })
     }
 
-    fn zone_linked(&self, zone: ZoneKey) -> bool {
+    fn has_zone_link(&self, zone: ZoneKey) -> bool {
         self.zone_records(zone)
-            .any(|(_, record)| record.linked() || record.opening())
+            .any(|(_, record)| record.is_linked() || record.is_opening())
     }
 
     fn zone_records(&self, zone: ZoneKey) -> impl Iterator<Item = (HostKey, &Record)> {
@@ -616,46 +646,49 @@
     }
 
     /// When any host of a zone was last heard.
-    fn zone_heard(&self, zone: ZoneKey) -> Option<Instant> {
-        let hosts = self.zone_records(zone).filter_map(|(_, r)| r.heard).max();
-        let word = self.words.get(&zone).map(|word| word.heard);
+    fn zone_last_heard(&self, zone: ZoneKey) -> Option<Instant> {
+        let hosts = self
+            .zone_records(zone)
+            .filter_map(|(_, r)| r.last_heard)
+            .max();
+        let word = self.zone_reports.get(&zone).map(|word| word.heard);
         hosts.max(word)
     }
 
-    /// Whether nothing is heard of a zone: not from any host linked with this one, or, if there
-    /// is no link, not through others either.
-    fn zone_silent(&self, now: Instant, zone: ZoneKey) -> bool {
+    /// Whether a zone is silent: no linked host of it is heard or, if there is no link, nothing is
+    /// heard of it through others.
+    fn is_zone_silent(&self, now: Instant, zone: ZoneKey) -> bool {
         if zone == self.zone {
             return false;
         }
-        let Some(heard) = self.zone_heard(zone) else {
+        let Some(heard) = self.zone_last_heard(zone) else {
             return true;
         };
-        let silence = now.saturating_duration_since(heard.max(self.resumed));
-        if !self.zone_linked(zone) {
-            return silence >= REMOTE_DEAD || self.told_lost(now, zone);
+        let silence = now.saturating_duration_since(heard.max(self.resumed_at));
+        if !self.has_zone_link(zone) {
+            return silence >= REMOTE_DEAD_SILENCE || self.is_reported_lost(now, zone);
         }
         let dead = self
             .zone_records(zone)
-            .filter(|(_, record)| record.linked())
+            .filter(|(_, record)| record.is_linked())
             .all(|(_, record)| matches!(record.status, Status::Dead | Status::Unknown));
-        // Others of the zone may answer once there are links to them.
+        // Other hosts of the zone may answer once there are links to them.
         let untried = self
             .zone_records(zone)
-            .any(|(_, record)| record.alive() && !record.linked());
+            .any(|(_, record)| record.is_alive() && !record.is_linked());
         let limit = match untried {
-            true => ZONE_SILENCE + TRY,
-            false => ZONE_SILENCE,
+            true => ZONE_LOSS_SILENCE + OPENING_ALLOWANCE,
+            false => ZONE_LOSS_SILENCE,
         };
         dead && silence >= limit
     }
 
-    /// This host.
+    /// This host's key.
     pub fn own(&self) -> HostKey {
         self.own
     }
 
-    /// What is believed of a host.
+    /// The status of a host.
     pub fn status(&self, host: HostKey) -> Status {
         if host == self.own {
             return Status::Alive;
@@ -665,62 +698,63 @@
             .map_or(Status::Unknown, |record| record.status)
     }
 
-    /// Whether a host is alive, taking new work or not. A suspect is alive until it is dead.
-    pub fn alive(&self, host: HostKey) -> bool {
-        host == self.own || self.records.get(&host).is_some_and(Record::alive)
+    /// Whether a host is alive, even if it takes no new work. A suspect counts as alive until it is
+    /// dead.
+    pub fn is_alive(&self, host: HostKey) -> bool {
+        host == self.own || self.records.get(&host).is_some_and(Record::is_alive)
     }
 
-    /// Whether a host is alive and can be spoken with both ways over a link.
-    pub fn reachable(&self, host: HostKey) -> bool {
+    /// Whether a host is alive and a link to it works in both directions.
+    pub fn is_reachable(&self, host: HostKey) -> bool {
         let Some(record) = self.records.get(&host) else {
             return host == self.own;
         };
-        let direct = self.direct_within(record, record.detector.suspect());
-        record.link == Link::Up && direct && !record.unheard
+        let direct = self.is_heard_directly_within(record, record.detector.suspect_after());
+        record.link == Link::Up && direct && !record.is_unheard
     }
 
-    /// The incarnation a host was last heard with.
+    /// The incarnation with which a host was last heard.
     pub fn incarnation(&self, host: HostKey) -> Option<u64> {
         if host == self.own {
             return Some(self.incarnation);
         }
         let record = self.records.get(&host)?;
-        record.heard.map(|_| record.incarnation)
+        record.last_heard.map(|_| record.incarnation)
     }
 
-    /// The hosts to which new work may be sent: alive and not leaving.
+    /// The hosts that may receive new work: alive and not leaving.
     pub fn live_hosts(&self) -> BTreeSet<HostKey> {
         let others = self
             .records
             .iter()
-            .filter(|(_, record)| record.alive() && !record.leaving())
+            .filter(|(_, record)| record.is_alive() && !record.is_leaving())
             .map(|(&host, _)| host);
         let own = (self.state == State::Serving).then_some(self.own);
         others.chain(own).collect()
     }
 
-    /// The hosts of a zone to which new work may be sent.
+    /// The hosts of a zone that may receive new work.
     pub fn zone_hosts(&self, zone: ZoneKey) -> BTreeSet<HostKey> {
         let others = self
             .zone_records(zone)
-            .filter(|(_, record)| record.alive() && !record.leaving())
+            .filter(|(_, record)| record.is_alive() && !record.is_leaving())
             .map(|(host, _)| host);
         let own = zone == self.zone && self.state == State::Serving;
         others.chain(own.then_some(self.own)).collect()
     }
 
-    /// What is believed of a zone, as of the last tick.
-    pub fn zone(&self, zone: ZoneKey) -> Sight {
+    /// The status of a zone as of the last tick.
+    pub fn zone_status(&self, zone: ZoneKey) -> ZoneStatus {
         if zone == self.zone {
-            return Sight::Alive;
+            return ZoneStatus::Alive;
         }
-        self.sights
+        self.zone_statuses
             .get(&zone)
             .copied()
-            .unwrap_or(Sight::Unknown(None))
+            .unwrap_or(ZoneStatus::Unknown(None))
     }
 
-    /// Whether a link to a host was tried and is not open.
+    /// When the link to a host broke or could not be opened, if it is not open now.
     pub(crate) fn link_failed(&self, host: HostKey) -> Option<Instant> {
         match self.records.get(&host)?.link {
             Link::Down(at) => Some(at),
@@ -729,11 +763,11 @@
     }
 }
 
-/// A sight without its age.
-fn kind(sight: Sight) -> u8 {
+/// The kind of a zone status, without its age.
+fn status_kind(sight: ZoneStatus) -> u8 {
     match sight {
-        Sight::Alive => 0,
-        Sight::Lost => 1,
-        Sight::Unknown(_) => 2,
+        ZoneStatus::Alive => 0,
+        ZoneStatus::Lost => 1,
+        ZoneStatus::Unknown(_) => 2,
     }
 }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,11 +1,13 @@
-//! Control: the planner lease, the plan and the membership of entry hosts. Pure, like [`crate::steer`].
+//! Cluster control: the planner lease, the plan and the membership of the entry hosts. Does no I/O,
+//! like [`crate::steer`].
 
+pub mod active_hosts;
 pub mod agent;
-pub mod beat;
 pub mod delegate;
 pub mod detector;
 pub mod digest;
 pub mod freshness;
+pub mod heartbeat;
 pub mod lease;
 mod member;
 pub mod membership;
@@ -17,4 +19,3 @@
 pub mod replica;
 pub mod summary;
 pub mod wire;
-pub mod working;
--- a/src/control/plan.rs
+++ b/src/control/plan.rs
@@ -1,7 +1,7 @@
-//! The plan: splits and quota bonuses, as they are stored, sent and accepted.
+//! The plan: splits and quota bonuses, in memory and in the form that is stored and sent.
 //!
-//! It is made by a [`Planner`](super::planner::Planner). Hosts take plans in the order of their
-//! stamps and follow them under the operator's caps.
+//! Plans are made by a [`Planner`](super::planner::Planner). Hosts accept plans in the order of
+//! their stamps and follow them within the operator's caps.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,28 +11,29 @@
 
 use crate::catalog::{Catalog, HostKey, RegionKey, ServiceKey, ZoneKey};
 
-/// Units of a share on the wire.
-const UNITS: f64 = 10_000.0;
+/// Units in a full share in the stored and sent form.
+const SHARE_UNITS: f64 = 10_000.0;
 
-/// Order of plans: by epoch, then by sequence.
+/// Orders plans by epoch, then by sequence.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Stamp {
-    /// Epoch of the lease under which it was made.
+    /// Epoch of the lease under which the plan was made.
     #[serde(rename = "e")]
     pub epoch: u64,
-    /// Rises with each plan of the epoch.
+    /// Increases with each plan of the epoch.
     #[serde(rename = "s")]
     pub sequence: u64,
 }
 
-/// What a host accepts: stamps that only rise.
+/// Accepts only plans with increasing stamps.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gate {
     newest: Stamp,
 }
 
 impl Gate {
-    /// Whether a plan is newer than all before; if so, older ones are refused from now on.
+    /// Returns whether a plan is newer than all accepted before. If so, older ones are rejected
+    /// from now on.
     pub fn accept(&mut self, stamp: Stamp) -> bool {
         let newer = stamp > self.newest;
         if newer {
@@ -41,47 +42,47 @@
         newer
     }
 
-    /// The newest stamp accepted.
+    /// The newest accepted stamp.
     pub fn newest(&self) -> Stamp {
         self.newest
     }
 }
 
-/// Shares over zones; they add up to 1.
+/// Shares by zone, which add up to 1.
 pub type Shares = BTreeMap<ZoneKey, f64>;
 
-/// A part of unused quota, granted for a time.
+/// A part of the unused quota, granted for a limited time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bonus {
-    /// How much, in the unit of the quota.
+    /// Amount in the unit of the quota.
     pub amount: f64,
-    /// How long it may be used from its receipt.
+    /// How long it may be used after receipt.
     pub ttl: Duration,
 }
 
-/// A plan, by keys.
+/// A plan, indexed by catalog keys.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// Its place in the order of plans.
+    /// Its position in the order of plans.
     pub stamp: Stamp,
     /// Shares by service and locality.
     pub splits: BTreeMap<(ServiceKey, RegionKey), Shares>,
-    /// Quota bonuses by host and the region the work is for.
+    /// Quota bonuses by host and target region.
     pub bonuses: BTreeMap<(HostKey, RegionKey), Bonus>,
-    /// Age of the samples it was made from, by zone.
+    /// Age, by zone, of the samples that the plan was made from.
     pub ages: BTreeMap<ZoneKey, Duration>,
 }
 
 /// Shares in ten-thousandths, by locality and zone.
 pub type Localities = BTreeMap<Arc<str>, BTreeMap<Arc<str>, u16>>;
 
-/// A plan as it is stored and sent, by names. The store has it whole; between hosts only what
-/// changed since a plan before it may be sent.
+/// A plan as it is stored and sent, indexed by names. The store always has the whole plan. Between
+/// hosts, only the difference from an earlier plan may be sent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its place in the order of plans.
+    /// Its position in the order of plans.
     pub stamp: Stamp,
-    /// The plan to which this is the difference; none if it is whole.
+    /// The stamp of the plan that this is a difference from; none if this is a whole plan.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub base: Option<Stamp>,
     /// Shares by service.
@@ -93,12 +94,12 @@
     pub ages: BTreeMap<Arc<str>, u32>,
 }
 
-/// A bonus as it is stored and sent.
+/// A bonus in the form that is stored and sent.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Grant {
-    /// How much, in the unit of the quota.
+    /// Amount in the unit of the quota.
     pub amount: f32,
-    /// How long it may be used from its receipt, in milliseconds.
+    /// How long it may be used after receipt, in milliseconds.
     pub ttl_ms: u32,
 }
 
@@ -106,12 +107,12 @@
     u32::try_from(age.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// Shares in ten-thousandths that add up to exactly one.
+/// Converts shares to ten-thousandths that add up to exactly 10,000.
 fn quantize(shares: &Shares) -> BTreeMap<ZoneKey, u16> {
-    let mut rest = UNITS as i32;
+    let mut rest = SHARE_UNITS as i32;
     let mut units: BTreeMap<ZoneKey, i32> = BTreeMap::new();
     for (&zone, &share) in shares {
-        let unit = (share * UNITS).round() as i32;
+        let unit = (share * SHARE_UNITS).round() as i32;
         units.insert(zone, unit);
         rest -= unit;
     }
@@ -126,8 +127,8 @@
 }
 
 impl Plan {
-    /// The plan by names.
-    pub fn record(&self, catalog: &Catalog) -> Record {
+    /// Converts the plan to its stored form.
+    pub fn to_record(&self, catalog: &Catalog) -> Record {
         let mut record = Record {
             stamp: self.stamp,
             ..Record::default()
@@ -163,8 +164,9 @@
 }
 
 impl Record {
-    /// The difference of a whole plan to an older whole one; itself if something was removed.
-    pub fn since(&self, old: &Self) -> Self {
+    /// Returns the difference between this whole plan and an older whole one, or a copy of this
+    /// plan if a split was removed.
+    pub fn difference_from(&self, old: &Self) -> Self {
         let removed = |new: &Localities, old: &Localities| {
             old.keys().any(|locality| !new.contains_key(locality))
         };
@@ -186,9 +188,9 @@
         difference
     }
 
-    /// The whole plan, from this and the whole plan that was known before. None if this is the
-    /// difference to another one, so that the whole must be asked for.
-    pub fn onto(&self, known: &Self) -> Option<Self> {
+    /// Returns the whole plan, given the whole plan that was known before. Returns none if this is
+    /// a difference from another plan, so that the whole plan must be requested.
+    pub fn applied_to(&self, known: &Self) -> Option<Self> {
         let Some(base) = self.base else {
             return Some(self.clone());
         };
@@ -208,9 +210,9 @@
         Some(whole)
     }
 
-    /// The plan by keys. Names that the catalog lacks are left out; a split that loses a zone by
-    /// that is left out whole.
-    pub fn plan(&self, catalog: &Catalog) -> Plan {
+    /// Converts the record to a plan. Names that are missing from the catalog are left out. A split
+    /// with a missing zone is left out completely.
+    pub fn to_plan(&self, catalog: &Catalog) -> Plan {
         let mut plan = Plan {
             stamp: self.stamp,
             ..Plan::default()
--- a/src/control/planner.rs
+++ b/src/control/planner.rs
@@ -1,57 +1,57 @@
-//! Makes plans from the summaries of the zones.
+//! Makes plans from the load summaries of the zones.
 //!
-//! A plan moves shares away from zones that are over the utilization limit, to those with
-//! headroom, and slowly back home once there is room again. Each host moves its own split
-//! towards the plan under the operator's caps, so a plan can be late, skipped or wrong without
-//! harm to these.
+//! A plan moves shares away from zones above the utilization limit to zones with headroom, and
+//! slowly back home once there is room again. Each host moves its own split towards the plan within
+//! the operator's caps, so a late, skipped or wrong plan cannot exceed these.
 //!
-//! A sample counts for the next step of a service only if it was taken strictly after the last
-//! step was in force at all hosts that told of it. The rule is that of per-query causal reads
-//! (ProxySQL issue 6485: the first sample sent strictly later than the recorded execution). Here
-//! it keeps the planner from acting twice on one load, see `benches/control.rs`: after
-//! a burst the split overshot by 8 to 42 % of the traffic without the rule, and by none with it. Where samples are missing or old, that zone neither gives nor receives.
+//! A sample counts for the next step of a service only if it was taken strictly after the last step
+//! came into force on all hosts that reported. The rule is that of per-query causal reads (ProxySQL
+//! issue 6485: the first sample sent strictly later than the recorded execution). It prevents the
+//! planner from reacting twice to the same load: in `benches/control.rs`, after a burst the split
+//! overshot by 8 to 42 % of the traffic without the rule and by none with it. A zone whose samples
+//! are missing or old neither gives nor receives shares.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use super::membership::Sight;
+use super::membership::ZoneStatus;
 use super::plan::{Plan, Shares, Stamp};
 use super::summary::{Entry, Load, Table};
 use crate::catalog::{Cap, Catalog, HostKey, RegionKey, ServiceKey, State, ZoneKey};
 
-/// Time between plans, at least.
+/// Minimum time between plans.
 pub const INTERVAL: Duration = Duration::from_secs(2);
-/// Age from which a sample is not used.
-pub const OLD: Duration = Duration::from_secs(10);
-/// Part of the excess load that one step takes away.
-const GAIN: f64 = 0.7;
-/// Part of the limit to which excess is brought down, and up to which others are filled.
-const BAND: f64 = 0.95;
-/// Part of the limit under which a home zone must be to take its share back.
-const RETURN: f64 = 0.8;
-/// Share with which the return to a zone that has none is tried.
-const PROBE: f64 = 0.02;
-/// Least move that is worth a step.
-const LEAST: f64 = 0.002;
-/// Part of a cold slot that does not count as capacity.
-const COLD: f64 = 0.5;
-/// Most by which refusals may scale the load that is seen.
-const REFUSED: f64 = 3.0;
-/// Windows within which a return that must be undone counts as a failure.
-const SOON: u32 = 4;
-/// Windows after which failures are forgotten.
-const LONG: u32 = 128;
-/// Failures up to which the wait for the next return doubles.
-const MOST_FAILURES: u32 = 6;
-/// Whether samples that may not show the last step yet are used.
+/// Age from which a sample is ignored.
+pub const MAX_SAMPLE_AGE: Duration = Duration::from_secs(10);
+/// Fraction of the excess load that one step moves away.
+const STEP_GAIN: f64 = 0.7;
+/// Fraction of the limit down to which excess is reduced, and up to which other zones are filled.
+const FILL_LEVEL: f64 = 0.95;
+/// Fraction of the limit below which a home zone takes its share back.
+const RETURN_LEVEL: f64 = 0.8;
+/// Share of the first trial return to a home zone that has none of the traffic.
+const PROBE_SHARE: f64 = 0.02;
+/// Smallest share worth moving.
+const MIN_SHARE_MOVE: f64 = 0.002;
+/// Fraction of a cold slot that does not count as capacity.
+const COLD_SLOT_DISCOUNT: f64 = 0.5;
+/// Largest factor by which refusals scale up the observed load.
+const MAX_REFUSAL_FACTOR: f64 = 3.0;
+/// A return that must be undone within this number of windows counts as a failure.
+const FAILED_RETURN_WINDOWS: u32 = 4;
+/// Number of windows after which failed returns are forgotten.
+const FORGET_FAILURES_WINDOWS: u32 = 128;
+/// Number of failures up to which each doubles the wait for the next return.
+const MAX_RETURN_FAILURES: u32 = 6;
+/// How samples that may not reflect the last step yet are treated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Causality {
-    /// They are not: a sample must be taken after the step was in force.
+    /// Ignored: a sample must be taken after the step came into force.
     #[default]
     Strict,
-    /// They are, once the window of the cap has passed since the step.
+    /// Used once the window of the cap has passed since the step.
     Window,
-    /// They are, at once.
+    /// Used at once.
     Ignored,
 }
 
@@ -61,46 +61,47 @@
     stamp: Stamp,
     made: Instant,
     window: Duration,
-    /// When it was known to be in force everywhere.
+    /// When it was known to be in force on all hosts.
     settled: Option<Instant>,
 }
 
-/// The moves of a locality back home, and when the next is allowed.
+/// When a locality last returned load to its home zones, and how often returns failed.
 #[derive(Clone, Copy, Debug, Default)]
-struct Homing {
+struct ReturnBackoff {
     returned: Option<Instant>,
     failures: u32,
 }
 
-impl Homing {
-    /// Load had to be moved away again: if that came soon after a return, the next one waits.
-    fn fail(&mut self, now: Instant, window: Duration) {
-        let lately = |at: Instant| now < at + window * SOON;
+impl ReturnBackoff {
+    /// Records that load had to be moved away again. If the last return was recent, it counts as
+    /// failed and the next one waits longer.
+    fn record_failure(&mut self, now: Instant, window: Duration) {
+        let lately = |at: Instant| now < at + window * FAILED_RETURN_WINDOWS;
         if self.returned.is_some_and(lately) {
-            self.failures = (self.failures + 1).min(MOST_FAILURES);
+            self.failures = (self.failures + 1).min(MAX_RETURN_FAILURES);
         }
     }
 
-    /// Whether a return is allowed, twice as late after each failure.
-    fn may(&mut self, now: Instant, window: Duration) -> bool {
+    /// Whether a return is allowed. The wait doubles with each failure.
+    fn is_return_allowed(&mut self, now: Instant, window: Duration) -> bool {
         let Some(returned) = self.returned else {
             return true;
         };
-        if now >= returned + window * LONG {
+        if now >= returned + window * FORGET_FAILURES_WINDOWS {
             self.failures = 0;
         }
         self.failures == 0 || now >= returned + window * (1 << self.failures)
     }
 }
 
-/// What there is to plan with.
+/// The input of the planner.
 pub struct View<'a> {
     /// The configuration.
     pub catalog: &'a Catalog,
     /// The summaries of the zones.
     pub summaries: &'a Table,
-    /// What is believed of the zones.
-    pub sights: &'a BTreeMap<ZoneKey, Sight>,
+    /// The status of each zone.
+    pub zone_statuses: &'a BTreeMap<ZoneKey, ZoneStatus>,
 }
 
 /// Makes plans while this host holds the lease.
@@ -109,53 +110,53 @@
     causality: Causality,
     splits: BTreeMap<(ServiceKey, RegionKey), Shares>,
     steps: BTreeMap<ServiceKey, Step>,
-    homing: BTreeMap<(ServiceKey, RegionKey), Homing>,
+    returns: BTreeMap<(ServiceKey, RegionKey), ReturnBackoff>,
 }
 
-/// Whether a zone may be given more, or must give all.
+/// Whether a zone may receive load or must give it up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Access {
-    /// It may be given more.
+    /// It may receive more load.
     Open,
-    /// It may not, as not all its hosts have reported.
+    /// It may not receive more, as not all its hosts have reported.
     Shut,
-    /// It is draining, and gives what it has.
+    /// It is draining and gives up all its load.
     Leaving,
-    /// It is lost, and gives what it has under the cap for failover.
+    /// It is lost and gives up all its load, under the cap for failover.
     Lost,
 }
 
-/// A zone as a place for the requests of one service.
+/// The load and capacity of one service in one zone.
 #[derive(Clone, Copy, Debug)]
-struct Place {
-    /// Load it has.
+struct SiteLoad {
+    /// Current load.
     demand: f64,
-    /// Load it may have.
+    /// Highest allowed load.
     limit: f64,
     access: Access,
 }
 
-impl Place {
-    fn room(&self) -> f64 {
+impl SiteLoad {
+    fn headroom(&self) -> f64 {
         match self.access {
-            Access::Open => (self.limit * BAND - self.demand).max(0.0),
+            Access::Open => (self.limit * FILL_LEVEL - self.demand).max(0.0),
             Access::Shut | Access::Leaving | Access::Lost => 0.0,
         }
     }
 
-    /// The part of its load that one step takes away.
-    fn part(&self) -> f64 {
+    /// The fraction of the load that one step moves away.
+    fn excess_fraction(&self) -> f64 {
         match self.access {
             Access::Leaving | Access::Lost => 1.0,
             Access::Open | Access::Shut if self.demand > self.limit => {
-                GAIN * (self.demand - self.limit * BAND) / self.demand
+                STEP_GAIN * (self.demand - self.limit * FILL_LEVEL) / self.demand
             }
             Access::Open | Access::Shut => 0.0,
         }
     }
 }
 
-/// Load that would run if none were refused.
+/// The load that would run if no request were refused.
 fn demand(load: &Load) -> f64 {
     let seen = f64::from(load.in_flight + load.queued);
     let (admitted, refused) = (f64::from(load.admitted), f64::from(load.refused));
@@ -165,14 +166,14 @@
     let scale = if admitted > 0.0 {
         1.0 + refused / admitted
     } else {
-        REFUSED
+        MAX_REFUSAL_FACTOR
     };
-    seen.max(1.0) * scale.min(REFUSED)
+    seen.max(1.0) * scale.min(MAX_REFUSAL_FACTOR)
 }
 
 impl Planner {
-    /// A planner that goes on from the newest plan, or from none. What that plan moved may still
-    /// be under way, so it counts as the last step of every service.
+    /// Creates a planner that continues from the newest plan, or starts without one. Moves of that
+    /// plan may still be in progress, so it counts as the last step of every service.
     pub fn new(now: Instant, previous: Option<&Plan>, catalog: &Catalog) -> Self {
         let Some(plan) = previous else {
             return Self::default();
@@ -194,14 +195,14 @@
         }
     }
 
-    /// The same with another rule for samples.
+    /// Uses another rule for samples that may be too old.
     pub fn with_causality(self, causality: Causality) -> Self {
         Self { causality, ..self }
     }
 
-    /// The plan of `stamp`, and whether it differs from the one before.
-    pub fn make(&mut self, now: Instant, stamp: Stamp, view: &View<'_>) -> (Plan, bool) {
-        let mut changed = self.lay_out(view.catalog);
+    /// Returns the plan with `stamp`, and whether it differs from the previous one.
+    pub fn make_plan(&mut self, now: Instant, stamp: Stamp, view: &View<'_>) -> (Plan, bool) {
+        let mut changed = self.sync_splits(view.catalog);
         let services: Vec<ServiceKey> = view.catalog.services().map(|(key, _)| key).collect();
         for service in services {
             changed |= self.plan_service(now, stamp, service, view);
@@ -210,14 +211,14 @@
             stamp,
             splits: self.splits.clone(),
             bonuses: BTreeMap::new(),
-            ages: ages(now, view),
+            ages: sample_ages(now, view),
         };
         (plan, changed)
     }
 
-    /// Drops the splits of what was removed and adds those of what is new. Returns whether there
-    /// was any.
-    fn lay_out(&mut self, catalog: &Catalog) -> bool {
+    /// Drops the splits of removed services and regions and adds home splits for new ones. Returns
+    /// whether any split changed.
+    fn sync_splits(&mut self, catalog: &Catalog) -> bool {
         let before = self.splits.clone();
         let mut splits = BTreeMap::new();
         for (service, _) in catalog.services() {
@@ -226,8 +227,8 @@
                     continue;
                 }
                 let old = self.splits.remove(&(service, locality));
-                let kept = old.filter(|shares| valid(service, shares, catalog));
-                let shares = kept.unwrap_or_else(|| home(service, locality, catalog));
+                let kept = old.filter(|shares| has_only_served_zones(service, shares, catalog));
+                let shares = kept.unwrap_or_else(|| home_split(service, locality, catalog));
                 if !shares.is_empty() {
                     splits.insert((service, locality), shares);
                 }
@@ -237,7 +238,7 @@
         before != self.splits
     }
 
-    /// Makes the next step of a service. Returns whether there was any.
+    /// Makes the next step of a service. Returns whether any share moved.
     fn plan_service(
         &mut self,
         now: Instant,
@@ -245,10 +246,10 @@
         service: ServiceKey,
         view: &View<'_>,
     ) -> bool {
-        let Some(after) = self.ready(now, service, view) else {
+        let Some(after) = self.sample_threshold(now, service, view) else {
             return false;
         };
-        let mut places = places(now, service, after, view);
+        let mut places = site_loads(now, service, after, view);
         let planned = view.catalog.service(service).shift;
         let lost = places.values().any(|place| place.access == Access::Lost);
         let cap = if lost {
@@ -256,8 +257,8 @@
         } else {
             planned
         };
-        let mut moved = self.relieve(service, &mut places, cap, view.catalog);
-        moved.extend(self.send_home(now, service, &places, &moved, planned, view.catalog));
+        let mut moved = self.relieve_overloaded(service, &mut places, cap, view.catalog);
+        moved.extend(self.return_shares_home(now, service, &places, &moved, planned, view.catalog));
         if moved.is_empty() {
             return false;
         }
@@ -271,9 +272,15 @@
         true
     }
 
-    /// The time after which samples count, if the last step of the service is in force.
-    fn ready(&mut self, now: Instant, service: ServiceKey, view: &View<'_>) -> Option<Instant> {
-        let long_ago = now.checked_sub(OLD)?;
+    /// Returns the time after which samples count, or none if the last step of the service is not
+    /// in force yet.
+    fn sample_threshold(
+        &mut self,
+        now: Instant,
+        service: ServiceKey,
+        view: &View<'_>,
+    ) -> Option<Instant> {
+        let long_ago = now.checked_sub(MAX_SAMPLE_AGE)?;
         let Some(step) = self.steps.get_mut(&service) else {
             return Some(long_ago);
         };
@@ -282,67 +289,69 @@
             Causality::Window => (now >= step.made + step.window).then_some(long_ago),
             Causality::Strict => {
                 if step.settled.is_none() {
-                    step.settled = settled(now, service, step, view);
+                    step.settled = settled_at(now, service, step, view);
                 }
                 step.settled
             }
         }
     }
 
-    /// Moves load away from places that are over their limit. Returns the localities moved.
-    fn relieve(
+    /// Moves load away from zones that exceed their limit. Returns the localities whose shares
+    /// moved.
+    fn relieve_overloaded(
         &mut self,
         service: ServiceKey,
-        places: &mut BTreeMap<ZoneKey, Place>,
+        places: &mut BTreeMap<ZoneKey, SiteLoad>,
         cap: Cap,
         catalog: &Catalog,
     ) -> BTreeSet<RegionKey> {
         let mut spent: BTreeMap<RegionKey, f64> = BTreeMap::new();
-        let hot: Vec<(ZoneKey, Place)> = places
+        let hot: Vec<(ZoneKey, SiteLoad)> = places
             .iter()
-            .filter(|(_, place)| place.part() > 0.0)
+            .filter(|(_, place)| place.excess_fraction() > 0.0)
             .map(|(&zone, place)| (zone, *place))
             .collect();
         for (from, place) in hot {
             let total: f64 = service_splits(&mut self.splits, service)
                 .filter_map(|(_, shares)| shares.get(&from).copied())
                 .sum();
-            let weight = place.demand.max(LEAST) / total.max(LEAST);
+            let weight = place.demand.max(MIN_SHARE_MOVE) / total.max(MIN_SHARE_MOVE);
             for (&(_, locality), shares) in service_splits(&mut self.splits, service) {
                 let Some(&share) = shares.get(&from) else {
                     continue;
                 };
                 let spent = spent.entry(locality).or_default();
-                let want = (share * place.part()).min(cap.share - *spent);
-                *spent += pour(locality, from, want, weight, shares, places, catalog);
+                let want = (share * place.excess_fraction()).min(cap.share - *spent);
+                *spent += move_share(locality, from, want, weight, shares, places, catalog);
             }
         }
         spent.retain(|_, sent| *sent > 0.0);
         spent.into_keys().collect()
     }
 
-    /// Moves shares back towards the home of their locality where there is room again.
-    fn send_home(
+    /// Moves shares back towards the home zones of their locality where there is room again.
+    /// Returns the localities whose shares moved.
+    fn return_shares_home(
         &mut self,
         now: Instant,
         service: ServiceKey,
-        places: &BTreeMap<ZoneKey, Place>,
+        places: &BTreeMap<ZoneKey, SiteLoad>,
         moved: &BTreeSet<RegionKey>,
         cap: Cap,
         catalog: &Catalog,
     ) -> BTreeSet<RegionKey> {
         let mut returned = BTreeSet::new();
         for (&(_, locality), shares) in service_splits(&mut self.splits, service) {
-            let homing = self.homing.entry((service, locality)).or_default();
+            let homing = self.returns.entry((service, locality)).or_default();
             if moved.contains(&locality) {
-                homing.fail(now, cap.window);
+                homing.record_failure(now, cap.window);
                 continue;
             }
-            if !homing.may(now, cap.window) {
+            if !homing.is_return_allowed(now, cap.window) {
                 continue;
             }
-            let home = home(service, locality, catalog);
-            if step_home(shares, &home, places, cap) {
+            let home = home_split(service, locality, catalog);
+            if step_towards_home(shares, &home, places, cap) {
                 homing.returned = Some(now);
                 returned.insert(locality);
             }
@@ -360,14 +369,14 @@
         .filter(move |((other, _), _)| *other == service)
 }
 
-/// Whether all zones of a split have targets of the service.
-fn valid(service: ServiceKey, shares: &Shares, catalog: &Catalog) -> bool {
+/// Whether the split is not empty and all its zones have targets of the service.
+fn has_only_served_zones(service: ServiceKey, shares: &Shares, catalog: &Catalog) -> bool {
     !shares.is_empty() && shares.keys().all(|&z| catalog.site(service, z).is_some())
 }
 
-/// The split when nothing is wrong: the zones of the own region by slots, or if it has none
-/// those of the region with the shortest link.
-fn home(service: ServiceKey, locality: RegionKey, catalog: &Catalog) -> Shares {
+/// The split in normal operation: the zones of the own region by slots or, if the own region has
+/// none, those of the region with the lowest link latency.
+fn home_split(service: ServiceKey, locality: RegionKey, catalog: &Catalog) -> Shares {
     let mut regions: Vec<(Duration, RegionKey)> = catalog
         .sites(service)
         .filter(|(_, site)| site.slots > 0)
@@ -391,7 +400,7 @@
         .collect()
 }
 
-/// How far a region is from another: the latency of the link, or longest if there is none.
+/// The latency of the link between two regions, or the maximum if there is no link.
 fn distance(from: RegionKey, to: RegionKey, catalog: &Catalog) -> Duration {
     if from == to {
         return Duration::ZERO;
@@ -401,45 +410,45 @@
         .map_or(Duration::MAX, |link| link.latency)
 }
 
-/// The zones whose load is known well enough, with what they have and may have.
-fn places(
+/// The load and limit of each zone whose load is known well enough.
+fn site_loads(
     now: Instant,
     service: ServiceKey,
     after: Instant,
     view: &View<'_>,
-) -> BTreeMap<ZoneKey, Place> {
+) -> BTreeMap<ZoneKey, SiteLoad> {
     let mut places = BTreeMap::new();
     for (zone, _) in view.catalog.sites(service) {
-        if let Some(place) = place(now, service, zone, after, view) {
+        if let Some(place) = site_load(now, service, zone, after, view) {
             places.insert(zone, place);
         }
     }
     places
 }
 
-fn place(
+fn site_load(
     now: Instant,
     service: ServiceKey,
     zone: ZoneKey,
     after: Instant,
     view: &View<'_>,
-) -> Option<Place> {
+) -> Option<SiteLoad> {
     let utilization = view.catalog.limits().utilization;
-    if view.sights.get(&zone) == Some(&Sight::Lost) {
+    if view.zone_statuses.get(&zone) == Some(&ZoneStatus::Lost) {
         let slots = view.catalog.site(service, zone)?.slots;
-        return Some(Place {
+        return Some(SiteLoad {
             demand: f64::from(slots) * utilization,
             limit: 0.0,
             access: Access::Lost,
         });
     }
-    let source = view.summaries.zone(now, zone, view.catalog)?;
+    let source = view.summaries.zone_source(now, zone, view.catalog)?;
     let Entry { load, sampled } = source.load(service)?;
-    if now.saturating_duration_since(sampled) >= OLD || sampled <= after {
+    if now.saturating_duration_since(sampled) >= MAX_SAMPLE_AGE || sampled <= after {
         return None;
     }
     let (live, reported) = source.hosts;
-    let warm = 1.0 - COLD * f64::from(load.cold);
+    let warm = 1.0 - COLD_SLOT_DISCOUNT * f64::from(load.cold);
     let access = if view.catalog.zone_state(zone) != State::Serving {
         Access::Leaving
     } else if reported < live {
@@ -447,25 +456,25 @@
     } else {
         Access::Open
     };
-    Some(Place {
+    Some(SiteLoad {
         demand: demand(&load),
         limit: f64::from(load.live) * utilization * warm,
         access,
     })
 }
 
-/// When a step was seen to be in force: all zones that tell of themselves follow its plan and
-/// have nothing of the service left to move. If one of them does not, the step counts as in force
-/// after twice the time that its cap allows.
-fn settled(now: Instant, service: ServiceKey, step: &Step, view: &View<'_>) -> Option<Instant> {
+/// Returns when a step came into force: all zones that report follow its plan and have no split of
+/// the service left to move. If some zone does not, the step counts as in force after twice the
+/// window of its cap.
+fn settled_at(now: Instant, service: ServiceKey, step: &Step, view: &View<'_>) -> Option<Instant> {
     let bound = step.made + 2 * step.window;
     let mut latest = None;
     let mut done = true;
     for (zone, _) in view.catalog.zones() {
-        let Some(source) = view.summaries.zone(now, zone, view.catalog) else {
+        let Some(source) = view.summaries.zone_source(now, zone, view.catalog) else {
             continue;
         };
-        if now.saturating_duration_since(source.sampled) >= OLD {
+        if now.saturating_duration_since(source.sampled) >= MAX_SAMPLE_AGE {
             continue;
         }
         done &= source.applied >= step.stamp && !source.moving.contains(&service);
@@ -476,20 +485,20 @@
         .or_else(|| (now >= bound).then_some(bound))
 }
 
-/// Moves up to `want` of a locality's traffic away from a zone, to those with room: first of its
-/// own region, then of others, nearest first. `weight` is the load that a whole share stands for.
-fn pour(
+/// Moves up to `want` of a locality's traffic away from a zone to zones with headroom, nearest
+/// region first. `weight` is the load that a full share represents. Returns the share moved.
+fn move_share(
     locality: RegionKey,
     from: ZoneKey,
     want: f64,
     weight: f64,
     shares: &mut Shares,
-    places: &mut BTreeMap<ZoneKey, Place>,
+    places: &mut BTreeMap<ZoneKey, SiteLoad>,
     catalog: &Catalog,
 ) -> f64 {
     let mut order: Vec<(Duration, ZoneKey)> = places
         .iter()
-        .filter(|&(&zone, place)| zone != from && place.room() > 0.0)
+        .filter(|&(&zone, place)| zone != from && place.headroom() > 0.0)
         .map(|(&zone, _)| (distance(locality, catalog.region_of(zone), catalog), zone))
         .filter(|&(distance, _)| distance < Duration::MAX)
         .collect();
@@ -499,8 +508,8 @@
         let Some(place) = places.get_mut(&to) else {
             continue;
         };
-        let part = (want - sent).min(GAIN * place.room() / weight);
-        if part < LEAST.min(want) || part <= 0.0 {
+        let part = (want - sent).min(STEP_GAIN * place.headroom() / weight);
+        if part < MIN_SHARE_MOVE.min(want) || part <= 0.0 {
             continue;
         }
         place.demand += part * weight;
@@ -511,23 +520,23 @@
         if let Some(share) = shares.get_mut(&from) {
             *share -= sent;
         }
-        tidy(shares);
+        normalize(shares);
     }
     sent
 }
 
-/// One step from `shares` towards `home`, as far as the zones there have room for it. Zones whose
-/// load is not known neither give nor take.
-fn step_home(
+/// Makes one step from `shares` towards `home`, as far as the zones there have headroom. Zones
+/// whose load is not known neither give nor receive. Returns whether any share moved.
+fn step_towards_home(
     shares: &mut Shares,
     home: &Shares,
-    places: &BTreeMap<ZoneKey, Place>,
+    places: &BTreeMap<ZoneKey, SiteLoad>,
     cap: Cap,
 ) -> bool {
     let lacking: Vec<(ZoneKey, f64)> = home
         .iter()
         .map(|(&zone, &share)| (zone, share - shares.get(&zone).copied().unwrap_or(0.0)))
-        .filter(|&(_, lack)| lack > LEAST)
+        .filter(|&(_, lack)| lack > MIN_SHARE_MOVE)
         .collect();
     let mut sent = 0.0;
     for (zone, lack) in lacking {
@@ -536,21 +545,21 @@
         };
         let most = return_limit(place, shares.get(&zone).copied().unwrap_or(0.0));
         let want = lack.min(most).min(cap.share - sent);
-        let taken = take_back(shares, home, places, want);
+        let taken = take_excess(shares, home, places, want);
         if taken > 0.0 {
             *shares.entry(zone).or_default() += taken;
             sent += taken;
         }
     }
     if sent > 0.0 {
-        tidy(shares);
+        normalize(shares);
     }
     sent > 0.0
 }
 
-/// Drops shares too small to matter, and gives what they had to the largest.
-fn tidy(shares: &mut Shares) {
-    shares.retain(|_, share| *share > LEAST / 10.0);
+/// Drops negligible shares and adds the remainder to the largest, so that all add up to 1.
+fn normalize(shares: &mut Shares) {
+    shares.retain(|_, share| *share > MIN_SHARE_MOVE / 10.0);
     let rest = 1.0 - shares.values().sum::<f64>();
     let largest = shares.values_mut().max_by(|a, b| a.total_cmp(b));
     if let Some(share) = largest {
@@ -558,26 +567,26 @@
     }
 }
 
-/// Share that a home zone can take back, from the load that its present share brings.
-fn return_limit(place: &Place, share: f64) -> f64 {
-    let room = place.limit * RETURN - place.demand;
+/// The share that a home zone can take back, estimated from the load that its present share brings.
+fn return_limit(place: &SiteLoad, share: f64) -> f64 {
+    let room = place.limit * RETURN_LEVEL - place.demand;
     if place.access != Access::Open || room <= 0.0 {
         return 0.0;
     }
-    if share < LEAST || place.demand < LEAST {
-        return PROBE;
+    if share < MIN_SHARE_MOVE || place.demand < MIN_SHARE_MOVE {
+        return PROBE_SHARE;
     }
-    (GAIN * room * share / place.demand).max(LEAST)
+    (STEP_GAIN * room * share / place.demand).max(MIN_SHARE_MOVE)
 }
 
-/// Takes up to `want` from zones that have more than at home. Returns what was taken.
-fn take_back(
+/// Takes up to `want` from zones that have more than their home share. Returns the share taken.
+fn take_excess(
     shares: &mut Shares,
     home: &Shares,
-    places: &BTreeMap<ZoneKey, Place>,
+    places: &BTreeMap<ZoneKey, SiteLoad>,
     want: f64,
 ) -> f64 {
-    if want < LEAST {
+    if want < MIN_SHARE_MOVE {
         return 0.0;
     }
     let mut taken = 0.0;
@@ -593,23 +602,23 @@
     taken
 }
 
-fn ages(now: Instant, view: &View<'_>) -> BTreeMap<ZoneKey, Duration> {
+fn sample_ages(now: Instant, view: &View<'_>) -> BTreeMap<ZoneKey, Duration> {
     view.catalog
         .zones()
         .filter_map(|(zone, _)| {
-            let source = view.summaries.zone(now, zone, view.catalog)?;
+            let source = view.summaries.zone_source(now, zone, view.catalog)?;
             Some((zone, now.saturating_duration_since(source.sampled)))
         })
         .collect()
 }
 
-/// The quota that hosts want above their static parts, by host and region, as the zones told of
-/// it lately. What is granted is decided by the pool of unused parts.
-pub fn wanted(now: Instant, view: &View<'_>) -> BTreeMap<(HostKey, RegionKey), f64> {
+/// The quota that hosts want beyond their static parts, by host and region, from recent zone
+/// summaries. The pool of unused quota decides what is granted.
+pub fn wanted_quotas(now: Instant, view: &View<'_>) -> BTreeMap<(HostKey, RegionKey), f64> {
     view.catalog
         .zones()
-        .filter_map(|(zone, _)| view.summaries.zone(now, zone, view.catalog))
-        .filter(|source| now.saturating_duration_since(source.sampled) < OLD)
+        .filter_map(|(zone, _)| view.summaries.zone_source(now, zone, view.catalog))
+        .filter(|source| now.saturating_duration_since(source.sampled) < MAX_SAMPLE_AGE)
         .flat_map(|source| &source.needs)
         .filter(|(_, &wanted)| wanted > 0.0)
         .map(|(&key, &wanted)| (key, f64::from(wanted)))
