--- a/src/control/presence.rs
+++ b/src/control/presence.rs
@@ -1,18 +1,19 @@
-//! Which entry hosts take requests, and who tells whom what the platform's store holds.
+//! Tracks which entry hosts are alive and serve requests, and which hosts distribute the contents
+//! of the platform's store.
 //!
-//! A host registers, then reads who else did, then sends heartbeats to all of them. The first one
-//! says all there is to know of its sender, so that those who read the store earlier
-//! learn of it without asking the store again: of two hosts that start at once, the later one finds the
-//! other. In between go pulses, a tenth as long; who does not know their sender asks it.
-//! In a large region most hosts tell the other availability zones seldom, and few of each zone often: these show that the zone
-//! is there.
-//! A host counts as alive for a while after it was first heard of, so that a new one is used at
-//! once, and one that says that it is leaving does not.
+//! A host registers itself, then reads the registrations of the other hosts, then sends heartbeats
+//! to all of them. The first heartbeat to a host holds the sender's full record, so hosts that read
+//! the store earlier learn about the sender without another read: of two hosts that start at once,
+//! the later one finds the other. Later heartbeats are pulses, a tenth of that size. A receiver
+//! that does not know the sender of a pulse asks it for the full record. In a large region most
+//! hosts send heartbeats to other availability zones rarely, and a few hosts of each zone often,
+//! which show that the zone is up. A host counts as alive for a while after it was first heard of,
+//! so that a new one is used at once. A host that announces that it is leaving does not.
 //!
-//! Calls to the store are dear and limited, so in each region few hosts watch it and pass on what
-//! they learn. Who does follows from a ranking that all hosts compute alike.
+//! Calls to the store are expensive and limited, so in each region only few hosts watch it and pass
+//! on the changes. All hosts compute the same ranking to choose them.
 
-mod naming;
+mod lookup;
 mod record;
 mod watching;
 
@@ -23,41 +24,42 @@
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use super::working::Rate;
+use super::active_hosts::Rate;
 use crate::border::settings::Switch;
 
-pub use self::naming::Naming;
-pub use self::record::{Beat, Pulse, Record, Sight, Strength};
+pub use self::lookup::LookupFilter;
+pub use self::record::{Heartbeat, Pulse, Record, StoreView, Strength};
 
-/// Time between two heartbeats within a region.
+/// Interval between heartbeats within a region.
 pub const INTERVAL: Duration = Duration::from_millis(700);
-/// Only each n-th heartbeat goes to other regions, where liveness decides less.
-pub const FAR: u64 = 3;
-/// For each such number of hosts that n is as much larger, so that heartbeats to other regions don't
-/// grow with their hosts.
-const MANY: u64 = 200;
-/// Hosts of an availability zone that tell its state to the other zones of the region at each heartbeat: one that is left of
-/// them shows that the zone is there.
-const SPEAKERS: usize = 4;
-/// For each such number of other hosts of a region the other hosts of a zone leave one more heartbeat out between two that go
-/// to other zones, so that what crosses zones doesn't grow with the square of the region.
-const CROWD: usize = 100;
-/// Heartbeats that may be missed before a host is taken for dead.
-const MISSED: f64 = 3.6;
+/// Only every n-th heartbeat goes to other regions, where liveness matters less.
+pub const REMOTE_HEARTBEAT_STRIDE: u64 = 3;
+/// For each such number of known hosts, [`REMOTE_HEARTBEAT_STRIDE`] counts once more, so that the
+/// heartbeats to other regions don't grow with their number of hosts.
+const HOSTS_PER_REMOTE_STRIDE: u64 = 200;
+/// Number of hosts of an availability zone that send every heartbeat to the other zones of the
+/// region. One surviving host of them is enough to show that the zone is up.
+const ZONE_SPEAKERS: usize = 4;
+/// For each such number of other hosts in the region, the remaining hosts of a zone skip one more
+/// heartbeat between two that go to other zones, so that the traffic between zones doesn't grow
+/// with the square of the region's size.
+const HOSTS_PER_ZONE_STRIDE: usize = 100;
+/// Number of heartbeats that may be missed before a host counts as dead.
+const MAX_MISSED_HEARTBEATS: f64 = 3.6;
 /// Silence after which the registration of a dead host is removed.
-pub const FORGET: Duration = Duration::from_secs(20);
-/// A gap between two looks at the clock that means that this process was paused.
-const PAUSE: Duration = Duration::from_millis(1500);
+pub const REMOVAL_SILENCE: Duration = Duration::from_secs(20);
+/// A gap between ticks of more than this means that this process was paused.
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(1500);
 
-/// Time between two heartbeats of a target to the store, unless the settings say otherwise.
-pub const HEARTBEAT: Duration = Duration::from_millis(1500);
+/// Default interval between a target's heartbeats to the store.
+pub const TARGET_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// How far away another host is.
+/// The distance to another host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Distance {
     /// In the same availability zone.
     Zone,
-    /// In another one of the region.
+    /// In another availability zone of the same region.
     Region,
     /// In another region.
     Elsewhere,
@@ -68,111 +70,113 @@
     record: Record,
     /// Whether it is in the region of this host.
     is_near: bool,
-    /// When this process of the host was first heard of.
-    met: Instant,
-    heard: Instant,
-    leaving: bool,
-    sight: Option<Sight>,
+    /// When the current process of the host was first heard of.
+    first_heard: Instant,
+    last_heard: Instant,
+    is_leaving: bool,
+    store_view: Option<StoreView>,
     rate: u32,
 }
 
 impl Peer {
-    fn hear(&mut self, now: Instant, sight: Sight, leaving: bool, rate: u32) {
-        self.heard = now;
-        self.sight = Some(sight);
-        self.leaving = leaving;
+    fn update(&mut self, now: Instant, sight: StoreView, leaving: bool, rate: u32) {
+        self.last_heard = now;
+        self.store_view = Some(sight);
+        self.is_leaving = leaving;
         self.rate = rate;
     }
 }
 
-/// The entry hosts as one of them sees them.
+/// The entry hosts from the view of one of them.
 #[derive(Debug)]
 pub struct Presence {
     own: Record,
     region: Arc<str>,
     regions: BTreeMap<Arc<str>, Arc<str>>,
-    leaving: bool,
-    sight: Sight,
+    is_leaving: bool,
+    store_view: StoreView,
     peers: BTreeMap<Arc<str>, Peer>,
-    /// The hosts by where they take heartbeats, which is also where theirs come from.
-    places: BTreeMap<SocketAddr, Arc<str>>,
-    /// When any host of each availability zone was heard last.
-    zones: BTreeMap<Arc<str>, Instant>,
-    /// Other hosts of the region, alive or not.
-    near: usize,
-    looked: Instant,
+    /// Hosts by the address that receives their heartbeats, from which they also send theirs.
+    hosts_by_address: BTreeMap<SocketAddr, Arc<str>>,
+    /// When any host of each availability zone was last heard.
+    zones_last_heard: BTreeMap<Arc<str>, Instant>,
+    /// Number of other hosts of the region, alive or not.
+    region_peers: usize,
+    last_tick: Instant,
     started: Instant,
-    /// Whether the registrations of the others were read.
-    listed: bool,
-    /// Since when no host sees the store.
-    unseen: Option<Instant>,
-    /// When no host saw the store, the last time that was looked at.
+    /// Whether the registrations of the other hosts have been read.
+    is_listed: bool,
+    /// Since when no host has seen the store.
+    unseen_since: Option<Instant>,
+    /// The last check at which no host saw the store.
     last_unseen: Option<Instant>,
-    /// When that had lasted so long that registrations of targets may have run out.
-    last_away: Option<Instant>,
-    /// Time between two heartbeats of a target to the store.
-    heartbeat: Duration,
-    beats: u64,
-    /// The requests that this host gets.
-    rate: Rate,
+    /// The last check at which no host had seen the store for so long that registrations of targets
+    /// may have expired.
+    last_long_outage: Option<Instant>,
+    /// Interval between a target's heartbeats to the store.
+    target_heartbeat: Duration,
+    heartbeats_sent: u64,
+    /// The rate of requests that this host receives.
+    request_rate: Rate,
     few_watchers: Switch,
     few_hosts: Switch,
-    naming: Naming,
+    lookup_filter: LookupFilter,
 }
 
 impl Presence {
-    /// A host that has heard of no other; `regions` gives the region of each availability zone.
+    /// Creates the view of a host that knows no other; `regions` maps each availability zone to its
+    /// region.
     pub fn new(now: Instant, own: Record, regions: BTreeMap<Arc<str>, Arc<str>>) -> Self {
         Self {
             region: regions.get(&own.zone).unwrap_or(&own.zone).clone(),
             own,
             regions,
-            leaving: false,
-            sight: Sight::Nothing,
+            is_leaving: false,
+            store_view: StoreView::Nothing,
             peers: BTreeMap::new(),
-            places: BTreeMap::new(),
-            zones: BTreeMap::new(),
-            near: 0,
-            looked: now,
+            hosts_by_address: BTreeMap::new(),
+            zones_last_heard: BTreeMap::new(),
+            region_peers: 0,
+            last_tick: now,
             started: now,
-            listed: false,
-            unseen: None,
+            is_listed: false,
+            unseen_since: None,
             last_unseen: None,
-            last_away: None,
-            heartbeat: HEARTBEAT,
-            beats: 0,
-            rate: Rate::new(now),
+            last_long_outage: None,
+            target_heartbeat: TARGET_HEARTBEAT_INTERVAL,
+            heartbeats_sent: 0,
+            request_rate: Rate::new(now),
             few_watchers: Switch::On,
             few_hosts: Switch::On,
-            naming: Naming::All,
+            lookup_filter: LookupFilter::All,
         }
     }
 
-    /// Targets show the store that they live at this interval.
+    /// Sets the interval between a target's heartbeats to the store.
     pub fn with_heartbeat(mut self, interval: Duration) -> Self {
-        self.heartbeat = interval;
+        self.target_heartbeat = interval;
         self
     }
 
-    /// Without the choice of few watchers all hosts watch the store.
+    /// Switches the choice of few watchers; if off, all hosts watch the store.
     pub fn with_few_watchers(mut self, switch: Switch) -> Self {
         self.few_watchers = switch;
         self
     }
 
-    /// Without the choice of few hosts look-ups name all that serve.
+    /// Switches the choice of few hosts for look-ups; if off, they name all hosts that serve.
     pub fn with_few_hosts(mut self, switch: Switch) -> Self {
         self.few_hosts = switch;
         self
     }
 
-    /// Look-ups name these hosts.
-    pub fn with_naming(mut self, naming: Naming) -> Self {
-        self.naming = naming;
+    /// Sets which hosts look-ups may name.
+    pub fn with_lookup_filter(mut self, naming: LookupFilter) -> Self {
+        self.lookup_filter = naming;
         self
     }
 
-    /// What this host registers.
+    /// The record that this host registers.
     pub fn own(&self) -> &Record {
         &self.own
     }
@@ -187,67 +191,69 @@
         *self.region(record) == self.region
     }
 
-    /// All registrations of other hosts have been taken in, or those that another host hears.
-    pub fn list(&mut self) {
-        self.listed = true;
+    /// Records that the registrations of all other hosts, or those of the hosts that another host
+    /// hears, have been processed.
+    pub fn mark_listed(&mut self) {
+        self.is_listed = true;
     }
 
-    /// Whether this host was told of the others.
+    /// Whether this host has received the list of the other hosts.
     pub fn is_listed(&self) -> bool {
-        self.listed
+        self.is_listed
     }
 
-    /// Takes no new work from now on.
+    /// Stops taking new work from now on.
     pub fn leave(&mut self) {
-        self.leaving = true;
+        self.is_leaving = true;
     }
 
-    /// Sets what this host knows of the store; says whether that is news.
-    pub fn see(&mut self, sight: Sight) -> bool {
-        std::mem::replace(&mut self.sight, sight) != sight
+    /// Sets this host's view of the store. Returns whether it changed.
+    pub fn set_store_view(&mut self, sight: StoreView) -> bool {
+        std::mem::replace(&mut self.store_view, sight) != sight
     }
 
-    /// What this host knows of the store.
-    pub fn sight(&self) -> Sight {
-        self.sight
+    /// This host's view of the store.
+    pub fn store_view(&self) -> StoreView {
+        self.store_view
     }
 
-    /// The heartbeat to send.
-    pub fn beat(&mut self, now: Instant) -> Beat {
-        Beat {
+    /// Returns the full heartbeat to send.
+    pub fn heartbeat(&mut self, now: Instant) -> Heartbeat {
+        Heartbeat {
             record: self.own.clone(),
-            leaving: self.leaving,
-            sight: self.sight,
-            rate: self.rate.peak(now),
+            leaving: self.is_leaving,
+            sight: self.store_view,
+            rate: self.request_rate.peak(now),
         }
     }
 
-    /// The same in few bytes.
+    /// Returns the short form of the heartbeat.
     pub fn pulse(&mut self, now: Instant) -> Pulse {
-        let rate = self.rate.peak(now);
-        Pulse(self.own.incarnation, self.sight, self.leaving, rate)
+        let rate = self.request_rate.peak(now);
+        Pulse(self.own.incarnation, self.store_view, self.is_leaving, rate)
     }
 
-    /// Counts a request of a caller.
-    pub fn count(&mut self, now: Instant) {
-        self.rate.count(now);
+    /// Counts a request from a caller.
+    pub fn count_request(&mut self, now: Instant) {
+        self.request_rate.count_request(now);
     }
 
-    /// Every how many heartbeats one goes to other regions.
-    fn far(&self) -> u64 {
-        FAR * (1 + self.peers.len() as u64 / MANY)
+    /// One of this many heartbeats goes to other regions.
+    fn remote_stride(&self) -> u64 {
+        REMOTE_HEARTBEAT_STRIDE * (1 + self.peers.len() as u64 / HOSTS_PER_REMOTE_STRIDE)
     }
 
-    /// Every how many heartbeats one goes to the other availability zones of the region.
-    fn across(&self) -> u64 {
-        1 + (self.near / CROWD) as u64
+    /// One of this many heartbeats goes to the other availability zones of the region.
+    fn zone_stride(&self) -> u64 {
+        1 + (self.region_peers / HOSTS_PER_ZONE_STRIDE) as u64
     }
 
-    /// Where the next regular heartbeat goes to.
-    pub fn next_beat(&mut self, now: Instant) -> Vec<SocketAddr> {
-        let far = self.beats.is_multiple_of(self.far());
-        let across = self.beats.is_multiple_of(self.across()) || self.is_speaker(now);
-        self.beats += 1;
+    /// Starts the next regular heartbeat and returns the addresses that receive it.
+    pub fn next_heartbeat_recipients(&mut self, now: Instant) -> Vec<SocketAddr> {
+        let far = self.heartbeats_sent.is_multiple_of(self.remote_stride());
+        let across =
+            self.heartbeats_sent.is_multiple_of(self.zone_stride()) || self.is_speaker(now);
+        self.heartbeats_sent += 1;
         let wanted = |peer: &&Peer| match self.distance(peer) {
             Distance::Zone => true,
             Distance::Region => across,
@@ -267,21 +273,22 @@
         }
     }
 
-    /// Whether this host tells the state of its availability zone to the others of the region.
+    /// Whether this host sends every heartbeat to the other zones of the region.
     fn is_speaker(&self, now: Instant) -> bool {
         let own = rank(&self.own);
         let of_zone = self
-            .present(now)
+            .live_peers(now)
             .filter(|peer| peer.record.zone == self.own.zone);
         let before = of_zone.filter(|peer| rank(&peer.record) > own);
-        before.take(SPEAKERS).count() < SPEAKERS
+        before.take(ZONE_SPEAKERS).count() < ZONE_SPEAKERS
     }
 
-    /// Where it is told at once that what this host knows of the store was `before` until now: in its region, and everywhere if it
-    /// saw the store or sees it now. Hosts of other regions only ask whether anybody sees it; what those that follow it know
-    /// would be told by as many hosts to as many.
-    pub fn concerned(&self, before: Sight) -> Vec<SocketAddr> {
-        let everywhere = before == Sight::Store || self.sight == Sight::Store;
+    /// The addresses to notify at once after this host's view of the store changed from `before`:
+    /// all hosts if this host saw the store or sees it now, else those of its region. Hosts of
+    /// other regions only need to know whether any host sees the store. If followers announced
+    /// their views to them as well, the messages would grow with the product of the hosts.
+    pub fn store_view_recipients(&self, before: StoreView) -> Vec<SocketAddr> {
+        let everywhere = before == StoreView::Store || self.store_view == StoreView::Store;
         self.peers
             .values()
             .filter(|peer| everywhere || peer.is_near)
@@ -289,8 +296,8 @@
             .collect()
     }
 
-    /// Takes in a registration; gives the host the benefit of the doubt until it was silent for
-    /// long enough. Says whether this process of the host is new.
+    /// Processes a registration. A new process of a host counts as heard now, so it is alive until
+    /// it has been silent for too long. Returns whether the process is new.
     pub fn register(&mut self, now: Instant, record: Record) -> bool {
         if record.host == self.own.host {
             return false;
@@ -300,124 +307,128 @@
                 peer.record = record;
                 return false;
             }
-            // A later process may have a lower number if the host's clock went back.
-            let silent = now.saturating_duration_since(peer.heard) > 2 * INTERVAL;
+            // A later process may have a lower incarnation if the host's clock was set back.
+            let silent = now.saturating_duration_since(peer.last_heard) > 2 * INTERVAL;
             if peer.record.incarnation > record.incarnation && !silent {
                 return false;
             }
         }
         let peer = Peer {
             is_near: self.is_near(&record),
-            met: now,
-            heard: now,
-            leaving: false,
-            sight: None,
+            first_heard: now,
+            last_heard: now,
+            is_leaving: false,
+            store_view: None,
             rate: 0,
             record,
         };
-        self.zones.insert(peer.record.zone.clone(), now);
-        self.places
+        self.zones_last_heard.insert(peer.record.zone.clone(), now);
+        self.hosts_by_address
             .insert(peer.record.peers, peer.record.host.clone());
         let is_near = peer.is_near;
         let known = self.peers.insert(peer.record.host.clone(), peer);
-        self.near += usize::from(is_near && known.is_none());
+        self.region_peers += usize::from(is_near && known.is_none());
         true
     }
 
     /// Forgets a host whose registration was removed, unless it is still heard.
-    pub fn withdraw(&mut self, now: Instant, host: &str) {
+    pub fn unregister(&mut self, now: Instant, host: &str) {
         let gone = self
             .peers
             .get(host)
-            .is_some_and(|peer| peer.leaving || !self.is_heard(now, peer));
+            .is_some_and(|peer| peer.is_leaving || !self.is_heard(now, peer));
         if !gone {
             return;
         }
         if let Some(peer) = self.peers.remove(host) {
-            self.near -= usize::from(peer.is_near);
-            // Another host may have its address by now.
+            self.region_peers -= usize::from(peer.is_near);
+            // Another host may use the address by now.
             let place = peer.record.peers;
-            if self.places.get(&place) == Some(&peer.record.host) {
-                self.places.remove(&place);
+            if self.hosts_by_address.get(&place) == Some(&peer.record.host) {
+                self.hosts_by_address.remove(&place);
             }
         }
     }
 
-    /// Takes in a heartbeat. Says whether its sender has not heard of this host yet.
-    pub fn hear(&mut self, now: Instant, beat: Beat) -> bool {
+    /// Processes a heartbeat. Returns whether its sender's process is new, and so may not know this
+    /// host yet.
+    pub fn receive_heartbeat(&mut self, now: Instant, beat: Heartbeat) -> bool {
         let new = self.register(now, beat.record.clone());
         let Some(peer) = self.peers.get_mut(&beat.record.host) else {
             return false;
         };
         if beat.record.incarnation == peer.record.incarnation {
-            peer.hear(now, beat.sight, beat.leaving, beat.rate);
-            self.zones.insert(beat.record.zone, now);
+            peer.update(now, beat.sight, beat.leaving, beat.rate);
+            self.zones_last_heard.insert(beat.record.zone, now);
         }
         new
     }
 
-    /// Takes in a pulse that came from `place`. Says whether its sender is known.
-    pub fn feel(&mut self, now: Instant, place: SocketAddr, pulse: Pulse) -> bool {
+    /// Processes a pulse that came from `place`. Returns whether its sender is known.
+    pub fn receive_pulse(&mut self, now: Instant, place: SocketAddr, pulse: Pulse) -> bool {
         let Pulse(incarnation, sight, leaving, rate) = pulse;
-        let host = self.places.get(&place);
+        let host = self.hosts_by_address.get(&place);
         let Some(peer) = host.and_then(|host| self.peers.get_mut(host)) else {
             return false;
         };
         if peer.record.incarnation != incarnation {
             return false;
         }
-        peer.hear(now, sight, leaving, rate);
-        match self.zones.get_mut(&peer.record.zone) {
+        peer.update(now, sight, leaving, rate);
+        match self.zones_last_heard.get_mut(&peer.record.zone) {
             Some(heard) => *heard = now,
             None => {
-                self.zones.insert(peer.record.zone.clone(), now);
+                self.zones_last_heard.insert(peer.record.zone.clone(), now);
             }
         }
         true
     }
 
-    /// Notes that the clock was looked at. After a pause of this process each silence counts anew.
+    /// Records the current time. After a pause of this process all silences are counted from now.
     pub fn tick(&mut self, now: Instant) {
-        if now.saturating_duration_since(self.looked) > PAUSE {
+        if now.saturating_duration_since(self.last_tick) > PAUSE_THRESHOLD {
             for peer in self.peers.values_mut() {
-                peer.heard = now;
+                peer.last_heard = now;
             }
-            self.zones.values_mut().for_each(|heard| *heard = now);
+            self.zones_last_heard
+                .values_mut()
+                .for_each(|heard| *heard = now);
         }
-        self.looked = now;
+        self.last_tick = now;
     }
 
-    /// Other hosts, alive or not.
+    /// The records of all other hosts, alive or not.
     pub fn peers(&self) -> impl Iterator<Item = &Record> {
         self.peers.values().map(|peer| &peer.record)
     }
 
-    /// What another host says of itself.
-    pub fn known(&self, host: &str) -> Option<&Record> {
+    /// The record of another host.
+    pub fn peer(&self, host: &str) -> Option<&Record> {
         self.peers.get(host).map(|peer| &peer.record)
     }
 
-    /// The other host that sends heartbeats from `place`.
-    pub fn at(&self, place: SocketAddr) -> Option<&Record> {
-        let peer = self.peers.get(self.places.get(&place)?)?;
+    /// The record of the host that sends heartbeats from `place`.
+    pub fn peer_at(&self, place: SocketAddr) -> Option<&Record> {
+        let peer = self.peers.get(self.hosts_by_address.get(&place)?)?;
         Some(&peer.record)
     }
 
-    /// Whether no other host is up, as far as is known.
+    /// Whether no other host is known to be alive.
     pub fn is_alone(&self, now: Instant) -> bool {
-        self.present(now).next().is_none()
+        self.live_peers(now).next().is_none()
     }
 
-    /// Hosts that are up, but for those that are leaving; this one among them.
+    /// The hosts that are alive and not leaving, including this one.
     pub fn alive(&self, now: Instant) -> impl Iterator<Item = &Record> {
-        let own = (!self.leaving).then_some(&self.own);
-        let others = self.present(now).map(|peer| &peer.record);
+        let own = (!self.is_leaving).then_some(&self.own);
+        let others = self.live_peers(now).map(|peer| &peer.record);
         own.into_iter().chain(others)
     }
 
-    /// Where those take heartbeats that count what belongs to `key`: in each availability zone one host that is up, by
-    /// rendezvous hashing, so that zones that are cut off from each other have one, too. Not this host.
-    pub fn counters(&self, now: Instant, key: u64) -> Vec<SocketAddr> {
+    /// The heartbeat addresses of the hosts that keep the counts of `key`, without this host.
+    /// Rendezvous hashing selects one live host in each availability zone, so that zones that are
+    /// cut off from each other each have one.
+    pub fn counting_hosts(&self, now: Instant, key: u64) -> Vec<SocketAddr> {
         let mut first: BTreeMap<&Arc<str>, (u64, &Record)> = BTreeMap::new();
         for record in self.alive(now) {
             let draw = xxh3_64_with_seed(record.host.as_bytes(), key);
@@ -431,58 +442,65 @@
         others.map(|record| record.peers).collect()
     }
 
-    /// Hosts that can serve callers: alive, and with a configuration as far as is known.
+    /// The hosts that can serve callers: alive and not known to lack a configuration.
     pub fn serving(&self, now: Instant) -> impl Iterator<Item = &Record> {
-        let own = (!self.leaving && self.sight > Sight::Nothing).then_some(&self.own);
+        let own = (!self.is_leaving && self.store_view > StoreView::Nothing).then_some(&self.own);
         let others = self
-            .present(now)
-            .filter(|peer| peer.sight != Some(Sight::Nothing))
+            .live_peers(now)
+            .filter(|peer| peer.store_view != Some(StoreView::Nothing))
             .map(|peer| &peer.record);
         own.into_iter().chain(others)
     }
 
-    /// Hosts whose registration this host is to remove: they have been silent for long, and of the
-    /// hosts that see the store this one comes first, so that only one calls it.
-    pub fn departed(&self, now: Instant) -> impl Iterator<Item = &Arc<str>> {
+    /// Hosts whose registration this host should remove, as they have been silent for long. Only
+    /// the highest-ranked host that sees the store removes any, so that only one host calls the
+    /// store.
+    pub fn removable_hosts(&self, now: Instant) -> impl Iterator<Item = &Arc<str>> {
         let own = rank(&self.own);
-        let is_first = self.sight == Sight::Store
+        let is_first = self.store_view == StoreView::Store
             && !self
-                .present(now)
-                .any(|peer| peer.sight == Some(Sight::Store) && rank(&peer.record) > own);
+                .live_peers(now)
+                .any(|peer| peer.store_view == Some(StoreView::Store) && rank(&peer.record) > own);
         self.peers
             .values()
-            .filter(move |peer| is_first && self.is_departed(now, peer))
+            .filter(move |peer| is_first && self.is_removable(now, peer))
             .map(|peer| &peer.record.host)
     }
 
-    /// Whether a host has been silent for long; in a large fleet heartbeats from other regions are far apart.
-    fn is_departed(&self, now: Instant, peer: &Peer) -> bool {
-        let silence = now.saturating_duration_since(peer.heard);
-        silence >= FORGET && !self.is_heard(now, peer)
+    /// Whether a host has been silent long enough to be removed. In a large fleet heartbeats from
+    /// other regions are far apart.
+    fn is_removable(&self, now: Instant, peer: &Peer) -> bool {
+        let silence = now.saturating_duration_since(peer.last_heard);
+        silence >= REMOVAL_SILENCE && !self.is_heard(now, peer)
     }
 
-    fn present(&self, now: Instant) -> impl Iterator<Item = &Peer> {
+    fn live_peers(&self, now: Instant) -> impl Iterator<Item = &Peer> {
         self.peers
             .values()
-            .filter(move |peer| !peer.leaving && self.is_heard(now, peer))
+            .filter(move |peer| !peer.is_leaving && self.is_heard(now, peer))
     }
 
     fn is_heard(&self, now: Instant, peer: &Peer) -> bool {
         let (beats, zone_heard) = match self.distance(peer) {
             Distance::Zone => (1, None),
-            Distance::Region => (self.across(), self.zones.get(&peer.record.zone)),
-            Distance::Elsewhere => (self.far(), None),
+            Distance::Region => (
+                self.zone_stride(),
+                self.zones_last_heard.get(&peer.record.zone),
+            ),
+            Distance::Elsewhere => (self.remote_stride(), None),
         };
         let is_recent = |heard: Instant, beats: u64| {
-            let span = (INTERVAL * beats as u32).mul_f64(MISSED);
+            let span = (INTERVAL * beats as u32).mul_f64(MAX_MISSED_HEARTBEATS);
             now.saturating_duration_since(heard) < span
         };
-        // Of a zone that has lost power nobody is heard, long before each of its hosts is missed.
-        is_recent(peer.heard, beats) && zone_heard.is_none_or(|heard| is_recent(*heard, 1))
+        // In a zone that has lost power no host is heard, which shows long before each of its hosts
+        // is missed.
+        is_recent(peer.last_heard, beats) && zone_heard.is_none_or(|heard| is_recent(*heard, 1))
     }
 }
 
-/// The order of hosts, which all compute alike: those that can carry most first, as many follow them.
+/// The rank of a host, which all hosts compute alike. Hosts with the most capacity come first, as
+/// many others follow them.
 fn rank(record: &Record) -> (u64, u64) {
     let share = (record.strength.share() * 100.0) as u64;
     (share, xxh3_64(record.host.as_bytes()))
--- a/src/control/presence/record.rs
+++ b/src/control/presence/record.rs
@@ -1,57 +1,58 @@
-//! What entry hosts say of themselves.
+//! The records and heartbeats of entry hosts.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// What an entry host registers.
+/// The registration of an entry host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     /// Its name.
     pub host: Arc<str>,
     /// Its availability zone.
     pub zone: Arc<str>,
-    /// Where callers send requests.
+    /// Address that receives callers' requests.
     pub front: SocketAddr,
-    /// Where it takes heartbeats.
+    /// Address that receives heartbeats.
     pub peers: SocketAddr,
-    /// Where it tells others what it knows of the store.
+    /// Address of the feed, from which other hosts copy the contents of the store.
     pub feed: SocketAddr,
-    /// Grows with each start of its process, unless its clock goes back.
+    /// Increases with each start of its process, unless its clock is set back.
     pub incarnation: u64,
-    /// How much it can carry beside others.
+    /// Its capacity relative to other hosts.
     pub strength: Strength,
 }
 
-/// How much a host can carry: its part of a processor core, and its link.
+/// The capacity of a host: its share of a processor core and its network link.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Strength {
-    /// Processor cores.
+    /// Number of processor cores.
     pub cores: f64,
-    /// The link in megabits a second.
+    /// Bandwidth of the link in megabits per second.
     pub megabits: f64,
 }
 
-/// The part of a processor core with which a host needs no care.
+/// Cores from which a host's capacity needs no consideration.
 const AMPLE_CORES: f64 = 0.2;
 
-/// The link, in megabits a second, with which a host needs no care: ten times what a usual host carries.
+/// Bandwidth, in megabits per second, from which a host's capacity needs no consideration: ten
+/// times what a usual host carries.
 const AMPLE_MEGABITS: f64 = 50.0;
 
 impl Strength {
-    /// A host that needs no care.
+    /// The capacity from which a host is not treated as weak.
     pub const AMPLE: Self = Self {
         cores: AMPLE_CORES,
         megabits: AMPLE_MEGABITS,
     };
 
-    /// Whether the host needs no care.
+    /// Whether the host is not weak.
     pub fn is_ample(self) -> bool {
         self.share() >= 1.0
     }
 
-    /// The part of a full share of work that the host can take, up to 1.
+    /// The fraction of a full share of work that the host can take, up to 1.
     pub fn share(self) -> f64 {
         let cores = self.cores / AMPLE_CORES;
         let link = self.megabits / AMPLE_MEGABITS;
@@ -59,45 +60,46 @@
     }
 }
 
-/// What a host knows of the store, from least to most.
+/// How a host sees the store, from the least to the most current view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Sight {
-    /// Nothing yet.
+pub enum StoreView {
+    /// It has received nothing from the store.
     Nothing,
-    /// What it knew before it lost the store.
+    /// It has lost the store and keeps an old copy.
     Stale,
-    /// What another host tells it, which sees the store.
+    /// It follows another host that sees the store.
     Relayed,
-    /// It sees the store itself.
+    /// It watches the store itself.
     Store,
 }
 
 /// A heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Its sender.
     #[serde(rename = "r")]
     pub record: Record,
-    /// Whether the sender finishes what it has and takes nothing new.
+    /// Whether the sender finishes its current work and takes no new work.
     #[serde(rename = "l")]
     pub leaving: bool,
-    /// What the sender knows of the store.
+    /// The sender's view of the store.
     #[serde(rename = "s")]
-    pub sight: Sight,
-    /// Requests a second that the sender gets.
+    pub sight: StoreView,
+    /// Requests per second that the sender receives.
     #[serde(rename = "n")]
     pub rate: u32,
 }
 
-/// What a heartbeat may change; all that one says to those who know its sender.
+/// The fields of a heartbeat that may change. It is sent to hosts that already know the sender's
+/// record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pulse(
     /// The sender's incarnation.
     pub u64,
-    /// What the sender knows of the store.
-    pub Sight,
-    /// Whether the sender takes nothing new.
+    /// The sender's view of the store.
+    pub StoreView,
+    /// Whether the sender takes no new work.
     pub bool,
-    /// Requests a second that the sender gets.
+    /// Requests per second that the sender receives.
     pub u32,
 );
--- a/src/control/presence/watching.rs
+++ b/src/control/presence/watching.rs
@@ -1,131 +1,141 @@
-//! Which hosts watch the platform's store, and whom the others follow.
+//! Selects the hosts that watch the platform's store, and the host that each other host follows.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use super::{rank, Peer, Presence, Record, Sight};
+use super::{rank, Peer, Presence, Record, StoreView};
 use crate::border::settings::Switch;
 use crate::control::freshness;
 use crate::control::replica::Outage;
 
-/// Hosts of a region for each one that watches the store. More followers would load its link at each
-/// large change.
-const FOLLOWERS: usize = 60;
-/// How long a host is to be one of those that watch before it begins, if nobody sees the store: heartbeats come one after the
-/// other.
-const BEGIN: Duration = Duration::from_millis(300);
-/// The same if hosts of other regions see it. To follow one of them takes several round trips; where that took longer, all hosts
-/// of a region that lost its watchers began to watch.
-const BEGIN_BESIDE: Duration = Duration::from_millis(1000);
-/// Hosts of all regions that watch the store at the least: the store may turn one away, and another one
-/// has to see it then. Each more is paid for: six in place of three lowered the mean worth by 0.0015.
-const LEAST: usize = 3;
+/// Number of hosts of a region for each one that watches the store. More followers would overload
+/// its link at each large change.
+const FOLLOWERS_PER_WATCHER: usize = 60;
+/// How long a host must be selected as a watcher before it begins to watch, if no host sees the
+/// store: heartbeats arrive one after the other.
+const WATCH_DELAY: Duration = Duration::from_millis(300);
+/// The same if hosts of other regions see the store. To follow one of them takes several round
+/// trips. With a shorter delay, all hosts of a region that lost its watchers began to watch.
+const WATCH_DELAY_IF_SEEN: Duration = Duration::from_millis(1000);
+/// Minimum number of hosts in all regions together that watch the store. The store may reject one,
+/// and another has to see it then. Each additional watcher has a cost: six instead of three lowered
+/// the mean score by 0.0015.
+const MIN_WATCHERS: usize = 3;
 /// How long after its return the store counts as having been away: targets that it dropped register
 /// again within two seconds.
-const AWAY: Duration = Duration::from_millis(2500);
-/// After how much time without a heartbeat, in intervals, a target's registration runs out at the least if the store goes away: of the
-/// three that it lasts one may have passed before.
-const LAPSE: u32 = 2;
-/// How long it takes at the most until no host claims any more to see a store that has gone away.
-const NOTICE: Duration = freshness::INTERVAL.saturating_add(freshness::PATIENCE);
-/// Time between two looks of a host at a store that nobody sees, in a small fleet.
-const LOOK: Duration = Duration::from_secs(2);
-/// Hosts that look so often; more share the same number of looks, ten a second. That finds a store that has returned, or
-/// that single hosts still reach, within some 0.1 s.
-const LOOKERS: f64 = 20.0;
+const OUTAGE_MEMORY: Duration = Duration::from_millis(2500);
+/// Minimum time without a heartbeat, in intervals, after which a target's registration expires if
+/// the store goes away. A registration lasts three intervals, one of which may have passed before.
+const MIN_LAPSE_INTERVALS: u32 = 2;
+/// Maximum time until no host claims to see a store that has gone away.
+const MAX_OUTAGE_DETECTION: Duration =
+    freshness::INTERVAL.saturating_add(freshness::ANSWER_TIMEOUT);
+/// Interval at which a host in a small fleet probes a store that no host sees.
+const MIN_PROBE_INTERVAL: Duration = Duration::from_secs(2);
+/// Number of hosts that probe at this interval; more hosts share the same ten probes a second. This
+/// finds a store that has returned, or that only single hosts can reach, within about 0.1 s.
+const FULL_RATE_PROBERS: f64 = 20.0;
 /// How long a host may take from its start until it sees the store.
-const START: Duration = Duration::from_secs(2);
-/// How long a host that has just started leaves it to strong hosts of its region to read the store.
-const COPY_PATIENCE: Duration = Duration::from_secs(4);
+const START_ALLOWANCE: Duration = Duration::from_secs(2);
+/// How long a host that has just started leaves reading the store to strong hosts of its region.
+const MAX_COPY_WAIT: Duration = Duration::from_secs(4);
 
 impl Presence {
-    /// Time between two looks of this host at a store that no host is known to see. The more hosts there are the longer it
-    /// is, so that the store is not asked, and on its return not read, by all of them at once.
-    pub fn look_interval(&self) -> Duration {
+    /// Interval at which this host probes a store that no host is known to see. It grows with the
+    /// number of hosts, so that they do not all call the store at once, or all read it when it
+    /// returns.
+    pub fn probe_interval(&self) -> Duration {
         let hosts = self.peers.len() + 1;
-        LOOK.mul_f64((hosts as f64 / LOOKERS).max(1.0))
+        MIN_PROBE_INTERVAL.mul_f64((hosts as f64 / FULL_RATE_PROBERS).max(1.0))
     }
 
-    /// Whether this host is to watch the store itself.
+    /// Whether this host should watch the store itself.
     ///
-    /// One that sees it goes on unless enough hosts of its region that come before it see it too. One
-    /// that does not leaves it to those before it that could, so that a lost store is not called by
-    /// all hosts at once.
+    /// A host that sees the store continues unless enough higher-ranked hosts of its region see it
+    /// too. A host that does not see it leaves it to higher-ranked hosts that could, so that not
+    /// all hosts call a lost store at once.
     pub fn is_watcher(&self, now: Instant) -> bool {
         if self.few_watchers == Switch::Off {
             return true;
         }
         if self.awaits_copy(now) {
-            // The more targets there are the longer strong hosts take to see the store, and to watch it means to read them all.
+            // The more targets there are, the longer strong hosts take to see the store. A host
+            // that watches it has to read all of them.
             return false;
         }
         let own = rank(&self.own);
         let away = !self.is_store_seen(now);
-        let before = self.present(now).filter(|peer| {
-            let starting = now.saturating_duration_since(peer.met) < START;
-            let sees = peer.sight == Some(Sight::Store);
-            let could = away || peer.sight >= Some(Sight::Relayed);
+        let before = self.live_peers(now).filter(|peer| {
+            let starting = now.saturating_duration_since(peer.first_heard) < START_ALLOWANCE;
+            let sees = peer.store_view == Some(StoreView::Store);
+            let could = away || peer.store_view >= Some(StoreView::Relayed);
             peer.is_near
                 && rank(&peer.record) > own
-                && (sees || starting || (could && self.sight != Sight::Store))
+                && (sees || starting || (could && self.store_view != StoreView::Store))
         });
-        before.count() < self.watchers()
+        before.count() < self.watcher_count()
     }
 
-    /// How long this host is to be one of those that watch the store before it begins.
+    /// How long this host must be selected as a watcher before it begins to watch.
     pub fn watch_delay(&self, now: Instant) -> Duration {
         if self.is_store_seen(now) {
-            BEGIN_BESIDE
+            WATCH_DELAY_IF_SEEN
         } else {
-            BEGIN
+            WATCH_DELAY
         }
     }
 
-    /// How many hosts of the own region are to watch the store.
-    fn watchers(&self) -> usize {
-        let zones = self.zones.keys().chain([&self.own.zone]);
+    /// The number of hosts of the own region that should watch the store.
+    fn watcher_count(&self) -> usize {
+        let zones = self.zones_last_heard.keys().chain([&self.own.zone]);
         let regions: BTreeSet<_> = zones
             .map(|zone| self.regions.get(zone).unwrap_or(zone))
             .collect();
-        let for_followers = 1 + self.near / FOLLOWERS;
-        for_followers.max(LEAST.div_ceil(regions.len()))
+        let for_followers = 1 + self.region_peers / FOLLOWERS_PER_WATCHER;
+        for_followers.max(MIN_WATCHERS.div_ceil(regions.len()))
     }
 
     /// Whether any host sees the store.
     pub fn is_store_seen(&self, now: Instant) -> bool {
-        self.sight == Sight::Store
+        self.store_view == StoreView::Store
             || self
-                .present(now)
-                .any(|peer| peer.sight == Some(Sight::Store))
+                .live_peers(now)
+                .any(|peer| peer.store_view == Some(StoreView::Store))
     }
 
-    /// Whether this host, which is weak and knows nothing of the store yet, is to wait for a copy from a strong host of its
-    /// region. All hosts may start at once: if each read all targets, or took a copy from whichever region has it first, the calls
-    /// of the store and the bytes between regions would grow with hosts times targets.
+    /// Whether this host is weak, has received nothing from the store yet and should wait for a
+    /// copy from a strong host of its region. All hosts may start at once. If each read all
+    /// targets, or copied them from whichever region has them first, the calls to the store and the
+    /// traffic between regions would grow with the number of hosts times the number of targets.
     pub fn awaits_copy(&self, now: Instant) -> bool {
         let age = now.saturating_duration_since(self.started);
         let strong = |peer: &Peer| peer.is_near && peer.record.strength.is_ample();
-        self.sight == Sight::Nothing
+        self.store_view == StoreView::Nothing
             && !self.own.strength.is_ample()
-            && age < COPY_PATIENCE
-            && self.present(now).any(strong)
+            && age < MAX_COPY_WAIT
+            && self.live_peers(now).any(strong)
     }
 
-    /// The host to follow: the one that sees most, of those the nearest, of those the strongest; among
-    /// equals each host draws its own, so that they share the followers. One that has lost the store like
-    /// this one has nothing to tell. `skip` leaves out hosts whose feed has just failed: one that
-    /// died seems alive until it was silent for a while.
-    pub fn source(&self, now: Instant, skip: impl Fn(&Record) -> bool) -> Option<(&Record, Sight)> {
-        let least = self.sight.min(Sight::Stale);
+    /// The host whose feed this host should follow: the one with the most current view of the
+    /// store, then the nearest, then the strongest. Among equals each host draws its own, so that
+    /// the followers are spread evenly. A host that has lost the store like this one has nothing to
+    /// offer. `skip` excludes hosts whose feed has just failed, as a host that died counts as alive
+    /// until its silence is noticed.
+    pub fn feed_source(
+        &self,
+        now: Instant,
+        skip: impl Fn(&Record) -> bool,
+    ) -> Option<(&Record, StoreView)> {
+        let least = self.store_view.min(StoreView::Stale);
         let (_, own) = rank(&self.own);
         let only_near = self.awaits_copy(now);
-        self.present(now)
-            .filter_map(|peer| Some((peer, peer.sight?)))
+        self.live_peers(now)
+            .filter_map(|peer| Some((peer, peer.store_view?)))
             .filter(|(peer, sight)| *sight > least && !skip(&peer.record))
             .filter(|(peer, _)| !only_near || peer.is_near)
             .max_by_key(|(peer, sight)| {
-                // Links between zones are paid for, and each follower takes a copy of all targets over one.
+                // Traffic between zones has a price, and each follower copies all targets.
                 let in_zone = peer.record.zone == self.own.zone;
                 let (share, draw) = rank(&peer.record);
                 (*sight, peer.is_near, in_zone, share, draw ^ own)
@@ -133,34 +143,37 @@
             .map(|(peer, sight)| (&peer.record, sight))
     }
 
-    /// The host with this feed has fallen silent: what it said of the store last counts no more, until it is heard again.
-    pub fn doubt(&mut self, feed: SocketAddr) {
+    /// Discards the last known store view of the host with this feed, which has fallen silent,
+    /// until the host is heard again.
+    pub fn forget_store_view(&mut self, feed: SocketAddr) {
         let peers = self.peers.values_mut();
         let doubted = peers.filter(|peer| peer.record.feed == feed);
-        doubted.for_each(|peer| peer.sight = None);
+        doubted.for_each(|peer| peer.store_view = None);
     }
 
-    /// Notes whether any host sees the store.
-    pub fn watch_store(&mut self, now: Instant) {
+    /// Records whether any host sees the store.
+    pub fn track_outage(&mut self, now: Instant) {
         if self.is_store_seen(now) {
-            self.unseen = None;
+            self.unseen_since = None;
             return;
         }
-        let since = *self.unseen.get_or_insert(now);
+        let since = *self.unseen_since.get_or_insert(now);
         self.last_unseen = Some(now);
-        let lapse = self.heartbeat * LAPSE;
-        if now.saturating_duration_since(since) >= lapse.saturating_sub(NOTICE) {
-            self.last_away = Some(now);
+        let lapse = self.target_heartbeat * MIN_LAPSE_INTERVALS;
+        if now.saturating_duration_since(since) >= lapse.saturating_sub(MAX_OUTAGE_DETECTION) {
+            self.last_long_outage = Some(now);
         }
     }
 
-    /// Whether the store was away just before, so that what is missing there may be about to return.
-    /// It is not enough that this host did not see it: then the store itself goes on, and what is
-    /// missing has left. Nor is it that the few that watch it lost it, until others do.
+    /// The kind of outage that the store has just had. After a long one, missing registrations may
+    /// be about to return. It does not count if only this host lost the store: then the store
+    /// itself continued, and what is missing has left. Nor does it count if only the few hosts that
+    /// watch the store lost it, until other hosts cannot reach it either.
     pub fn outage(&self, now: Instant) -> Outage {
-        let is_recent =
-            |at: Option<Instant>| at.is_some_and(|at| now.saturating_duration_since(at) < AWAY);
-        if is_recent(self.last_away) {
+        let is_recent = |at: Option<Instant>| {
+            at.is_some_and(|at| now.saturating_duration_since(at) < OUTAGE_MEMORY)
+        };
+        if is_recent(self.last_long_outage) {
             Outage::Long
         } else if is_recent(self.last_unseen) {
             Outage::Brief
@@ -169,12 +182,13 @@
         }
     }
 
-    /// Whether any host has lost the store, or all had lost it just before: what targets tell it comes some time after its return.
+    /// Whether any host has lost the store, or all had just lost it. Changes that targets report
+    /// then arrive some time after its return.
     pub fn is_store_doubtful(&self, now: Instant) -> bool {
         self.outage(now) != Outage::None
-            || self.sight == Sight::Stale
+            || self.store_view == StoreView::Stale
             || self
-                .present(now)
-                .any(|peer| peer.sight == Some(Sight::Stale))
+                .live_peers(now)
+                .any(|peer| peer.store_view == Some(StoreView::Stale))
     }
 }
--- a/src/control/publish.rs
+++ b/src/control/publish.rs
@@ -1,9 +1,10 @@
-//! Writing the plan to the store, fenced by the epoch of the lease.
+//! Writes the plan to the store, fenced by the epoch of the lease.
 //!
-//! The plan object is written only on the condition that it is still the version that was read,
-//! and only if that bears no higher epoch. A new holder writes the plan with its epoch before
-//! anything else. From then on whatever a former holder has read is out of date, and its writes
-//! fail; those that it got through before that come before all acts of the new epoch.
+//! The plan object is written only on the condition that it is still the version that was read, and
+//! only if that version has no higher epoch. A new holder writes the plan with its epoch before any
+//! other action. From then on every version that a former holder has read is outdated, so its
+//! writes fail. Writes of a former holder that succeeded earlier precede all actions of the new
+//! epoch.
 
 use std::time::{Duration, Instant};
 
@@ -12,17 +13,17 @@
 use super::lease::{Condition, Version};
 use super::plan::Stamp;
 
-/// Delay after the store failed.
-const DELAY: Duration = Duration::from_millis(500);
+/// Mean delay after a store failure.
+const MEAN_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// What to do with the plan object. Its outcome is to be told by [`Publish::event`].
+/// A command on the plan object. Its outcome is passed to [`Publisher::handle_event`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Read it.
+    /// Read the object.
     Read,
     /// Write the newest plan with this stamp.
     Write {
-        /// The stamp it must bear.
+        /// The stamp that the written plan must have.
         stamp: Stamp,
         /// The condition.
         condition: Condition,
@@ -32,85 +33,87 @@
 /// The outcome of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// It was read; none if the object does not exist.
+    /// The object was read; none if it does not exist.
     Read(Option<(Version, Stamp)>),
-    /// It was written, and has this version now.
+    /// The object was written and now has this version.
     Written(Version),
     /// The condition did not hold.
     Conflict,
     /// The write was sent and its answer was lost.
     Uncertain,
-    /// The store could not be asked.
+    /// The store could not be reached.
     Down,
 }
 
-/// What came of an event.
+/// The result of a handled event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The plan with this stamp is in the store.
     Published(Stamp),
-    /// A higher epoch has written: this holder must stop.
+    /// A holder with this higher epoch has written: this holder must stop.
     Fenced(u64),
 }
 
-/// The plan object as the holder of one epoch sees it.
+/// The plan object from the view of the holder of one epoch.
 #[derive(Clone, Debug)]
-pub struct Publish {
+pub struct Publisher {
     epoch: u64,
     sequence: u64,
-    /// What was read or written last; none if it must be read.
-    seen: Option<Condition>,
+    /// The condition for the next write, from the last read or write; none if the object must be
+    /// read first.
+    write_condition: Option<Condition>,
     pending: Option<Command>,
-    lost: Option<Stamp>,
-    wanted: bool,
+    uncertain_stamp: Option<Stamp>,
+    is_write_wanted: bool,
     due: Instant,
 }
 
-impl Publish {
-    /// The plan object for the holder of `epoch`, who has yet to write it.
+impl Publisher {
+    /// Creates the state of the holder of `epoch`, who has not written the plan object yet.
     pub fn new(now: Instant, epoch: u64) -> Self {
         Self {
             epoch,
             sequence: 0,
-            seen: None,
+            write_condition: None,
             pending: None,
-            lost: None,
-            wanted: true,
+            uncertain_stamp: None,
+            is_write_wanted: true,
             due: now,
         }
     }
 
-    /// The epoch for which it writes.
+    /// The epoch under which it writes.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Whether nothing is to be written and no outcome is awaited.
+    /// Whether no write is wanted and no command is pending.
     pub fn is_idle(&self) -> bool {
-        !self.wanted && self.pending.is_none()
+        !self.is_write_wanted && self.pending.is_none()
     }
 
-    /// The stamp of the next plan, or a lower one if plans before it are lost.
-    pub fn next(&self) -> Stamp {
+    /// The stamp for the next plan. The plan that is written may get a higher stamp after a lost
+    /// answer.
+    pub fn next_stamp(&self) -> Stamp {
         Stamp {
             epoch: self.epoch,
             sequence: self.sequence + 1,
         }
     }
 
-    /// There is a new plan to write.
-    pub fn want(&mut self) {
-        self.wanted = true;
+    /// Requests that the new plan be written.
+    pub fn request_write(&mut self) {
+        self.is_write_wanted = true;
     }
 
-    /// What to do now, if anything; `held` is what [`Lease::held`](super::lease::Lease::held)
-    /// says at this moment.
+    /// Returns the command to run now, if any. `held` is the current result of
+    /// [`Lease::held_epoch`](super::lease::Lease::held_epoch).
     pub fn tick(&mut self, now: Instant, held: Option<u64>) -> Option<Command> {
         let may = held == Some(self.epoch) && self.pending.is_none();
-        if !may || !self.wanted || now < self.due {
+        if !may || !self.is_write_wanted || now < self.due {
             return None;
         }
-        let command = match &self.seen {
+        let command = match &self.write_condition {
             None => Command::Read,
             Some(condition) => Command::Write {
                 stamp: Stamp {
@@ -120,63 +123,68 @@
                 condition: condition.clone(),
             },
         };
-        self.wanted = command == Command::Read;
+        self.is_write_wanted = command == Command::Read;
         self.pending = Some(command.clone());
         Some(command)
     }
 
-    /// Takes in the outcome of the last command.
-    pub fn event(&mut self, now: Instant, event: Event, rng: &mut impl Rng) -> Option<Outcome> {
+    /// Handles the outcome of the pending command.
+    pub fn handle_event(
+        &mut self,
+        now: Instant,
+        event: Event,
+        rng: &mut impl Rng,
+    ) -> Option<Outcome> {
         let command = self.pending.take()?;
         match (command, event) {
-            (Command::Read, Event::Read(found)) => self.found(found),
+            (Command::Read, Event::Read(found)) => self.handle_read(found),
             (Command::Write { stamp, .. }, Event::Written(version)) => {
-                Some(self.written(stamp, version))
+                Some(self.handle_written(stamp, version))
             }
             (Command::Write { .. }, Event::Conflict) => {
-                self.seen = None;
-                self.wanted = true;
+                self.write_condition = None;
+                self.is_write_wanted = true;
                 None
             }
             (Command::Write { stamp, .. }, Event::Uncertain) => {
-                self.seen = None;
-                self.wanted = true;
-                self.lost = Some(stamp);
+                self.write_condition = None;
+                self.is_write_wanted = true;
+                self.uncertain_stamp = Some(stamp);
                 self.sequence = stamp.sequence;
-                self.due = now + DELAY.mul_f64(rng.random_range(0.5..1.5));
+                self.due = now + MEAN_RETRY_DELAY.mul_f64(rng.random_range(0.5..1.5));
                 None
             }
             _ => {
-                self.wanted = true;
-                self.due = now + DELAY.mul_f64(rng.random_range(0.5..1.5));
+                self.is_write_wanted = true;
+                self.due = now + MEAN_RETRY_DELAY.mul_f64(rng.random_range(0.5..1.5));
                 None
             }
         }
     }
 
-    fn found(&mut self, found: Option<(Version, Stamp)>) -> Option<Outcome> {
+    fn handle_read(&mut self, found: Option<(Version, Stamp)>) -> Option<Outcome> {
         let Some((version, stamp)) = found else {
-            self.seen = Some(Condition::Absent);
+            self.write_condition = Some(Condition::Absent);
             return None;
         };
         if stamp.epoch > self.epoch {
-            self.wanted = false;
+            self.is_write_wanted = false;
             return Some(Outcome::Fenced(stamp.epoch));
         }
-        if self.lost.take() == Some(stamp) {
-            return Some(self.written(stamp, version));
+        if self.uncertain_stamp.take() == Some(stamp) {
+            return Some(self.handle_written(stamp, version));
         }
         if stamp.epoch == self.epoch {
             self.sequence = self.sequence.max(stamp.sequence);
         }
-        self.seen = Some(Condition::Version(version));
+        self.write_condition = Some(Condition::Version(version));
         None
     }
 
-    fn written(&mut self, stamp: Stamp, version: Version) -> Outcome {
+    fn handle_written(&mut self, stamp: Stamp, version: Version) -> Outcome {
         self.sequence = stamp.sequence;
-        self.seen = Some(Condition::Version(version));
-        self.lost = None;
+        self.write_condition = Some(Condition::Version(version));
+        self.uncertain_stamp = None;
         Outcome::Published(stamp)
     }
 }
--- a/src/control/replica.rs
+++ b/src/control/replica.rs
@@ -1,7 +1,8 @@
-//! A host's copy of what the platform's store holds, and how it is brought up to date.
+//! A host's copy of the contents of the platform's store, and the updates to it.
 //!
-//! Updates come from the store itself or from hosts that got them from there. Each says from which
-//! revision to which it leads, so a copy never goes back, and notices when it missed something.
+//! Updates come from the store itself or from hosts that received them from there. Each names the
+//! revisions from which and to which it leads, so a copy never goes back and detects missed
+//! updates.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -12,21 +13,24 @@
 
 use crate::port::{Entry, Kind, Value};
 
-/// Removals of a kind that are kept for copies that missed them.
-const REMOVALS: usize = 4096;
+/// Number of removals of each kind that are kept for copies that missed them.
+const MAX_KEPT_REMOVALS: usize = 4096;
 
-/// Whether the store was away just before, so that registrations may have run out there though their targets live.
+/// Whether the store was away just before, so that registrations may have expired there although
+/// their targets live.
 ///
-/// Hosts tell it as a truth value, which those that know of no brief outage understand too; a brief one has none.
+/// On the wire this is an optional boolean, which hosts that know of no brief outage understand
+/// too; a brief outage has no value.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "Option<bool>", into = "Option<bool>")]
 pub enum Outage {
-    /// Some host saw the store all the time: what is missing has left.
+    /// Some host saw the store all the time: missing objects have left.
     #[default]
     None,
-    /// No host saw it for a moment, in which no registration runs out by itself. Those that watched it may have lost it alone.
+    /// No host saw the store for a moment, too short for a registration to expire. Only the hosts
+    /// that watched it may have lost it.
     Brief,
-    /// No host saw it for so long that registrations may have run out.
+    /// No host saw the store for so long that registrations may have expired.
     Long,
 }
 
@@ -50,32 +54,32 @@
     }
 }
 
-/// What has changed in one kind of objects.
+/// The changes to one kind of objects.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Update {
     /// The kind.
     #[serde(rename = "k")]
     pub kind: Kind,
-    /// The revision that it starts from; without one it holds all objects of the kind.
+    /// The revision that it starts from; none if it contains all objects of the kind.
     #[serde(rename = "f")]
     pub from: Option<u64>,
     /// The revision that it leads to.
     #[serde(rename = "t")]
     pub to: u64,
-    /// Objects in the order of their changes; those without a value were removed.
+    /// Objects in the order of their changes. Those without a value were removed.
     #[serde(rename = "e")]
     pub entries: Vec<Entry>,
-    /// Whether what is missing may be about to return.
+    /// Whether missing objects may be about to return.
     #[serde(rename = "a")]
     pub outage: Outage,
 }
 
-/// What an update did.
+/// The effect of an update.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// These objects differ now.
+    /// These objects changed.
     Changed(Vec<Entry>),
-    /// Nothing: it is older than the copy.
+    /// Nothing: the update is older than the copy.
     Old,
     /// Nothing: updates between the copy and this one are missing.
     Gap,
@@ -85,52 +89,52 @@
 struct Object {
     version: u64,
     value: Value,
-    /// When it was taken in, as some values tell how much of a time is left.
-    taken: Instant,
+    /// When it was received. Some values contain a remaining time, counted from then.
+    received: Instant,
 }
 
 #[derive(Debug, Default)]
-struct Shelf {
+struct Collection {
     revision: u64,
     objects: BTreeMap<Arc<str>, Object>,
-    /// The last removals, oldest first, and the revisions up to which they happened.
+    /// The last removals, oldest first, with the revisions up to which they happened.
     removed: VecDeque<(u64, Arc<str>)>,
-    /// Of the names and versions of all objects, in any order.
+    /// A digest of the names and versions of all objects, in any order.
     digest: u64,
 }
 
-/// The copy.
+/// A copy of the contents of the store.
 #[derive(Debug, Default)]
 pub struct Replica {
-    shelves: BTreeMap<Kind, Shelf>,
+    collections: BTreeMap<Kind, Collection>,
 }
 
 impl Replica {
-    /// An empty copy.
+    /// Creates an empty copy.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The revision of a kind, if anything was taken in.
+    /// The revision of a kind, if any update of it was applied.
     pub fn revision(&self, kind: Kind) -> Option<u64> {
-        self.shelves.get(&kind).map(|shelf| shelf.revision)
+        self.collections.get(&kind).map(|shelf| shelf.revision)
     }
 
     /// The names of all objects of a kind.
     pub fn names(&self, kind: Kind) -> impl Iterator<Item = &Arc<str>> {
-        self.shelves
+        self.collections
             .get(&kind)
             .into_iter()
             .flat_map(|shelf| shelf.objects.keys())
     }
 
-    /// A digest of the names and versions of all objects of a kind: copies that have the same revision and differ in it are
-    /// not the same.
+    /// A digest of the names and versions of all objects of a kind. Copies with the same revision
+    /// and different digests differ.
     pub fn digest(&self, kind: Kind) -> u64 {
-        self.shelves.get(&kind).map_or(0, |shelf| shelf.digest)
+        self.collections.get(&kind).map_or(0, |shelf| shelf.digest)
     }
 
-    /// Takes an update in.
+    /// Applies an update.
     pub fn apply(&mut self, now: Instant, update: Update) -> Effect {
         let Update {
             kind,
@@ -148,30 +152,38 @@
             _ => {}
         }
         let advanced = known != Some(to);
-        let shelf = self.shelves.entry(kind).or_default();
+        let shelf = self.collections.entry(kind).or_default();
         shelf.revision = to;
         let mut changed = match from {
             Some(_) => Vec::new(),
-            None => shelf.missing(&entries),
+            None => shelf.remove_unlisted(&entries),
         };
-        // In place: each further list of all objects would add its size to the peak of the memory.
-        entries.retain(|entry| shelf.put(now, entry));
+        // Filters in place: another list of all objects would add its size to the peak memory use.
+        entries.retain(|entry| shelf.apply_entry(now, entry));
         if changed.is_empty() {
             changed = entries;
         } else {
             changed.append(&mut entries);
         }
         if changed.is_empty() && !advanced {
-            // Otherwise two hosts that follow each other would tell each other the same for ever.
+            // Otherwise two hosts that follow each other would send each other the same update
+            // forever.
             return Effect::Old;
         }
         Effect::Changed(changed)
     }
 
-    /// An update that leads from an earlier revision of a kind to that of this copy. It may lack removals that happened long
-    /// ago, or before this copy was begun: [`Replica::digest`] tells. `outage` as for [`Replica::whole`].
-    pub fn since(&self, now: Instant, kind: Kind, revision: u64, outage: Outage) -> Option<Update> {
-        let shelf = self.shelves.get(&kind)?;
+    /// Returns an update that leads from an earlier revision of a kind to that of this copy. It may
+    /// lack removals that happened long ago, or before this copy was created; [`Replica::digest`]
+    /// reveals that. `outage` is as for [`Replica::snapshot`].
+    pub fn changes_since(
+        &self,
+        now: Instant,
+        kind: Kind,
+        revision: u64,
+        outage: Outage,
+    ) -> Option<Update> {
+        let shelf = self.collections.get(&kind)?;
         let removed = shelf.removed.iter().filter(|(at, _)| *at > revision);
         let removed = removed.map(|(at, name)| Entry {
             name: name.clone(),
@@ -186,15 +198,16 @@
             kind,
             from: Some(revision),
             to: shelf.revision,
-            // A name that was removed and came back is among both: the removal is to come first.
+            // A name that was removed and created again is in both lists: its removal comes first.
             entries: removed.chain(changed).collect(),
             outage,
         })
     }
 
-    /// An update that holds all objects of a kind. `outage` tells whether the store was away just before.
-    pub fn whole(&self, now: Instant, kind: Kind, outage: Outage) -> Option<Update> {
-        let shelf = self.shelves.get(&kind)?;
+    /// Returns an update that contains all objects of a kind. `outage` is whether the store was
+    /// away just before.
+    pub fn snapshot(&self, now: Instant, kind: Kind, outage: Outage) -> Option<Update> {
+        let shelf = self.collections.get(&kind)?;
         let objects = shelf.objects.iter();
         let entries = objects.map(|(name, object)| entry(now, name, object));
         Some(Update {
@@ -207,9 +220,9 @@
     }
 }
 
-impl Shelf {
-    /// Removes what is not among `entries`; gives the removals.
-    fn missing(&mut self, entries: &[Entry]) -> Vec<Entry> {
+impl Collection {
+    /// Removes the objects that are not in `entries` and returns the removals.
+    fn remove_unlisted(&mut self, entries: &[Entry]) -> Vec<Entry> {
         let listed: BTreeSet<&Arc<str>> = entries.iter().map(|entry| &entry.name).collect();
         let names = self.objects.keys();
         let gone: Vec<_> = names
@@ -227,28 +240,28 @@
         removals.collect()
     }
 
-    /// Removes an object; gives its version.
+    /// Removes an object and returns its version.
     fn remove(&mut self, name: &Arc<str>) -> Option<u64> {
         let object = self.objects.remove(name)?;
-        self.digest ^= digest(name, object.version);
+        self.digest ^= object_digest(name, object.version);
         self.note_removal(name);
         Some(object.version)
     }
 
-    /// Keeps that an object was removed up to the revision that this shelf has now.
+    /// Records that an object was removed up to the current revision of this collection.
     fn note_removal(&mut self, name: &Arc<str>) {
         self.removed.push_back((self.revision, name.clone()));
-        if self.removed.len() > REMOVALS {
+        if self.removed.len() > MAX_KEPT_REMOVALS {
             self.removed.pop_front();
         }
     }
 
-    /// Takes one object in; says whether it differs from the one before.
-    fn put(&mut self, now: Instant, entry: &Entry) -> bool {
+    /// Applies one entry and returns whether the object changed.
+    fn apply_entry(&mut self, now: Instant, entry: &Entry) -> bool {
         let Some(value) = entry.value.clone() else {
             let was_known = self.remove(&entry.name).is_some();
             if !was_known {
-                // Others may have seen it between its creation and its removal.
+                // Other hosts may have seen it between its creation and its removal.
                 self.note_removal(&entry.name);
             }
             return was_known;
@@ -256,14 +269,14 @@
         let object = Object {
             version: entry.version,
             value,
-            taken: now,
+            received: now,
         };
         match self.objects.get(&entry.name) {
             Some(known) if known.version > object.version => false,
             Some(known) if known.version == object.version && known.value == object.value => false,
             known => {
-                let before = known.map_or(0, |known| digest(&entry.name, known.version));
-                self.digest ^= before ^ digest(&entry.name, object.version);
+                let before = known.map_or(0, |known| object_digest(&entry.name, known.version));
+                self.digest ^= before ^ object_digest(&entry.name, object.version);
                 self.objects.insert(entry.name.clone(), object);
                 true
             }
@@ -271,7 +284,7 @@
     }
 }
 
-fn digest(name: &str, version: u64) -> u64 {
+fn object_digest(name: &str, version: u64) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), version)
 }
 
@@ -279,16 +292,16 @@
     Entry {
         name: name.clone(),
         version: object.version,
-        value: Some(aged(now, object)),
+        value: Some(current_value(now, object)),
     }
 }
 
-/// The value as it has to be told now: a target that was cold is so for less time.
-fn aged(now: Instant, object: &Object) -> Value {
+/// The value with its current remaining time: the cold time left of a target decreases.
+fn current_value(now: Instant, object: &Object) -> Value {
     let mut value = object.value.clone();
     if let Value::Target(registration) = &mut value {
         if !registration.cold_left.is_zero() {
-            let age = now.saturating_duration_since(object.taken);
+            let age = now.saturating_duration_since(object.received);
             let registration = Arc::make_mut(registration);
             registration.cold_left = registration.cold_left.saturating_sub(age);
         }
--- a/src/control/summary.rs
+++ b/src/control/summary.rs
@@ -1,9 +1,9 @@
-//! What a zone tells others of its load, with the time it was sampled.
+//! Load reports of hosts and load summaries of zones, with the age of their samples.
 //!
-//! Each host reports to a delegate of its zone, which merges the reports and tells the other
-//! zones. No clocks are compared: an age travels with each message and grows on the clock of
-//! whoever holds it. Between full messages only entries that changed are sent; what is left out
-//! is as last sent, and is as fresh as the message, if none was missed in between.
+//! Each host reports to a delegate of its zone, which merges the reports and sends a summary to the
+//! other zones. Clocks are never compared: each message carries an age, which grows on the
+//! receiver's clock. Between full messages only changed entries are sent. An entry that is left out
+//! keeps its last value and is as fresh as the message, if no message was missed in between.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,28 +14,29 @@
 use super::plan::Stamp;
 use crate::catalog::{Catalog, HostKey, RegionKey, ServiceKey, ZoneKey};
 
-/// Time between the reports of a host, and between the summaries of a zone.
+/// Interval between the reports of a host, and between the summaries of a zone.
 pub const INTERVAL: Duration = Duration::from_secs(2);
-/// Time between messages that hold all entries.
-pub const FULL: Duration = Duration::from_secs(20);
+/// Interval between full messages, which contain all entries.
+pub const FULL_INTERVAL: Duration = Duration::from_secs(20);
 /// Age up to which a host's report is part of its zone's summary.
-pub const FRESH: Duration = Duration::from_secs(5);
-/// Relative change of a figure that is worth sending.
-const RELATIVE: f32 = 0.05;
-/// Change of a zone's figure below which it is not sent.
-const ABSOLUTE: f32 = 0.5;
-/// Least of these when it is divided among the hosts of a zone.
-const LEAST: f32 = 0.02;
-/// How many units a wholly cold site counts for when changes are weighed.
-const COLD: f32 = 10.0;
-/// Steps in which figures are sent, for one unit.
-const STEPS: f32 = 100.0;
+pub const MAX_REPORT_AGE: Duration = Duration::from_secs(5);
+/// Minimum relative change of a figure for it to be sent.
+const MIN_RELATIVE_CHANGE: f32 = 0.05;
+/// Minimum absolute change of a zone's figure for it to be sent.
+const MIN_ABSOLUTE_CHANGE: f32 = 0.5;
+/// Lower limit of that change after it is divided among the hosts of a zone.
+const MIN_HOST_CHANGE: f32 = 0.02;
+/// Number of units by which a completely cold site differs from a warm one when changes are
+/// compared.
+const COLD_WEIGHT: f32 = 10.0;
+/// Steps per unit in which figures are sent.
+const STEPS_PER_UNIT: f32 = 100.0;
 
 /// The load of one service in one zone. Counts are means over the sampled interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(into = "Packed", from = "Packed")]
 pub struct Load {
-    /// Slots of the targets that are used, not ejected or draining.
+    /// Slots of the targets that are used: not ejected and not draining.
     pub live: f32,
     /// Share of those slots that are still cold, 0 to 1.
     pub cold: f32,
@@ -54,11 +55,11 @@
 struct Packed(u32, u32, u32, u32, u32, u32);
 
 fn pack(value: f32) -> u32 {
-    (value * STEPS).round().max(0.0) as u32
+    (value * STEPS_PER_UNIT).round().max(0.0) as u32
 }
 
 fn unpack(value: u32) -> f32 {
-    value as f32 / STEPS
+    value as f32 / STEPS_PER_UNIT
 }
 
 impl From<Load> for Packed {
@@ -88,10 +89,10 @@
 }
 
 impl Load {
-    fn figures(&self) -> [f32; 6] {
+    fn weighted_figures(&self) -> [f32; 6] {
         [
             self.live,
-            self.cold * COLD,
+            self.cold * COLD_WEIGHT,
             self.in_flight,
             self.queued,
             self.admitted,
@@ -99,12 +100,15 @@
         ]
     }
 
-    /// Whether the difference to what was sent before is worth sending.
-    fn differs(&self, sent: &Self, absolute: f32) -> bool {
-        let pairs = self.figures().into_iter().zip(sent.figures());
+    /// Whether the difference from the last sent load is large enough to be sent.
+    fn differs_enough(&self, sent: &Self, absolute: f32) -> bool {
+        let pairs = self
+            .weighted_figures()
+            .into_iter()
+            .zip(sent.weighted_figures());
         pairs.into_iter().any(|(now, before)| {
             let change = (now - before).abs();
-            change > absolute && change > RELATIVE * before.abs()
+            change > absolute && change > MIN_RELATIVE_CHANGE * before.abs()
         })
     }
 
@@ -117,137 +121,140 @@
     }
 }
 
-/// A quota a host is short of, or wants to keep.
+/// A quota that a host lacks or wants to keep.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Need {
     /// The host.
     #[serde(rename = "h")]
     pub host: Arc<str>,
-    /// The region the work is for.
+    /// The region that the work is for.
     #[serde(rename = "r")]
     pub region: Arc<str>,
-    /// What it wants above its static part, in the unit of the quota.
+    /// The amount wanted beyond its static part, in the unit of the quota.
     #[serde(rename = "w")]
     pub wanted: f32,
 }
 
-/// What identifies a message of one sender, and orders it.
+/// The header of a message: its sender, order and age.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Head {
-    /// The host that sends it.
+    /// The sending host.
     #[serde(rename = "h")]
     pub host: Arc<str>,
     /// Its incarnation.
     #[serde(rename = "i")]
     pub incarnation: u64,
-    /// Rises by one with each message of the incarnation.
+    /// Increases by one with each message of the incarnation.
     #[serde(rename = "s")]
     pub sequence: u64,
     /// Time since the oldest figure in it was sampled, in milliseconds.
     #[serde(rename = "a")]
     pub age_ms: u32,
-    /// The newest plan that is followed where it was sampled.
+    /// The newest plan that was followed where the figures were sampled.
     #[serde(rename = "p")]
     pub applied: Stamp,
-    /// Whether all entries are in it.
+    /// Whether it contains all entries.
     #[serde(rename = "f")]
     pub full: bool,
 }
 
-/// What a host tells the delegate of its zone, or a delegate tells other zones.
+/// A host's report to the delegate of its zone, or a delegate's summary to other zones.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
     /// Sender, order and age.
     #[serde(rename = "h")]
     pub head: Head,
-    /// The zone that is spoken of.
+    /// The zone that this is about.
     #[serde(rename = "z")]
     pub zone: Arc<str>,
-    /// Live hosts of the zone, and those of them whose reports are in it.
+    /// Number of live hosts of the zone, and of those whose reports are included.
     #[serde(rename = "n")]
     pub hosts: (u32, u32),
     /// Digest of the zone's roster, in the summary of a zone.
     #[serde(rename = "r", default)]
     pub roster: u64,
-    /// Loads by service; without those that are as they were.
+    /// Loads by service. Unchanged ones are left out unless the message is full.
     #[serde(rename = "l")]
     pub loads: BTreeMap<Arc<str>, Load>,
-    /// Services whose splits have yet to reach the plan that is followed.
+    /// Services whose splits have not reached the followed plan yet.
     #[serde(rename = "m", default, skip_serializing_if = "Vec::is_empty")]
     pub moving: Vec<Arc<str>>,
-    /// Quotas wanted.
+    /// Wanted quotas.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
     pub needs: Vec<Need>,
 }
 
-/// The figures that a sender has to tell.
+/// The figures to send.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Sample {
-    /// Time since the oldest of them was sampled.
+    /// Time since the oldest figure was sampled.
     pub age: Duration,
-    /// The newest plan that is followed.
+    /// The newest followed plan.
     pub applied: Stamp,
-    /// Services whose splits have yet to reach it.
+    /// Services whose splits have not reached that plan yet.
     pub moving: BTreeSet<ServiceKey>,
-    /// Live hosts of the zone, and those of them whose reports are in it; 1 of 1 for a host.
+    /// Number of live hosts of the zone, and of those whose reports are included; 1 of 1 for a
+    /// host.
     pub hosts: (u32, u32),
-    /// Digest of the zone's roster; to be set by the delegate that sends the summary.
+    /// Digest of the zone's roster, set by the delegate that sends the summary.
     pub roster: u64,
     /// Loads by service.
     pub loads: BTreeMap<ServiceKey, Load>,
-    /// Quotas wanted, by host and region.
+    /// Wanted quotas, by host and region.
     pub needs: BTreeMap<(HostKey, RegionKey), f32>,
 }
 
-/// Makes the messages of one sender: all entries now and then, else what changed.
+/// Builds the messages of one sender: regularly with all entries, otherwise with those that
+/// changed.
 #[derive(Clone, Debug)]
 pub struct Sender {
     host: HostKey,
     incarnation: u64,
     sequence: u64,
     sent: BTreeMap<ServiceKey, Load>,
-    filled: Option<Instant>,
-    absolute: f32,
+    last_full: Option<Instant>,
+    min_absolute_change: f32,
 }
 
 impl Sender {
-    /// A sender of the summaries of a zone.
+    /// Creates a sender of the summaries of a zone.
     pub fn new(host: HostKey, incarnation: u64) -> Self {
         Self {
-            absolute: ABSOLUTE,
+            min_absolute_change: MIN_ABSOLUTE_CHANGE,
             host,
             incarnation,
             sequence: 0,
             sent: BTreeMap::new(),
-            filled: None,
+            last_full: None,
         }
     }
 
-    /// A sender of the reports of one of `hosts` hosts, whose errors add up in the summary.
+    /// Makes this a sender of the reports of one of `hosts` hosts, whose unsent changes add up in
+    /// the summary.
     pub fn with_hosts(self, hosts: usize) -> Self {
         Self {
-            absolute: (ABSOLUTE / hosts.max(1) as f32).max(LEAST),
+            min_absolute_change: (MIN_ABSOLUTE_CHANGE / hosts.max(1) as f32).max(MIN_HOST_CHANGE),
             ..self
         }
     }
 
-    /// The next message is to hold all entries: somebody new listens.
-    pub fn refill(&mut self) {
-        self.filled = None;
+    /// Makes the next message contain all entries, for a new receiver.
+    pub fn request_full(&mut self) {
+        self.last_full = None;
     }
 
-    /// The next message.
+    /// Builds the next message.
     pub fn message(&mut self, now: Instant, sample: &Sample, catalog: &Catalog) -> Message {
         self.sequence += 1;
-        let full = self.filled.is_none_or(|at| now >= at + FULL);
+        let full = self.last_full.is_none_or(|at| now >= at + FULL_INTERVAL);
         if full {
-            self.filled = Some(now);
+            self.last_full = Some(now);
             self.sent.clear();
         }
         let mut loads = BTreeMap::new();
         for (&service, load) in &sample.loads {
             let sent = self.sent.get(&service).copied().unwrap_or_default();
-            if load.differs(&sent, self.absolute) {
+            if load.differs_enough(&sent, self.min_absolute_change) {
                 self.sent.insert(service, *load);
                 loads.insert(catalog.service(service).name.clone(), *load);
             }
@@ -290,45 +297,45 @@
         .collect()
 }
 
-/// One load as it is known here.
+/// The last known load of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Entry {
     /// The load.
     pub load: Load,
-    /// When it was sampled, at the latest, on the own clock.
+    /// Latest possible time of its sampling, on this host's clock.
     pub sampled: Instant,
 }
 
-/// What one sender has told so far.
+/// The data received from one sender so far.
 #[derive(Clone, Debug)]
 pub struct Source {
     incarnation: u64,
     sequence: u64,
-    /// Whether no message was missed since the last one that held all entries.
-    whole: bool,
+    /// Whether no message was missed since the last full one.
+    is_complete: bool,
     /// When the figures of the last message were sampled.
     pub sampled: Instant,
-    /// The newest plan that is followed there.
+    /// The newest plan that the sender follows.
     pub applied: Stamp,
-    /// Services whose splits have yet to reach it.
+    /// Services whose splits have not reached that plan yet.
     pub moving: BTreeSet<ServiceKey>,
-    /// Live hosts of the zone, and those of them whose reports are in it.
+    /// Number of live hosts of the zone, and of those whose reports are included.
     pub hosts: (u32, u32),
     /// Digest of the zone's roster.
     pub roster: u64,
     /// Loads by service.
     pub loads: BTreeMap<ServiceKey, Entry>,
-    /// Quotas wanted.
+    /// Wanted quotas.
     pub needs: BTreeMap<(HostKey, RegionKey), f32>,
 }
 
 impl Source {
-    /// A source that told nothing before this message.
+    /// Creates a source without any data before this message.
     fn new(message: &Message, sampled: Instant) -> Self {
         Self {
             incarnation: message.head.incarnation,
             sequence: 0,
-            whole: false,
+            is_complete: false,
             sampled,
             applied: Stamp::default(),
             moving: BTreeSet::new(),
@@ -339,13 +346,13 @@
         }
     }
 
-    /// Takes in a message that is newer than all before it.
+    /// Applies a message that is newer than all before it.
     fn update(&mut self, message: &Message, sampled: Instant, catalog: &Catalog) {
         let next = message.head.sequence == self.sequence + 1;
-        self.whole = message.head.full || (self.whole && next);
+        self.is_complete = message.head.full || (self.is_complete && next);
         if message.head.full {
             self.loads.clear();
-        } else if self.whole {
+        } else if self.is_complete {
             self.loads.values_mut().for_each(|e| e.sampled = sampled);
         }
         self.sequence = message.head.sequence;
@@ -374,9 +381,9 @@
             .collect();
     }
 
-    /// The load of a service. One that is not told of is idle, if no message was missed.
+    /// The load of a service. A service without an entry is idle, if no message was missed.
     pub fn load(&self, service: ServiceKey) -> Option<Entry> {
-        let idle = self.whole.then_some(Entry {
+        let idle = self.is_complete.then_some(Entry {
             load: Load::default(),
             sampled: self.sampled,
         });
@@ -384,43 +391,44 @@
     }
 }
 
-/// Whether a message was of use.
+/// The result of applying a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
-    /// It was newer than all before it from its sender.
+pub enum ApplyResult {
+    /// It was newer than all previous messages from its sender.
     Newer,
-    /// It was not, or its sender is unknown.
+    /// It was not newer, or its sender is unknown.
     Ignored,
-    /// Messages before it were missed, and it does not hold all entries: ask for one that does.
+    /// Previous messages were missed, and it does not contain all entries: request a full one.
     Gap,
 }
 
-/// Messages by sender: reports of the hosts of a zone, or summaries of the delegates of all.
+/// Received data by sender: reports of the hosts of a zone, or summaries of the delegates of all
+/// zones.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     sources: BTreeMap<HostKey, Source>,
 }
 
 impl Table {
-    /// A table that holds nothing.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes in a message, `delay` after it was sent as far as is known.
-    pub fn take(
+    /// Applies a message, `delay` after it was sent.
+    pub fn apply(
         &mut self,
         now: Instant,
         message: &Message,
         delay: Duration,
         catalog: &Catalog,
-    ) -> Taken {
+    ) -> ApplyResult {
         let Some(host) = catalog.host_key(&message.head.host) else {
-            return Taken::Ignored;
+            return ApplyResult::Ignored;
         };
         let age = Duration::from_millis(message.head.age_ms.into()) + delay;
         let Some(sampled) = now.checked_sub(age) else {
-            return Taken::Ignored;
+            return ApplyResult::Ignored;
         };
         let head = &message.head;
         let source = self
@@ -429,68 +437,68 @@
             .or_insert_with(|| Source::new(message, sampled));
         let order = (head.incarnation, head.sequence);
         if order <= (source.incarnation, source.sequence) {
-            return Taken::Ignored;
+            return ApplyResult::Ignored;
         }
         if head.incarnation > source.incarnation {
             *source = Source::new(message, sampled);
         }
         source.update(message, sampled, catalog);
-        if source.whole {
-            Taken::Newer
+        if source.is_complete {
+            ApplyResult::Newer
         } else {
-            Taken::Gap
+            ApplyResult::Gap
         }
     }
 
-    /// Forgets what was sampled before `limit`.
+    /// Removes the data of senders that was sampled before `limit`.
     pub fn expire(&mut self, limit: Instant) {
         self.sources.retain(|_, source| source.sampled >= limit);
     }
 
-    /// What a host has told.
-    pub fn source(&self, host: HostKey) -> Option<&Source> {
+    /// The data received from a host.
+    pub fn host_source(&self, host: HostKey) -> Option<&Source> {
         self.sources.get(&host)
     }
 
-    /// The best word on a zone: of those who told of it lately, who heard most of its hosts, and
-    /// of these the newest.
-    pub fn zone(&self, now: Instant, zone: ZoneKey, catalog: &Catalog) -> Option<&Source> {
+    /// The best source on a zone: among its recent senders the one whose summary includes most
+    /// hosts, and of these the newest.
+    pub fn zone_source(&self, now: Instant, zone: ZoneKey, catalog: &Catalog) -> Option<&Source> {
         self.sources
             .iter()
             .filter(|(&host, _)| catalog.host(host).zone == zone)
             .map(|(_, source)| source)
             .max_by_key(|source| {
-                let fresh = now.saturating_duration_since(source.sampled) < FRESH;
+                let fresh = now.saturating_duration_since(source.sampled) < MAX_REPORT_AGE;
                 (fresh, source.hosts.1, source.sampled)
             })
     }
 
-    /// Merges the reports of the live hosts of a zone. None if no host reported lately.
+    /// Merges the reports of the live hosts of a zone. None if no host reported recently.
     pub fn merge(&self, now: Instant, hosts: impl IntoIterator<Item = HostKey>) -> Option<Sample> {
-        self.merge_within(now, FRESH, hosts)
+        self.merge_within(now, MAX_REPORT_AGE, hosts)
     }
 
-    /// The same, with another age up to which a report counts.
+    /// Like [`Table::merge`], with another maximum age of reports.
     pub fn merge_within(
         &self,
         now: Instant,
         fresh: Duration,
         hosts: impl IntoIterator<Item = HostKey>,
     ) -> Option<Sample> {
-        let mut merge = Merge::default();
+        let mut merge = ZoneMerge::default();
         for host in hosts {
             merge.live += 1;
             if let Some(source) = self.sources.get(&host) {
                 merge.add(now, fresh, source);
             }
         }
-        merge.sample()
+        merge.into_sample()
     }
 }
 
-/// A summary in the making.
+/// The reports of a zone's hosts while they are merged.
 #[derive(Default)]
-struct Merge {
+struct ZoneMerge {
     live: u32,
     reported: u32,
     age: Duration,
@@ -498,11 +506,12 @@
     moving: BTreeSet<ServiceKey>,
     loads: BTreeMap<ServiceKey, Load>,
     needs: BTreeMap<(HostKey, RegionKey), f32>,
-    /// Sums of live slots and of cold slots, and how many hosts told of them, by service.
+    /// By service, the sum of live slots, the sum of cold slots and the number of hosts that
+    /// reported them.
     targets: BTreeMap<ServiceKey, (f32, f32, f32)>,
 }
 
-impl Merge {
+impl ZoneMerge {
     fn add(&mut self, now: Instant, fresh: Duration, source: &Source) {
         let age = now.saturating_duration_since(source.sampled);
         if age >= fresh {
@@ -526,9 +535,9 @@
         }
     }
 
-    /// The hosts of a zone use the same targets, so what they see of these is averaged, while
-    /// their work is added up.
-    fn sample(mut self) -> Option<Sample> {
+    /// Completes the summary. The hosts of a zone use the same targets, so their figures of targets
+    /// are averaged, while their work is added up.
+    fn into_sample(mut self) -> Option<Sample> {
         for (service, load) in &mut self.loads {
             let (live, cold, count) = self.targets[service];
             load.live = live / count;
--- a/src/control/wire.rs
+++ b/src/control/wire.rs
@@ -1,48 +1,51 @@
-//! What the control parts of two hosts say to each other.
+//! Messages between the control agents of two hosts.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
 use super::digest::Digest;
-use super::membership::{Beat, Roster};
+use super::membership::{Heartbeat, Roster};
 use super::plan::{Record, Stamp};
 use super::summary::Message;
 use crate::steer::quarantine::Note;
 use crate::steer::throttle::News;
 
-/// One control message. The root, where there is one, is the host from which it spreads over a zone.
+/// A control message. The root, if there is one, is the host from which the message is distributed
+/// over a zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Frame {
-    /// A sign of life without the name of the sender, and the revision of the configuration in force.
+    /// A heartbeat without the sender's name, and the revision of the configuration in force.
     #[serde(rename = "b")]
-    Beat(Beat, u64),
-    /// A host's load, to the first delegate of its zone.
+    Beat(Heartbeat, u64),
+    /// A host's load report, sent to the first delegate of its zone.
     Load(Message),
-    /// A zone's load, to the first delegates of the others, with the newest plan known there.
+    /// A zone's load summary, sent to the first delegates of the other zones, with the stamp of the
+    /// newest known plan.
     Summary(Message, Stamp),
-    /// What the first delegate of a zone tells its hosts of the others, with the newest plan.
+    /// A digest of the other zones, sent by the first delegate of a zone to its hosts, with the
+    /// stamp of the newest plan.
     Digest(Digest, Stamp),
     /// The hosts of a zone.
     Roster(Roster, Option<Arc<str>>),
     /// A plan.
     Plan(Record, Option<Arc<str>>),
-    /// Something was missed: it is to be sent again in full.
+    /// A request to send missed data again in full.
     Ask(Ask),
-    /// Of requests that crash targets. Who learns something new from it passes it on.
+    /// Requests that crash targets. A host that learns something new from it forwards it.
     #[serde(rename = "n")]
     Notes(Vec<Note>),
-    /// Of targets that name the rate that they take. Who learns something new from it passes it on.
+    /// Request rates that targets announced. A host that learns something new from it forwards it.
     #[serde(rename = "r")]
     Rates(Vec<News>),
 }
 
-/// What is to be sent in full.
+/// The data to send in full.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ask {
-    /// The load of a host.
+    /// The load report of a host.
     Load,
     /// The summary of a zone.
     Summary,
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -13,7 +13,7 @@
 use super::platform::Ask;
 use crate::catalog::{Catalog, HostKey, RegionKey, ServiceKey, State, ZoneKey};
 use crate::control::agent::{Agent, Output};
-use crate::control::membership::{Listing, Sight};
+use crate::control::membership::{Listing, ZoneStatus};
 use crate::control::plan::Record;
 use crate::control::summary::Load;
 use crate::control::wire::Frame;
@@ -106,7 +106,7 @@
             mesh.set_directory(directory(catalog));
         }
         match &mut self.agent {
-            Some(agent) => agent.configure(now, catalog.clone()),
+            Some(agent) => agent.apply_catalog(now, catalog.clone()),
             None => {
                 let mut agent = Agent::new(now, own, self.incarnation, catalog.clone());
                 for host in &self.linked {
@@ -143,7 +143,7 @@
                 Some(HostState::Leaving) => Listing::Leaving,
                 None => Listing::Absent,
             };
-            agent.listed(now, key, listing);
+            agent.set_listing(now, key, listing);
         }
     }
 
@@ -194,21 +194,21 @@
     /// The outcome of a question about the lease.
     pub(crate) fn leased(&mut self, now: Instant, event: lease::Event, rng: &mut impl Rng) {
         if let Some(agent) = &mut self.agent {
-            agent.leased(now, event, rng);
+            agent.handle_lease_event(now, event, rng);
         }
     }
 
     /// The outcome of a question about the plan.
     pub(crate) fn published(&mut self, now: Instant, event: publish::Event, rng: &mut impl Rng) {
         if let Some(agent) = &mut self.agent {
-            agent.published(now, event, rng);
+            agent.handle_publish_event(now, event, rng);
         }
     }
 
     /// The plan that was found in the store.
     pub(crate) fn stored(&mut self, now: Instant, record: Record) {
         if let Some(agent) = &mut self.agent {
-            agent.stored(now, record);
+            agent.adopt_stored_plan(now, record);
         }
     }
 
@@ -231,7 +231,7 @@
                 })
                 .map(|((service, _), _)| service)
                 .collect();
-            agent.measure(now, loads, moving);
+            agent.set_loads(now, loads, moving);
         }
     }
 
@@ -313,7 +313,7 @@
     /// Tells other hosts of requests that crash targets or of rates; `teller` told this one.
     pub(crate) fn tell(&mut self, frame: Frame, teller: Option<HostKey>) {
         if let Some(agent) = &mut self.agent {
-            agent.tell(frame, teller);
+            agent.broadcast(frame, teller);
         }
     }
 
@@ -404,7 +404,7 @@
         let Some(agent) = &self.agent else {
             return (view, free);
         };
-        for (zone, sight) in agent.sights() {
+        for (zone, sight) in agent.zone_statuses() {
             let standing = match to_standing(sight) {
                 // Places fail together: nothing moves to a zone that may be the next one lost.
                 Standing::Alive if !agent.is_heard(zone) => Standing::Unknown,
@@ -435,11 +435,11 @@
     }
 }
 
-fn to_standing(sight: Sight) -> Standing {
+fn to_standing(sight: ZoneStatus) -> Standing {
     match sight {
-        Sight::Alive => Standing::Alive,
-        Sight::Lost => Standing::Lost,
-        Sight::Unknown(_) => Standing::Unknown,
+        ZoneStatus::Alive => Standing::Alive,
+        ZoneStatus::Lost => Standing::Lost,
+        ZoneStatus::Unknown(_) => Standing::Unknown,
     }
 }
 
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -461,7 +461,7 @@
         self.refresh = now + REFRESH;
         let (view, free) = self.control.view(now);
         if let Some(agent) = self.control.agent() {
-            self.engine.set_live(now, agent.live());
+            self.engine.set_live(now, agent.live_hosts());
         }
         self.engine.set_free(free);
         self.engine.set_view(now, view);
--- a/src/entry/status.rs
+++ b/src/entry/status.rs
@@ -8,7 +8,7 @@
 
 use crate::border::settings::Settings;
 use crate::control::agent::Agent;
-use crate::control::membership::{Sight, Status as Liveness};
+use crate::control::membership::{Status as Liveness, ZoneStatus};
 use crate::steer::engine::Engine;
 
 /// Shares of availability zones, by service and locality.
@@ -68,14 +68,14 @@
         engine: &Engine,
         agent: Option<&Agent>,
     ) -> Self {
-        let stamp = agent.map(Agent::stamp).unwrap_or_default();
+        let stamp = agent.map(Agent::plan_stamp).unwrap_or_default();
         Self {
             host: settings.host.as_str().into(),
             availability_zone: settings.availability_zone.as_str().into(),
             incarnation,
             revision: engine.catalog().revision,
             plan: (stamp.epoch, stamp.sequence),
-            planner_epoch: agent.and_then(|agent| agent.held(now)),
+            planner_epoch: agent.and_then(|agent| agent.held_epoch(now)),
             delegate: agent.is_some_and(Agent::is_delegate),
             in_flight: 0,
             hosts: agent.map(|agent| hosts(engine, agent)).unwrap_or_default(),
@@ -94,8 +94,8 @@
 
 fn hosts(engine: &Engine, agent: &Agent) -> BTreeMap<Arc<str>, Host> {
     let catalog = engine.catalog();
-    let linked = agent.linked();
-    let live = agent.live();
+    let linked = agent.wanted_links();
+    let live = agent.live_hosts();
     catalog
         .hosts()
         .map(|(key, host)| {
@@ -119,13 +119,13 @@
 fn zones(engine: &Engine, agent: &Agent) -> BTreeMap<Arc<str>, &'static str> {
     let catalog = engine.catalog();
     agent
-        .sights()
+        .zone_statuses()
         .into_iter()
         .map(|(zone, sight)| {
             let sight = match sight {
-                Sight::Alive => "alive",
-                Sight::Lost => "lost",
-                Sight::Unknown(_) => "unknown",
+                ZoneStatus::Alive => "alive",
+                ZoneStatus::Lost => "lost",
+                ZoneStatus::Unknown(_) => "unknown",
             };
             (catalog.zone(zone).name.clone(), sight)
         })
--- a/src/host/answer.rs
+++ b/src/host/answer.rs
@@ -35,7 +35,7 @@
 
 fn refused(host: &Host, status: StatusCode, text: &'static str, pause: Duration) -> Response<Body> {
     let mut response = plain(status, text);
-    (host.platform.wire.come_back)(response.headers_mut(), pause);
+    (host.platform.wire.add_retry_after)(response.headers_mut(), pause);
     response
 }
 
--- a/src/host/beat.rs
+++ b/src/host/beat.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
 
-use crate::control::presence::{Beat, Pulse, Sight, INTERVAL};
+use crate::control::presence::{Heartbeat, Pulse, StoreView, INTERVAL};
 use crate::steer::allowance::{Tally, Teller};
 use crate::steer::quarantine::Note;
 use crate::steer::throttle::{Claim, Grant, News};
@@ -33,7 +33,7 @@
 enum Datagram {
     /// The sender is alive; all there is to know of it.
     #[serde(rename = "b")]
-    Beat(Beat),
+    Beat(Heartbeat),
     /// The sender is alive.
     #[serde(rename = "p")]
     Pulse(Pulse),
@@ -113,7 +113,10 @@
         let (peers, pulse) = {
             let mut core = host.core.borrow_mut();
             core.tick(now());
-            (core.presence.next_beat(now()), core.presence.pulse(now()))
+            (
+                core.presence.next_heartbeat_recipients(now()),
+                core.presence.pulse(now()),
+            )
         };
         send(&host, &Datagram::Pulse(pulse), &peers).await;
     }
@@ -165,7 +168,7 @@
 fn hear_tallies(host: &Host, sender: SocketAddr, told: &Tallies) {
     let Tallies(incarnation, age_ms, to_all, tallies) = told;
     let core = &mut *host.core.borrow_mut();
-    let (Some(ledger), Some(peer)) = (&mut core.ledger, core.presence.at(sender)) else {
+    let (Some(ledger), Some(peer)) = (&mut core.ledger, core.presence.peer_at(sender)) else {
         return;
     };
     let teller = Teller {
@@ -184,10 +187,13 @@
 }
 
 /// Tells those whom it concerns what this host knows of the store, which was `before` until now.
-pub(crate) async fn tell_sight(host: &Host, before: Sight) {
+pub(crate) async fn tell_sight(host: &Host, before: StoreView) {
     let (peers, pulse) = {
         let presence = &mut host.core.borrow_mut().presence;
-        (presence.concerned(before), presence.pulse(now()))
+        (
+            presence.store_view_recipients(before),
+            presence.pulse(now()),
+        )
     };
     send(host, &Datagram::Pulse(pulse), &peers).await;
 }
@@ -233,7 +239,7 @@
 }
 
 async fn beat(host: &Host, peers: &[SocketAddr]) {
-    let beat = host.core.borrow_mut().presence.beat(now());
+    let beat = host.core.borrow_mut().presence.heartbeat(now());
     send(host, &Datagram::Beat(beat), peers).await;
 }
 
@@ -266,7 +272,11 @@
         match ciborium::from_reader(&bytes[..length]) {
             Ok(Datagram::Beat(beat)) => take(&host, beat).await,
             Ok(Datagram::Pulse(pulse)) => {
-                let known = host.core.borrow_mut().presence.feel(now(), sender, pulse);
+                let known = host
+                    .core
+                    .borrow_mut()
+                    .presence
+                    .receive_pulse(now(), sender, pulse);
                 if !known {
                     send(&host, &Datagram::Ask, &[sender]).await;
                 }
@@ -286,9 +296,13 @@
     }
 }
 
-async fn take(host: &Host, received: Beat) {
+async fn take(host: &Host, received: Heartbeat) {
     let peer = received.record.peers;
-    let is_new = host.core.borrow_mut().presence.hear(now(), received);
+    let is_new = host
+        .core
+        .borrow_mut()
+        .presence
+        .receive_heartbeat(now(), received);
     if is_new {
         // A host that has just started waits to hear from the others.
         beat(host, &[peer]).await;
--- a/src/host/copy.rs
+++ b/src/host/copy.rs
@@ -26,7 +26,7 @@
 pub(super) fn difference(host: &Host, kind: Kind, revision: u64) -> Rc<[Bytes]> {
     let core = host.core.borrow();
     let outage = core.presence.outage(now());
-    let update = core.replica.since(now(), kind, revision, outage);
+    let update = core.replica.changes_since(now(), kind, revision, outage);
     update.map_or_else(Default::default, |update| {
         messages(update, core.replica.digest(kind))
     })
@@ -47,7 +47,7 @@
         return messages;
     }
     let outage = core.presence.outage(now());
-    let Some(update) = core.replica.whole(now(), kind, outage) else {
+    let Some(update) = core.replica.snapshot(now(), kind, outage) else {
         return Rc::default();
     };
     let messages = messages(update, core.replica.digest(kind));
--- a/src/host/core.rs
+++ b/src/host/core.rs
@@ -9,8 +9,8 @@
 
 use super::log::{self, Event};
 use crate::account::Knowledge;
-use crate::control::presence::{self, Naming, Presence, Record, Sight};
-use crate::control::proof::{Moment, Proof, CAUTION};
+use crate::control::presence::{self, LookupFilter, Presence, Record, StoreView};
+use crate::control::proof::{Moment, Proof, RENEWAL_FRACTION};
 use crate::control::replica::{Effect, Outage, Replica, Update};
 use crate::inventory::{Config, Registration, Route, State, Table};
 use crate::port::{Bounds, Entry, Kind, Settings, Value};
@@ -24,7 +24,7 @@
 
 /// Silence after which another host surely serves no callers, where no time is set after which it refuses keys: its registration
 /// is removed then.
-const GONE: Duration = presence::FORGET;
+const GONE: Duration = presence::REMOVAL_SILENCE;
 
 /// The state of a host.
 pub(crate) struct Core {
@@ -95,10 +95,10 @@
                 .with_heartbeat(settings.bounds.heartbeat)
                 .with_few_watchers(settings.switches.few_watchers)
                 .with_few_hosts(settings.switches.few_hosts)
-                .with_naming(if term.is_some() {
-                    Naming::Informed
+                .with_lookup_filter(if term.is_some() {
+                    LookupFilter::Informed
                 } else {
-                    Naming::All
+                    LookupFilter::All
                 }),
             rng: Pcg64Mcg::seed_from_u64(seed),
             registered: None,
@@ -175,15 +175,16 @@
         let Some(term) = self.term else {
             return true;
         };
-        self.proof.holds(moment, term.mul_f64(CAUTION))
+        self.proof
+            .is_younger_than(moment, term.mul_f64(RENEWAL_FRACTION))
     }
 
     /// How new the configuration surely is.
     pub(crate) fn knowledge(&self, moment: Moment) -> Knowledge {
         match self.term {
-            Some(term) if self.proof.holds(moment, term) => Knowledge::Current,
+            Some(term) if self.proof.is_younger_than(moment, term) => Knowledge::Current,
             Some(_) => Knowledge::Expired,
-            None if self.presence.sight() >= Sight::Relayed => Knowledge::Current,
+            None if self.presence.store_view() >= StoreView::Relayed => Knowledge::Current,
             None => Knowledge::Old,
         }
     }
@@ -238,14 +239,14 @@
             .map(|peer| peer.host.clone())
             .collect();
         for peer in missing {
-            self.presence.withdraw(now, &peer);
+            self.presence.unregister(now, &peer);
         }
         for entry in entries {
             if let Some(Value::Host(record)) = entry.value {
                 self.presence.register(now, *record);
             }
         }
-        self.presence.list();
+        self.presence.mark_listed();
         self.count_hosts(now);
     }
 
@@ -254,7 +255,7 @@
         for record in records {
             self.presence.register(now, record);
         }
-        self.presence.list();
+        self.presence.mark_listed();
         self.count_hosts(now);
     }
 
@@ -275,7 +276,7 @@
             (record.host.clone(), region.clone())
         });
         self.fleet.set_hosts(hosts.collect());
-        self.fleet.set_share(self.presence.share(now));
+        self.fleet.set_share(self.presence.caller_share(now));
         if let Some(ledger) = &mut self.ledger {
             let peers = self.presence.peers();
             let near = peers.filter(|peer| self.presence.is_near(peer));
--- a/src/host/feed.rs
+++ b/src/host/feed.rs
@@ -17,7 +17,7 @@
 use super::copy::{self, Copy};
 use super::log::Event;
 use super::{beat, client, now, proof, serve, Error, Gap, Host};
-use crate::control::presence::{Record, Sight};
+use crate::control::presence::{Record, StoreView};
 use crate::control::replica::Update;
 use crate::port::{Entry, Kind};
 
@@ -43,7 +43,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum Message {
     /// What the sender knows of the store.
-    Sight(Sight),
+    Sight(StoreView),
     /// What a follower has, the first thing that it says: the revision of each kind.
     Known(Vec<(Kind, u64)>),
     /// Objects that belong to the update that follows.
@@ -147,7 +147,7 @@
 
 /// Tells followers what this host knows of the store.
 pub(crate) fn tell_sight(host: &Host) {
-    let sight = host.core.borrow().presence.sight();
+    let sight = host.core.borrow().presence.store_view();
     host.followers.borrow_mut().send(&Message::Sight(sight));
 }
 
@@ -206,7 +206,7 @@
             socket.send(Packet::Binary(bytes.clone())).await?;
         }
     }
-    let sight = host.core.borrow().presence.sight();
+    let sight = host.core.borrow().presence.store_view();
     let bytes = write(&Message::Sight(sight));
     socket.send(Packet::Binary(bytes)).await?;
     loop {
@@ -324,7 +324,7 @@
         match ciborium::from_reader(&bytes[..])? {
             Message::Sight(sight) => {
                 host.followed.set(Some(sight));
-                if sight == Sight::Store {
+                if sight == StoreView::Store {
                     // Whatever had changed would have come before.
                     let told = &mut host.core.borrow_mut().told;
                     told.extend(KINDS.map(|kind| (kind, now())));
--- a/src/host/front.rs
+++ b/src/host/front.rs
@@ -34,7 +34,7 @@
 
 async fn take(host: &Rc<Host>, request: Request<Incoming>) -> Response<Body> {
     let begun = now();
-    host.core.borrow_mut().presence.count(begun);
+    host.core.borrow_mut().presence.count_request(begun);
     let (parts, incoming) = request.into_parts();
     begin::known(host).await;
     let limits = host.core.borrow().table.limits();
--- a/src/host/inquiry.rs
+++ b/src/host/inquiry.rs
@@ -13,7 +13,7 @@
 use super::sync::{self, News};
 use super::watcher::WATCHED;
 use super::{proof, Host};
-use crate::control::freshness::{INTERVAL, PATIENCE};
+use crate::control::freshness::{ANSWER_TIMEOUT, INTERVAL};
 use crate::control::proof::Moment;
 use crate::port::{Age, Kind};
 
@@ -56,7 +56,7 @@
 }
 
 async fn in_time<T>(call: impl Future<Output = Result<T, Error>>) -> Result<T, Error> {
-    let result = tokio::time::timeout(PATIENCE, call).await;
+    let result = tokio::time::timeout(ANSWER_TIMEOUT, call).await;
     result.unwrap_or(Err(Error::Timeout))
 }
 
@@ -82,8 +82,11 @@
 
 /// The copy of a kind lacks nothing that was acknowledged before `asked`.
 fn show(host: &Host, kind: Kind, asked: Moment) {
-    host.watching.show(kind, asked.steady());
-    host.core.borrow_mut().told.insert(kind, asked.steady());
+    host.watching.show(kind, asked.runtime_clock());
+    host.core
+        .borrow_mut()
+        .told
+        .insert(kind, asked.runtime_clock());
     if kind == Kind::Config && !host.watching.config_unread.get() {
         proof::shown(host, asked);
     }
--- a/src/host/join.rs
+++ b/src/host/join.rs
@@ -61,7 +61,7 @@
         if !entries.iter().any(|entry| entry.name == *name) {
             core.registered = None;
         }
-        let departed: BTreeSet<_> = core.presence.departed(now()).collect();
+        let departed: BTreeSet<_> = core.presence.removable_hosts(now()).collect();
         let entries = entries.iter();
         entries
             .filter(|entry| departed.contains(&entry.name))
--- a/src/host/lookup.rs
+++ b/src/host/lookup.rs
@@ -8,7 +8,7 @@
 
 use super::body::{whole, Body};
 use super::{answer, now, serve, Error, Host};
-use crate::control::presence::Sight;
+use crate::control::presence::StoreView;
 
 /// How long callers keep an answer. Some keep it three times as long, and a leaving host serves
 /// until then, so it must be well under a third of the time a host has to leave.
@@ -31,9 +31,9 @@
     match (lookup.question)(request.uri()) {
         Some(question) => {
             let core = host.core.borrow();
-            let hosts = core
-                .presence
-                .named(now(), &question, serve::caller(request.extensions()));
+            let hosts =
+                core.presence
+                    .lookup_hosts(now(), &question, serve::caller(request.extensions()));
             let ttl = TTL.min(host.settings.bounds.lookup_ttl);
             (lookup.answer)(&hosts, ttl).map(whole)
         }
@@ -43,7 +43,7 @@
 
 fn ready(host: &Host) -> Response<Body> {
     // Targets and evacuations have to be known too: a host without them could only refuse.
-    let knows = host.core.borrow().presence.sight() > Sight::Nothing;
+    let knows = host.core.borrow().presence.store_view() > StoreView::Nothing;
     if knows && !host.stop.is_leaving() {
         answer::plain(StatusCode::OK, "ready\n")
     } else {
--- a/src/host/message.rs
+++ b/src/host/message.rs
@@ -32,11 +32,13 @@
 ) -> Request<Body> {
     let mut headers = passed_on(&exchange.parts.headers);
     let left = exchange.deadline.saturating_duration_since(now());
-    (host.platform.wire.address)(&mut headers, left, id);
+    (host.platform.wire.add_target_headers)(&mut headers, left, id);
     match &exchange.admitted.caller {
         Caller::Unnamed => {}
-        Caller::Public => (host.platform.wire.name)(&mut headers, None),
-        Caller::Account(account) => (host.platform.wire.name)(&mut headers, Some(&account.name)),
+        Caller::Public => (host.platform.wire.replace_credential)(&mut headers, None),
+        Caller::Account(account) => {
+            (host.platform.wire.replace_credential)(&mut headers, Some(&account.name))
+        }
     }
     let body = match body {
         Part::Whole(bytes) => {
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -45,7 +45,7 @@
 use tokio::net::UdpSocket;
 use tokio::task::LocalSet;
 
-use crate::control::presence::Sight;
+use crate::control::presence::StoreView;
 use crate::control::replica::{Effect, Update};
 use crate::entry::metrics::Metrics;
 use crate::port::{Platform, Settings};
@@ -67,7 +67,7 @@
     beats: RefCell<Option<Rc<UdpSocket>>>,
     followers: RefCell<feed::Followers>,
     /// What the host that this one follows knows of the store.
-    followed: Cell<Option<Sight>>,
+    followed: Cell<Option<StoreView>>,
     watching: watcher::Watching,
     begin: begin::Begin,
     /// Whether the host has registered, or has tried to.
--- a/src/host/proof.rs
+++ b/src/host/proof.rs
@@ -11,7 +11,7 @@
 
 use super::store::{Client, Error};
 use super::{inquiry, now, Host};
-use crate::control::proof::{Moment, CAUTION};
+use crate::control::proof::{Moment, RENEWAL_FRACTION};
 use crate::port::Kind;
 
 /// Time between two questions of a follower.
@@ -49,7 +49,7 @@
     host.core
         .borrow_mut()
         .proof
-        .take(moment(), asked, Duration::ZERO);
+        .record(moment(), asked, Duration::ZERO);
 }
 
 /// What followers are told now.
@@ -68,7 +68,7 @@
     // An update may be on its way behind this.
     if core.table.version() >= Some(told.version) {
         let age = Duration::from_millis(told.age_ms);
-        core.proof.take(moment(), asked, age);
+        core.proof.record(moment(), asked, age);
     }
 }
 
@@ -79,12 +79,12 @@
         return;
     };
     let mut client = Client::new(&host);
-    let caution = term.mul_f64(CAUTION);
+    let caution = term.mul_f64(RENEWAL_FRACTION);
     loop {
         tokio::time::sleep(LOOK).await;
         let needed = {
             let core = host.core.borrow();
-            let is_old = !core.proof.holds(moment(), caution);
+            let is_old = !core.proof.is_younger_than(moment(), caution);
             is_old && host.joined.get() && core.presence.is_store_seen(now())
         };
         if needed {
--- a/src/host/quarantine.rs
+++ b/src/host/quarantine.rs
@@ -65,7 +65,7 @@
     if let Some(note) = news.counters {
         let counters = {
             let core = host.core.borrow();
-            core.presence.counters(now(), fingerprint.0)
+            core.presence.counting_hosts(now(), fingerprint.0)
         };
         send(host, note, counters);
     }
--- a/src/host/record.rs
+++ b/src/host/record.rs
@@ -155,7 +155,7 @@
         total_ms = total.as_millis() as u64,
         left_ms = left.as_millis() as u64,
         configuration = core.table.version().unwrap_or_default(),
-        sight = format!("{:?}", core.presence.sight()).as_str(),
+        sight = format!("{:?}", core.presence.store_view()).as_str(),
         left_out
     });
 }
--- a/src/host/sync.rs
+++ b/src/host/sync.rs
@@ -14,7 +14,7 @@
 use super::store::{Client, Error};
 use super::watcher::{Reach, Steady, WATCHED};
 use super::{beat, join, now, proof, Host};
-use crate::control::presence::{Record, Sight};
+use crate::control::presence::{Record, StoreView};
 use crate::control::replica::Update;
 use crate::port::{Age, Call, Entry, Kind, Reply};
 
@@ -76,7 +76,7 @@
             () = host.watching.reached.notified() => {}
         }
         let now = now();
-        host.core.borrow_mut().presence.watch_store(now);
+        host.core.borrow_mut().presence.track_outage(now);
         let first = host.core.borrow().presence.is_watcher(now);
         let wanted = host.joined.get() && (first || reach.is_fresh(now));
         if host.joined.get() && !wanted {
@@ -137,10 +137,12 @@
     let only_near = host.begin.is_reading(now);
     let skip_host =
         |record: &Record| skip(record.feed) || (only_near && !core.presence.is_near(record));
-    if let Some((record, _)) = core.presence.source(now, skip_host) {
+    if let Some((record, _)) = core.presence.feed_source(now, skip_host) {
         return Some(record.feed);
     }
-    if !core.presence.is_alone(now) || !host.joined.get() || core.presence.sight() > Sight::Nothing
+    if !core.presence.is_alone(now)
+        || !host.joined.get()
+        || core.presence.store_view() > StoreView::Nothing
     {
         return None;
     }
@@ -163,7 +165,7 @@
         failed.insert(address, now);
     }
     if is_mute {
-        host.core.borrow_mut().presence.doubt(address);
+        host.core.borrow_mut().presence.forget_store_view(address);
         // One that has no copy yet would read all targets.
         if host.knows_store() {
             tokio::task::spawn_local(look_for_itself(host));
@@ -182,18 +184,18 @@
 pub(super) async fn note_sight(host: &Rc<Host>) {
     let known = host.knows_store();
     let sees = host.watching.sees(now());
-    let relayed = host.followed.get() == Some(Sight::Store) || host.begin.is_fresh(now());
+    let relayed = host.followed.get() == Some(StoreView::Store) || host.begin.is_fresh(now());
     let news = {
         let core = &mut *host.core.borrow_mut();
         let is_proved = core.is_proved(proof::moment());
         let sight = match (known, sees && is_proved, relayed && is_proved) {
-            (false, ..) => Sight::Nothing,
-            (true, true, _) => Sight::Store,
-            (true, false, true) => Sight::Relayed,
-            (true, false, false) => Sight::Stale,
+            (false, ..) => StoreView::Nothing,
+            (true, true, _) => StoreView::Store,
+            (true, false, true) => StoreView::Relayed,
+            (true, false, false) => StoreView::Stale,
         };
-        let before = core.presence.sight();
-        let news = core.presence.see(sight).then_some(before);
+        let before = core.presence.store_view();
+        let news = core.presence.set_store_view(sight).then_some(before);
         if news.is_some() {
             spdlog::info!("sync: the store is seen otherwise", kv: {
                 event = Event::Sight.as_str(),
--- a/src/host/throttle.rs
+++ b/src/host/throttle.rs
@@ -57,7 +57,7 @@
 async fn ask(host: &Host, keeper: &Arc<str>, claim: Claim) {
     let place = {
         let core = host.core.borrow();
-        let record = core.presence.known(keeper);
+        let record = core.presence.peer(keeper);
         record.map(|record| (record.peers, core.presence.is_near(record)))
     };
     let Some((address, is_near)) = place else {
@@ -91,7 +91,7 @@
 /// Takes in a keeper's answer, also one that comes late.
 pub(crate) fn granted(host: &Host, sender: SocketAddr, grant: &Grant) {
     let core = &mut *host.core.borrow_mut();
-    let Some(keeper) = core.presence.at(sender) else {
+    let Some(keeper) = core.presence.peer_at(sender) else {
         return;
     };
     core.fleet.granted(now(), &keeper.host, grant);
--- a/src/host/watcher.rs
+++ b/src/host/watcher.rs
@@ -12,7 +12,7 @@
 use super::feed::KINDS;
 use super::inquiry::{Inquiry, TERM};
 use super::{log, Host};
-use crate::control::freshness::Evidence;
+use crate::control::freshness::FreshnessTracker;
 use crate::port::Kind;
 
 /// How long it is decided so until a host leaves the watching to others.
@@ -31,7 +31,7 @@
 #[derive(Default)]
 pub(crate) struct Watching {
     is_on: Cell<bool>,
-    evidence: RefCell<Evidence>,
+    evidence: RefCell<FreshnessTracker>,
     /// Whether the store answered the last question.
     pub(super) answers: Cell<bool>,
     /// A look at the store was answered.
@@ -68,7 +68,7 @@
 
     /// The copy of a kind is as new as the store was at `asked`.
     pub(super) fn show(&self, kind: Kind, asked: Instant) {
-        self.evidence.borrow_mut().show(kind, asked);
+        self.evidence.borrow_mut().record(kind, asked);
     }
 
     /// The store did not answer.
@@ -78,7 +78,7 @@
 
     /// Whether the host watches the store and its copy is surely current, up to the time that questions take.
     pub(super) fn sees(&self, now: Instant) -> bool {
-        self.is_on.get() && self.evidence.borrow().holds(now, &KINDS, TERM)
+        self.is_on.get() && self.evidence.borrow().are_fresh(now, &KINDS, TERM)
     }
 
     /// Waits for the turn to bring a kind up to date.
@@ -133,7 +133,7 @@
             self.next.set(None);
             return;
         }
-        let interval = core.presence.look_interval();
+        let interval = core.presence.probe_interval();
         // All hosts lose the store at once, and are not to look at the same moment. Those that watched it may have lost it alone,
         // and nobody hears of changes until another one has looked.
         let first = now + interval.mul_f64(core.rng.random_range(0.0..FIRST));
--- a/src/port.rs
+++ b/src/port.rs
@@ -1,7 +1,9 @@
-//! Where a platform is fitted to the library: plain structs of functions, and the types they speak.
+//! The interface between the library and a platform: structs of functions that an adapter provides,
+//! and the types that they exchange.
 //!
-//! An adapter names and formats; it has no state and decides nothing. It turns its platform's bytes
-//! into the types of this module and back. All sockets, timers and decisions are the library's.
+//! An adapter translates names and formats; it has no state and decides nothing. It converts its
+//! platform's bytes to the types of this module and back. The library owns all sockets, timers and
+//! decisions.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,7 +25,7 @@
 use crate::steer::retry::Terms;
 use crate::steer::throttle::Rate;
 
-/// What a process learns at its start and when it is told to read its settings again.
+/// The settings that a process reads at its start and on each reload.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The host's name.
@@ -32,49 +34,52 @@
     pub zone: Arc<str>,
     /// The region of each availability zone.
     pub regions: BTreeMap<Arc<str>, Arc<str>>,
-    /// Where callers send requests.
+    /// Address that receives callers' requests.
     pub front: SocketAddr,
-    /// Where the platform asks whether the host takes requests.
+    /// Address that answers the platform's readiness checks.
     pub ready: Option<SocketAddr>,
-    /// Where callers look up hosts.
+    /// Address that answers callers' look-ups.
     pub lookup: Option<SocketAddr>,
-    /// Where other hosts send their heartbeats.
+    /// Address that receives the heartbeats of other hosts.
     pub peers: SocketAddr,
-    /// Where other hosts ask for what this one knows of the store.
+    /// Address of the feed, from which other hosts copy the contents of the store.
     pub feed: SocketAddr,
-    /// Feeds of some hosts, which may be gone.
+    /// Feed addresses of some hosts, which may no longer exist.
     pub seeds: Vec<SocketAddr>,
-    /// Where metrics are served.
+    /// Address that serves metrics.
     pub metrics: Option<SocketAddr>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// What callers may rely on.
+    /// Bounds that callers may rely on.
     pub bounds: Bounds,
-    /// How long after the host's start a request waits for the configuration at most.
+    /// Maximum time after the host's start for which a request waits for the configuration.
     pub start_wait: Duration,
-    /// Mechanisms in use.
+    /// Which mechanisms are enabled.
     pub switches: Switches,
-    /// How much the host can carry.
+    /// The capacity of the host.
     pub strength: presence::Strength,
 }
 
-/// Figures that a deployment sets for what callers may rely on.
+/// Limits that a deployment guarantees to its callers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Time from SIGTERM to the end of the process at the latest.
+    /// Maximum time from SIGTERM to the end of the process.
     pub grace: Duration,
-    /// The longest time for which an answer to a look-up counts.
+    /// Maximum time for which the answer to a look-up is valid.
     pub lookup_ttl: Duration,
-    /// Repeats allowed, by all hosts together.
+    /// Limits on repeats, for all hosts together.
     pub repeats: Terms,
-    /// Requests that a cold target bears at once beyond its rate, from all hosts together.
+    /// Number of requests that a cold target can take at once beyond its rate, from all hosts
+    /// together.
     pub cold_burst: f64,
-    /// Time between two heartbeats of a target to the store; its registration runs out after three without one.
+    /// Interval between a target's heartbeats to the store. Its registration expires after three
+    /// intervals without one.
     pub heartbeat: Duration,
-    /// After how long no host may use a key that was withdrawn, whether it has heard of that or not; without it hosts go on with
-    /// what they know.
+    /// Time after which no host may use a withdrawn key, whether it has learned of the withdrawal
+    /// or not. If unset, hosts continue with what they know.
     pub withdrawal: Option<Duration>,
-    /// What accounts may ask beyond their quotas at the most, in each window; without it quotas are not kept.
+    /// Maximum excess of accounts over their quotas in each window. If unset, quotas are not
+    /// enforced.
     pub excess: Option<Excess>,
 }
 
@@ -83,16 +88,16 @@
 pub enum Kind {
     /// The configuration.
     Config,
-    /// What targets say of themselves.
+    /// Registrations of targets.
     Targets,
-    /// Availability zones that are to get nothing.
+    /// Availability zones that must receive no requests.
     Evacuations,
-    /// What entry hosts say of themselves.
+    /// Registrations of entry hosts.
     Hosts,
 }
 
 impl Kind {
-    /// The kind as metrics name it.
+    /// The kind's name in metrics.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Self::Config => "configuration",
@@ -103,7 +108,7 @@
     }
 }
 
-/// One object of the store, decoded. The large ones are shared by all that hold them.
+/// One decoded object of the store. Large values are shared by all their holders.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Value {
     /// The configuration.
@@ -116,45 +121,45 @@
     Host(Box<presence::Record>),
 }
 
-/// An object by its name; without a value it was removed.
+/// A named object; without a value it was removed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
     /// The object's name, unique within its kind.
     pub name: Arc<str>,
     /// Its version.
     pub version: u64,
-    /// What it says.
+    /// Its value.
     pub value: Option<Value>,
 }
 
-/// How old an answer of the store may be.
+/// The maximum age of an answer of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Age {
-    /// It shows all that was acknowledged before the call.
+    /// The answer shows everything acknowledged before the call.
     Latest,
-    /// It may be some seconds old, and costs the store less.
+    /// The answer may be some seconds old, and costs the store less.
     Some,
 }
 
 /// A call to the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Call {
-    /// All objects of a kind, in pages.
+    /// Lists all objects of a kind, page by page.
     List {
         /// The kind.
         kind: Kind,
-        /// The last name of the page before.
+        /// The last name of the previous page.
         after: Option<Arc<str>>,
-        /// How old the answer may be.
+        /// The maximum age of the answer.
         age: Age,
     },
-    /// What has changed since a revision.
+    /// Waits for changes since a revision.
     Watch {
         /// The kind.
         kind: Kind,
         /// The revision of the last list or watch.
         revision: u64,
-        /// How long the store may wait for a change.
+        /// Maximum time that the store waits for a change.
         wait: Duration,
     },
     /// Registers an entry host that is not registered yet.
@@ -165,7 +170,7 @@
     Remove(Arc<str>, u64),
 }
 
-/// What the store answered.
+/// An answer of the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     /// One page of a list.
@@ -179,35 +184,36 @@
     },
     /// What has changed, in order.
     Changes {
-        /// The objects as they are after each change.
+        /// The objects as of each change.
         entries: Vec<Entry>,
-        /// The revision to go on from.
+        /// The revision to continue from.
         revision: u64,
     },
-    /// The change was made; the object has this version now.
+    /// The change was made; the object now has this version.
     Done(u64),
-    /// The object is not as the call expected; it has this version, if the store told it.
+    /// The object's version differs from the expected one; the actual version, if the store
+    /// reported it.
     Conflict(Option<u64>),
     /// There is no such object.
     Absent,
-    /// The history that a watch asked for is gone: list again.
+    /// The history for a watch is gone: list again.
     Expired,
-    /// Nothing was done: the store has too much to do, or is away.
+    /// Nothing was done: the store is overloaded or away.
     Busy,
 }
 
-/// An answer that does not follow the platform's format.
+/// Input that does not follow the platform's format.
 #[derive(Debug, thiserror::Error)]
 #[error("{place}: {cause}")]
 pub struct Malformed {
-    /// Which part of the message.
+    /// The part of the input.
     pub place: Arc<str>,
-    /// What is wrong with it.
+    /// The problem.
     pub cause: Arc<str>,
 }
 
 impl Malformed {
-    /// Something is wrong at `place`.
+    /// Creates an error for a problem at `place`.
     pub fn new(place: impl Into<Arc<str>>, cause: impl std::fmt::Display) -> Self {
         Self {
             place: place.into(),
@@ -216,75 +222,76 @@
     }
 }
 
-/// How the platform's store is spoken to.
+/// The encoding of calls to the platform's store.
 #[derive(Clone, Copy, Debug)]
 pub struct Store {
-    /// Writes a call as an HTTP request.
+    /// Encodes a call as an HTTP request.
     pub encode: fn(&Call) -> Result<Request<Bytes>, Malformed>,
-    /// Reads the answer to a call. Objects that can't be read are left out.
+    /// Decodes the answer to a call. Unreadable objects are left out.
     pub decode: fn(&Call, StatusCode, &[u8]) -> Decoded,
 }
 
-/// What an answer of the store was read as: the reply, and what of it had to be left out.
+/// A decoded answer of the store: the reply, and an error for each object that was left out.
 pub type Decoded = Result<(Reply, Vec<Malformed>), Malformed>;
 
-/// What a caller's request says beside its method, path and body.
+/// The head of a caller's request, apart from its method and path.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Head {
-    /// The caller's name for this attempt.
+    /// The caller's identifier of this attempt.
     pub id: Option<Arc<str>>,
     /// How long the caller waits.
     pub deadline: Option<Duration>,
     /// The object that the request concerns.
     pub affinity: Option<Arc<str>>,
-    /// What it says of its caller.
+    /// The caller's credential.
     pub credential: Credential,
 }
 
-/// What a target's answer says beside its status and body.
+/// The head of a target's answer, apart from its status.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Answer {
-    /// The request that it belongs to.
+    /// The request that it answers.
     pub id: Option<Arc<str>>,
     /// The target states that it did not run the request.
     pub not_run: bool,
-    /// The target is not the one that was meant, and did not run the request.
+    /// The target is not the intended process, and did not run the request.
     pub misdirected: bool,
     /// The target's load.
     pub load: Option<Load>,
-    /// The requests a second that it takes from all hosts together.
+    /// The requests per second that it accepts from all hosts together.
     pub rate: Rate,
 }
 
-/// What a target's health answer says.
+/// The content of a target's health answer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Health {
     /// The identity of its process.
     pub target: Option<Arc<str>>,
-    /// How much longer it is cold.
+    /// How much longer it remains cold.
     pub cold_left: Option<Duration>,
 }
 
-/// What callers and targets are told in headers.
+/// The headers of requests and answers.
 #[derive(Clone, Copy, Debug)]
 pub struct Wire {
     /// Reads the head of a caller's request.
     pub head: fn(&request::Parts) -> Head,
     /// Reads the head of a target's answer.
     pub answer: fn(&response::Parts) -> Answer,
-    /// Whether a header of a target's answer is one that the adapter reads, or that any answer may have.
+    /// Whether the adapter reads this header of a target's answer, or any answer may have it.
     pub is_usual: fn(&HeaderName) -> bool,
     /// Reads the head of a target's health answer.
     pub health: fn(&response::Parts) -> Health,
-    /// Adds what a target has to know: the time left, and which process is meant.
-    pub address: fn(&mut HeaderMap, Duration, &HeaderValue),
-    /// Takes away what a request says of its caller, and names the account whose request it is, if there is one.
-    pub name: fn(&mut HeaderMap, Option<&str>),
-    /// Adds when a refused caller may come back.
-    pub come_back: fn(&mut HeaderMap, Duration),
+    /// Adds the headers for a target: the remaining time and the intended process.
+    pub add_target_headers: fn(&mut HeaderMap, Duration, &HeaderValue),
+    /// Removes the caller's credential and adds the name of the account that the request belongs
+    /// to, if there is one.
+    pub replace_credential: fn(&mut HeaderMap, Option<&str>),
+    /// Adds the time after which a refused caller may retry.
+    pub add_retry_after: fn(&mut HeaderMap, Duration),
 }
 
-/// A question for the entry hosts to use.
+/// A look-up of the entry hosts to use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Question {
     /// The caller's region.
@@ -293,14 +300,14 @@
     pub zone: Arc<str>,
 }
 
-/// How callers look up hosts, and how the platform asks whether this one is ready.
+/// Look-ups by callers and readiness checks by the platform.
 #[derive(Clone, Copy, Debug)]
 pub struct Lookup {
-    /// The question in a request, if it is one.
+    /// The look-up in a request, if it is one.
     pub question: fn(&Uri) -> Option<Question>,
-    /// The answer: hosts, and how long it may be kept.
+    /// Builds the answer from hosts and the time for which it is valid.
     pub answer: fn(&[SocketAddr], Duration) -> Response<Bytes>,
-    /// Whether a request asks for readiness.
+    /// Whether a request is a readiness check.
     pub is_ready: fn(&Uri) -> bool,
 }
 
@@ -309,10 +316,10 @@
 pub struct Platform {
     /// Reads the settings file.
     pub settings: fn(&Path) -> Result<Settings, Malformed>,
-    /// The store.
+    /// The store's encoding.
     pub store: Store,
     /// Headers.
     pub wire: Wire,
-    /// Look-ups.
+    /// Look-ups and readiness checks.
     pub lookup: Lookup,
 }
--- a/tests/agent.rs
+++ b/tests/agent.rs
@@ -9,7 +9,7 @@
 use net::agents::{Fleet, FIRST};
 use ragwortfold::catalog::{HostKey, ZoneKey};
 use ragwortfold::control::delegate;
-use ragwortfold::control::membership::Sight;
+use ragwortfold::control::membership::ZoneStatus;
 
 /// A case: zones and hosts, the part of messages that is lost, and what happens.
 macro_rules! case {
@@ -29,7 +29,7 @@
 
 fn delegates(fleet: &Fleet, zone: ZoneKey) -> Vec<HostKey> {
     let (_, node) = fleet.nodes.iter().find(|(_, n)| n.zone == zone).unwrap();
-    delegate::of(zone, node.agent.membership(), &fleet.catalog)
+    delegate::zone_delegates(zone, node.agent.membership(), &fleet.catalog)
 }
 
 /// A zone in which the planner is not.
@@ -42,12 +42,12 @@
 
 fn is_gone(fleet: &Fleet, host: HostKey) -> bool {
     let mut nodes = fleet.nodes.values();
-    nodes.all(|node| !node.agent.live().contains(&host))
+    nodes.all(|node| !node.agent.live_hosts().contains(&host))
 }
 
-fn sees(fleet: &Fleet, zone: ZoneKey, sight: impl Fn(Sight) -> bool) -> bool {
+fn sees(fleet: &Fleet, zone: ZoneKey, sight: impl Fn(ZoneStatus) -> bool) -> bool {
     let mut others = fleet.nodes.values().filter(|node| node.zone != zone);
-    others.all(|node| sight(node.agent.sights()[&zone]))
+    others.all(|node| sight(node.agent.zone_statuses()[&zone]))
 }
 
 /// Ends a process and says after how long no host sends it new work any more.
@@ -96,7 +96,7 @@
     }
     for _ in 0..2_000 {
         fleet.tick();
-        assert!(sees(fleet, zone, |sight| sight == Sight::Alive));
+        assert!(sees(fleet, zone, |sight| sight == ZoneStatus::Alive));
     }
     assert!(both.iter().all(|&host| is_gone(fleet, host)));
     fleet.settle();
@@ -111,7 +111,7 @@
     }
     for _ in 0..2_000 {
         fleet.tick();
-        assert!(sees(fleet, zone, |sight| sight == Sight::Alive));
+        assert!(sees(fleet, zone, |sight| sight == ZoneStatus::Alive));
     }
     assert!(both.iter().all(|&host| is_gone(fleet, host)));
     fleet.settle();
@@ -145,17 +145,20 @@
     let all = fleet.hosts();
     fleet.part(&side, &all);
     fleet.store.apart.insert(zone);
-    let lost = |fleet: &Fleet| sees(fleet, zone, |sight| sight == Sight::Lost);
+    let lost = |fleet: &Fleet| sees(fleet, zone, |sight| sight == ZoneStatus::Lost);
     let took = fleet.until(20_000, lost);
     assert!(took.is_some_and(|took| took < 6_000), "{took:?}");
     // Inside, nothing is known of the others, and the own hosts go on.
     fleet.run(20_000);
     for &host in &side {
         let agent = &fleet.nodes[&host].agent;
-        assert_eq!(agent.live(), side.iter().copied().collect());
-        let others = agent.sights().into_iter().filter(|&(z, _)| z != zone);
+        assert_eq!(agent.live_hosts(), side.iter().copied().collect());
+        let others = agent
+            .zone_statuses()
+            .into_iter()
+            .filter(|&(z, _)| z != zone);
         for (_, sight) in others {
-            assert!(matches!(sight, Sight::Unknown(_)), "{sight:?}");
+            assert!(matches!(sight, ZoneStatus::Unknown(_)), "{sight:?}");
         }
     }
     lives_on(fleet);
@@ -183,7 +186,7 @@
     fleet.run(15_000);
     let all: BTreeSet<HostKey> = fleet.hosts().into_iter().collect();
     for node in fleet.nodes.values() {
-        assert_eq!(node.agent.live(), all);
+        assert_eq!(node.agent.live_hosts(), all);
         assert_eq!(node.agent.splits(), splits);
     }
     lives_on(fleet);
@@ -197,7 +200,10 @@
     for _ in 0..2_000 {
         fleet.tick();
         let all = fleet.nodes.len();
-        assert!(fleet.nodes.values().all(|n| n.agent.live().len() == all));
+        assert!(fleet
+            .nodes
+            .values()
+            .all(|n| n.agent.live_hosts().len() == all));
     }
     lives_on(fleet);
 }
@@ -205,7 +211,7 @@
 /// A planner sleeps past its lease with a write under way, and wakes.
 fn paused_planner(fleet: &mut Fleet) {
     let old = fleet.holder().unwrap();
-    let epoch = fleet.nodes[&old].agent.held(fleet.now());
+    let epoch = fleet.nodes[&old].agent.held_epoch(fleet.now());
     // Load that makes it write, and a way to the store on which its writes are late.
     fleet.store.late.insert(old, 12_000);
     fleet.running = 18.0;
@@ -217,7 +223,7 @@
     assert!(new.is_some() && new != Some(old));
     fleet.store.late.clear();
     fleet.run(15_000);
-    let stamp = fleet.nodes[&old].agent.stamp();
+    let stamp = fleet.nodes[&old].agent.plan_stamp();
     assert!(Some(stamp.epoch) > epoch, "the old planner follows the new");
     fleet.settle();
 }
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -11,7 +11,7 @@
 
 use ragwortfold::control::lease::{self, Candidacy, Condition, Lease, Version};
 use ragwortfold::control::plan::{Gate, Stamp};
-use ragwortfold::control::publish::{self, Publish};
+use ragwortfold::control::publish::{self, Publisher};
 
 /// Step of the virtual clock, in milliseconds.
 const STEP: u64 = 25;
@@ -80,7 +80,7 @@
 
 struct Host {
     lease: Lease,
-    publish: Option<(u64, Publish)>,
+    publish: Option<(u64, Publisher)>,
     gate: Gate,
     /// Rate of its clock.
     rate: f64,
@@ -136,7 +136,7 @@
         let hosts = (0..hosts)
             .map(|n| {
                 let mut lease = Lease::new(base, format!("host-{n}.1").into());
-                lease.stand(base, Candidacy::Stands);
+                lease.set_candidacy(base, Candidacy::Eligible);
                 Host {
                     lease,
                     publish: None,
@@ -265,13 +265,14 @@
         let rng = &mut self.rng;
         let host = &mut self.hosts[host];
         match answer {
-            Answer::Lease(event) => host.lease.event(now, event, rng),
+            Answer::Lease(event) => host.lease.handle_event(now, event, rng),
             Answer::Plan(event) => {
                 let Some((_, publish)) = &mut host.publish else {
                     return;
                 };
-                if let Some(publish::Outcome::Fenced(epoch)) = publish.event(now, event, rng) {
-                    host.lease.learn(epoch);
+                if let Some(publish::Outcome::Fenced(epoch)) = publish.handle_event(now, event, rng)
+                {
+                    host.lease.observe_epoch(epoch);
                 }
             }
         }
@@ -285,15 +286,15 @@
         let Self { hosts, rng, .. } = self;
         let it = &mut hosts[host];
         let command = it.lease.tick(now, rng);
-        let held = it.lease.held(now);
+        let held = it.lease.held_epoch(now);
         let current = it.publish.as_ref().map(|(epoch, _)| *epoch);
         if let (Some(epoch), true) = (held, held != current) {
-            it.publish = Some((epoch, Publish::new(now, epoch)));
+            it.publish = Some((epoch, Publisher::new(now, epoch)));
         }
         let mut plan = None;
         if let Some((_, publish)) = &mut it.publish {
             if rng.random_bool(0.02) {
-                publish.want();
+                publish.request_write();
             }
             plan = publish.tick(now, held);
         }
@@ -340,7 +341,7 @@
     /// Pauses a host, just as it sends what it has to send.
     fn pause(&mut self, host: usize, pause: u64) {
         if let Some((_, publish)) = &mut self.hosts[host].publish {
-            publish.want();
+            publish.request_write();
         }
         self.stuck = Some(pause);
         self.act(host);
@@ -351,7 +352,7 @@
     fn holders(&self) -> BTreeSet<usize> {
         (0..self.hosts.len())
             .filter(|&n| !self.hosts[n].dead)
-            .filter(|&n| self.hosts[n].lease.held(self.clock(n)).is_some())
+            .filter(|&n| self.hosts[n].lease.held_epoch(self.clock(n)).is_some())
             .collect()
     }
 
@@ -464,7 +465,7 @@
     fn new() -> Self {
         let base = Instant::now();
         let mut lease = Lease::new(base, "a.1".into());
-        lease.stand(base, Candidacy::Stands);
+        lease.set_candidacy(base, Candidacy::Eligible);
         Self {
             base,
             rng: Pcg64::seed_from_u64(1),
@@ -483,7 +484,7 @@
 
     fn event(&mut self, millis: u64, event: lease::Event) {
         let now = self.at(millis);
-        self.lease.event(now, event, &mut self.rng);
+        self.lease.handle_event(now, event, &mut self.rng);
     }
 
     /// The value of the write that is due by `millis`.
@@ -495,7 +496,7 @@
     }
 
     fn held(&self, millis: u64) -> Option<u64> {
-        self.lease.held(self.at(millis))
+        self.lease.held_epoch(self.at(millis))
     }
 
     /// Takes a free lease by a write sent at 1,000 ms.
@@ -590,7 +591,7 @@
         it.take();
         it.event(1_010, lease::Event::Written("v1".into()));
         let now = it.at(1_200);
-        it.lease.stand(now, Candidacy::Abstains);
+        it.lease.set_candidacy(now, Candidacy::Ineligible);
         assert_eq!(it.write(1_200).ttl, Duration::ZERO);
         assert_eq!(it.held(1_200), None);
     },
@@ -601,7 +602,7 @@
         assert_eq!(it.write(20_000).epoch, 2);
     },
     an_epoch_of_a_plan_is_never_gone_below: |it| {
-        it.lease.learn(41);
+        it.lease.observe_epoch(41);
         assert_eq!(it.take().epoch, 42);
     },
     a_store_that_lags_is_not_asked_in_a_loop: |it| {
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -14,7 +14,9 @@
 use ragwortfold::border::configuration::Configuration;
 use ragwortfold::catalog::{Catalog, HostKey};
 use ragwortfold::control::delegate;
-use ragwortfold::control::membership::{Change, Listing, Membership, Sight, State, Status, Via};
+use ragwortfold::control::membership::{
+    Change, Listing, Membership, State, Status, Via, ZoneStatus,
+};
 
 macro_rules! case {
     ($($name:ident: $zones:literal x $hosts:literal, $body:expr),* $(,)?) => {
@@ -69,20 +71,20 @@
         net.down(b, a);
         net.run(30_000);
         assert_eq!(net.died, []);
-        assert!(net.nodes[&a].alive(b) && net.nodes[&a].live_hosts().contains(&b));
-        assert!(!net.nodes[&a].reachable(b));
+        assert!(net.nodes[&a].is_alive(b) && net.nodes[&a].live_hosts().contains(&b));
+        assert!(!net.nodes[&a].is_reachable(b));
     },
     one_deaf_direction_kills_nobody: 1 x 4, |net| {
         let (a, b) = (net.host("ent-00-00"), net.host("ent-00-01"));
         net.cut.insert((b, a));
         net.run(30_000);
         assert_eq!(net.died, []);
-        assert!(!net.nodes[&a].reachable(b), "it is not heard");
-        assert!(!net.nodes[&b].reachable(a), "it says that it does not hear");
-        assert!(net.nodes[&a].alive(b) && net.nodes[&b].alive(a));
+        assert!(!net.nodes[&a].is_reachable(b), "it is not heard");
+        assert!(!net.nodes[&b].is_reachable(a), "it says that it does not hear");
+        assert!(net.nodes[&a].is_alive(b) && net.nodes[&b].is_alive(a));
         net.cut.clear();
         net.run(1_500);
-        assert!(net.nodes[&a].reachable(b) && net.nodes[&b].reachable(a));
+        assert!(net.nodes[&a].is_reachable(b) && net.nodes[&b].is_reachable(a));
     },
     an_observer_that_was_paused_declares_nobody_dead: 2 x 3, |net| {
         let a = net.host("ent-00-00");
@@ -91,7 +93,7 @@
         assert!(net.died.iter().all(|&(_, observer, _)| observer != a));
         assert!(net.died.iter().any(|&(_, _, dead)| dead == a));
         assert_eq!(net.status(net.host("ent-00-01"), a), Status::Alive);
-        assert!(net.nodes[&a].zone(net.zone("zone-01")) == Sight::Alive);
+        assert!(net.nodes[&a].zone_status(net.zone("zone-01")) == ZoneStatus::Alive);
     },
     a_pause_hides_no_death: 1 x 4, |net| {
         let (a, b) = (net.host("ent-00-00"), net.host("ent-00-01"));
@@ -104,7 +106,7 @@
         let (a, b) = (net.host("ent-00-00"), net.host("ent-00-01"));
         net.nodes.get_mut(&b).expect("b").leave();
         net.run(600);
-        assert!(net.nodes[&a].alive(b));
+        assert!(net.nodes[&a].is_alive(b));
         assert!(!net.nodes[&a].live_hosts().contains(&b));
         assert!(!net.nodes[&b].live_hosts().contains(&b));
     },
@@ -112,26 +114,26 @@
         net.part(&["zone-03"]);
         net.run(2_500);
         let a = net.host("ent-00-00");
-        assert_eq!(net.nodes[&a].zone(net.zone("zone-03")), Sight::Lost);
-        assert_eq!(net.nodes[&a].zone(net.zone("zone-02")), Sight::Alive);
+        assert_eq!(net.nodes[&a].zone_status(net.zone("zone-03")), ZoneStatus::Lost);
+        assert_eq!(net.nodes[&a].zone_status(net.zone("zone-02")), ZoneStatus::Alive);
         let b = net.host("ent-03-00");
-        let cut = net.nodes[&b].zone(net.zone("zone-00"));
-        assert!(matches!(cut, Sight::Unknown(Some(_))), "{cut:?}");
-        assert_eq!(net.nodes[&b].zone(net.zone("zone-03")), Sight::Alive);
+        let cut = net.nodes[&b].zone_status(net.zone("zone-00"));
+        assert!(matches!(cut, ZoneStatus::Unknown(Some(_))), "{cut:?}");
+        assert_eq!(net.nodes[&b].zone_status(net.zone("zone-03")), ZoneStatus::Alive);
         net.cut.clear();
         net.run(1_000);
-        assert_eq!(net.nodes[&a].zone(net.zone("zone-03")), Sight::Alive);
+        assert_eq!(net.nodes[&a].zone_status(net.zone("zone-03")), ZoneStatus::Alive);
     },
     a_lost_region_is_lost_to_the_others: 6 x 2, |net| {
         net.part(&["zone-02", "zone-03"]);
         net.run(2_500);
         let (a, b) = (net.host("ent-00-00"), net.host("ent-02-00"));
         for zone in ["zone-02", "zone-03"] {
-            assert_eq!(net.nodes[&a].zone(net.zone(zone)), Sight::Lost);
+            assert_eq!(net.nodes[&a].zone_status(net.zone(zone)), ZoneStatus::Lost);
         }
-        assert_eq!(net.nodes[&b].zone(net.zone("zone-03")), Sight::Alive);
+        assert_eq!(net.nodes[&b].zone_status(net.zone("zone-03")), ZoneStatus::Alive);
         for zone in ["zone-00", "zone-01", "zone-04", "zone-05"] {
-            assert!(matches!(net.nodes[&b].zone(net.zone(zone)), Sight::Unknown(_)));
+            assert!(matches!(net.nodes[&b].zone_status(net.zone(zone)), ZoneStatus::Unknown(_)));
         }
     },
     half_the_zones_never_call_the_other_half_lost: 6 x 2, |net| {
@@ -140,7 +142,7 @@
         for node in net.nodes.values() {
             for zone in 0..6 {
                 let zone = net.zone(&format!("zone-{zone:02}"));
-                assert_ne!(node.zone(zone), Sight::Lost);
+                assert_ne!(node.zone_status(zone), ZoneStatus::Lost);
             }
         }
     },
@@ -177,7 +179,7 @@
         let now = self.at(at);
         let via = Via::Direct;
         self.node
-            .heard(now, host, incarnation, sequence, state, via);
+            .record_heard(now, host, incarnation, sequence, state, via);
     }
 
     /// Ticks every 100 ms up to and with `to`.
@@ -226,7 +228,7 @@
     },
     the_list_never_kills_who_is_heard: |it| {
         let now = it.at(0);
-        it.node.listed(now, it.peer, Listing::Absent);
+        it.node.set_listing(now, it.peer, Listing::Absent);
         for beat in 0..20 {
             it.hear(500 * beat, it.peer, 5, beat, State::Serving);
             assert!(!it.ticks(500 * beat, 500 * beat + 400).contains(&Change::Died(it.peer)));
@@ -235,26 +237,26 @@
     the_list_confirms_a_suspicion: |it| {
         it.hear(0, it.peer, 5, 1, State::Serving);
         let now = it.at(0);
-        it.node.listed(now, it.peer, Listing::Absent);
+        it.node.set_listing(now, it.peer, Listing::Absent);
         assert_eq!(it.ticks(100, 1_300).last(), Some(&Change::Died(it.peer)));
     },
     the_list_gives_notice_of_leaving: |it| {
         it.hear(0, it.peer, 5, 1, State::Serving);
         let now = it.at(0);
-        it.node.listed(now, it.peer, Listing::Leaving);
+        it.node.set_listing(now, it.peer, Listing::Leaving);
         assert!(!it.node.live_hosts().contains(&it.peer));
         it.hear(100, it.peer, 6, 1, State::Serving);
         assert!(it.node.live_hosts().contains(&it.peer));
     },
     the_list_makes_nobody_alive: |it| {
         let now = it.at(0);
-        it.node.listed(now, it.peer, Listing::Live);
+        it.node.set_listing(now, it.peer, Listing::Live);
         assert_eq!(it.node.status(it.peer), Status::Unknown);
     },
     a_relayed_host_lasts_as_long_as_it_is_spoken_of: |it| {
         let now = it.at(0);
         let via = Via::Relayed(ms(400));
-        it.node.heard(now, it.remote, 3, 8, State::Serving, via);
+        it.node.record_heard(now, it.remote, 3, 8, State::Serving, via);
         assert_eq!(it.ticks(100, 7_900), [Change::Joined(it.remote)]);
         let changes = it.ticks(8_000, 12_000);
         assert_eq!(changes, [Change::Suspected(it.remote), Change::Died(it.remote)]);
@@ -264,54 +266,54 @@
         let other = it.catalog.host_key("ent-01-01").expect("a host");
         let mut sender = Membership::new(it.base, remote, 1, &it.catalog);
         sender.link_up(it.base, other);
-        sender.heard(it.base, other, 1, 1, State::Serving, Via::Direct);
+        sender.record_heard(it.base, other, 1, 1, State::Serving, Via::Direct);
         let roster = sender.roster(it.base);
         let now = it.at(50);
-        it.node.know(now, &roster.hosts, ms(50));
-        assert!(it.node.alive(remote) && it.node.alive(other));
+        it.node.merge_known(now, &roster.hosts, ms(50));
+        assert!(it.node.is_alive(remote) && it.node.is_alive(other));
         (100..=2_000).step_by(100).for_each(|at| drop(sender.tick(it.base + ms(at))));
         it.ticks(100, 2_000);
         let now = it.at(2_050);
-        it.node.know(now, &sender.roster(it.base + ms(2_000)).hosts, ms(50));
-        assert!(it.node.alive(remote) && !it.node.alive(other));
+        it.node.merge_known(now, &sender.roster(it.base + ms(2_000)).hosts, ms(50));
+        assert!(it.node.is_alive(remote) && !it.node.is_alive(other));
     },
     a_digest_vouches_for_a_known_roster_only: |it| {
         let zone = it.catalog.zone_key("zone-01").expect("a zone");
         let sender = Membership::new(it.base, it.remote, 1, &it.catalog);
         let roster = sender.roster(it.base);
         let digest = roster.digest();
-        assert!(!it.node.vouch(it.base, zone, digest, ms(0)));
-        it.node.enroll(it.base, roster, ms(0));
+        assert!(!it.node.confirm_roster(it.base, zone, digest, ms(0)));
+        it.node.merge_roster(it.base, roster, ms(0));
         for at in (1_000..=60_000).step_by(1_000) {
             let now = it.at(at);
-            assert!(it.node.vouch(now, zone, digest, ms(1)));
-            assert!(!it.node.vouch(now, zone, digest + 1, ms(1)));
+            assert!(it.node.confirm_roster(now, zone, digest, ms(1)));
+            assert!(!it.node.confirm_roster(now, zone, digest + 1, ms(1)));
             it.ticks(at, at + 900);
         }
-        assert!(it.node.alive(it.remote));
-        assert_eq!(it.node.zone(zone), Sight::Alive);
+        assert!(it.node.is_alive(it.remote));
+        assert_eq!(it.node.zone_status(zone), ZoneStatus::Alive);
         it.ticks(61_000, 75_000);
-        assert!(!it.node.alive(it.remote));
+        assert!(!it.node.is_alive(it.remote));
     },
     reports_of_a_delegate_tell_of_a_lost_zone: |it| {
         let zone = it.catalog.zone_key("zone-01").expect("a zone");
         let now = it.at(0);
-        it.node.heard(now, it.remote, 3, 8, State::Serving, Via::Relayed(ms(0)));
+        it.node.record_heard(now, it.remote, 3, 8, State::Serving, Via::Relayed(ms(0)));
         it.ticks(100, 2_500);
-        assert_eq!(it.node.zone(zone), Sight::Alive);
+        assert_eq!(it.node.zone_status(zone), ZoneStatus::Alive);
         let report = ragwortfold::control::membership::Report {
             zone: "zone-01".into(), age_ms: 2_400, lost: true,
         };
         let now = it.at(2_500);
-        it.node.report(now, &[report], ms(1));
+        it.node.merge_reports(now, &[report], ms(1));
         it.ticks(2_600, 2_600);
-        assert_eq!(it.node.zone(zone), Sight::Lost);
+        assert_eq!(it.node.zone_status(zone), ZoneStatus::Lost);
         it.hear(2_700, it.remote, 3, 9, State::Serving);
-        it.node.unlinked(it.remote);
+        it.node.link_closed(it.remote);
         it.ticks(2_700, 2_700);
-        assert_eq!(it.node.zone(zone), Sight::Alive, "heard after it was told lost");
+        assert_eq!(it.node.zone_status(zone), ZoneStatus::Alive, "heard after it was told lost");
         it.ticks(2_800, 20_000);
-        assert!(matches!(it.node.zone(zone), Sight::Unknown(_)));
+        assert!(matches!(it.node.zone_status(zone), ZoneStatus::Unknown(_)));
     },
     the_first_tick_after_a_pause_kills_nobody: |it| {
         it.hear(0, it.peer, 5, 1, State::Serving);
@@ -334,7 +336,7 @@
         let folder = serde_json::json!({});
         let empty: Configuration = serde_json::from_value(folder).expect("a configuration");
         let next = it.catalog.with_revision(2, &empty).expect("a catalog");
-        it.node.configured(&next);
+        it.node.apply_catalog(&next);
         assert_eq!(it.node.status(it.peer), Status::Unknown);
     },
 }
@@ -367,7 +369,7 @@
     let mut live: BTreeSet<HostKey> = catalog.hosts().map(|(key, _)| key).collect();
     let all: Vec<HostKey> = live.iter().copied().collect();
     let mut rng = Pcg64::seed_from_u64(3);
-    let mut before = delegate::choose(zone, &live, &catalog);
+    let mut before = delegate::choose_delegates(zone, &live, &catalog);
     let (mut events, mut changed) = (0, 0);
     for _ in 0..2_000 {
         let host = all[rng.random_range(0..all.len())];
@@ -377,7 +379,7 @@
         if live.len() < 2 {
             continue;
         }
-        let after = delegate::choose(zone, &live, &catalog);
+        let after = delegate::choose_delegates(zone, &live, &catalog);
         let gone = before.iter().filter(|host| !after.contains(host)).count();
         let need = before.iter().filter(|host| !live.contains(host)).count();
         assert!(gone <= need.max(1) && gone <= 1, "one event, one delegate");
@@ -394,7 +396,7 @@
     let now = Instant::now();
     let mut membership = Membership::new(now, own, 1, catalog);
     for (key, _) in catalog.hosts().filter(|&(key, _)| key != own) {
-        membership.heard(now, key, 1, 1, State::Serving, Via::Relayed(ms(0)));
+        membership.record_heard(now, key, 1, 1, State::Serving, Via::Relayed(ms(0)));
     }
     membership
 }
@@ -406,7 +408,7 @@
         let mut links: BTreeMap<HostKey, BTreeSet<HostKey>> = BTreeMap::new();
         for (key, _) in catalog.hosts() {
             let membership = known(&catalog, key);
-            links.insert(key, delegate::links(key, &membership, &catalog));
+            links.insert(key, delegate::wanted_links(key, &membership, &catalog));
         }
         for (from, others) in &links {
             assert!(
@@ -434,7 +436,7 @@
         let mut next = 0;
         while next < reached.len() {
             let branches = delegate::branches(root, reached[next], &live, &catalog);
-            assert!(branches.len() <= delegate::FAN);
+            assert!(branches.len() <= delegate::TREE_FANOUT);
             reached.extend(branches);
             next += 1;
         }
@@ -452,7 +454,7 @@
     let mut membership = Membership::new(now, own, 1, &catalog);
     let mut tried = BTreeSet::new();
     for round in 0..2 {
-        for host in delegate::of(zone, &membership, &catalog) {
+        for host in delegate::zone_delegates(zone, &membership, &catalog) {
             membership.link_down(now + ms(round), host);
             tried.insert(host);
         }
--- a/tests/net/agents.rs
+++ b/tests/net/agents.rs
@@ -480,16 +480,16 @@
             Event::Leased(host, incarnation, event) => {
                 let node = self.nodes.get_mut(&host);
                 if let Some(node) = node.filter(|node| node.incarnation == incarnation) {
-                    node.agent.leased(now, event, &mut self.rng);
+                    node.agent.handle_lease_event(now, event, &mut self.rng);
                 }
             }
             Event::Published(host, incarnation, event, found) => {
                 let node = self.nodes.get_mut(&host);
                 if let Some(node) = node.filter(|node| node.incarnation == incarnation) {
                     if let Some(found) = found {
-                        node.agent.stored(now, *found);
+                        node.agent.adopt_stored_plan(now, *found);
                     }
-                    node.agent.published(now, event, &mut self.rng);
+                    node.agent.handle_publish_event(now, event, &mut self.rng);
                 }
             }
         }
@@ -634,7 +634,7 @@
         if second {
             let loads = self.loads(host);
             let node = self.nodes.get_mut(&host).expect("a node");
-            node.agent.measure(now, loads, BTreeSet::new());
+            node.agent.set_loads(now, loads, BTreeSet::new());
         }
         let node = self.nodes.get_mut(&host).expect("a node");
         for output in node.agent.tick(now, 1, &mut self.rng) {
@@ -694,7 +694,7 @@
         let now = self.now();
         let mut holders = 0;
         for (&host, node) in &self.nodes {
-            let stamp = node.agent.stamp();
+            let stamp = node.agent.plan_stamp();
             let newest = self.newest.entry((host, node.incarnation)).or_default();
             assert!(*newest <= stamp, "an older plan was taken");
             if *newest < stamp {
@@ -708,7 +708,7 @@
                 assert!(*known == splits, "two plans with the stamp {stamp:?}");
             }
             let awake = self.paused.get(&host).is_none_or(|&at| at <= self.time);
-            holders += usize::from(awake && node.agent.held(now).is_some());
+            holders += usize::from(awake && node.agent.held_epoch(now).is_some());
         }
         assert!(holders <= 1, "{holders} hosts hold the lease");
     }
@@ -718,15 +718,18 @@
         let now = self.now();
         let mut nodes = self.nodes.iter();
         nodes
-            .find(|(_, node)| node.agent.held(now).is_some())
+            .find(|(_, node)| node.agent.held_epoch(now).is_some())
             .map(|(&host, _)| host)
     }
 
     /// Whether all hosts that run know of each other and follow one plan.
     pub fn is_settled(&self) -> bool {
         let all: BTreeSet<HostKey> = self.nodes.keys().copied().collect();
-        let stamps: BTreeSet<Stamp> = self.nodes.values().map(|n| n.agent.stamp()).collect();
-        let known = self.nodes.values().all(|node| node.agent.live() == all);
+        let stamps: BTreeSet<Stamp> = self.nodes.values().map(|n| n.agent.plan_stamp()).collect();
+        let known = self
+            .nodes
+            .values()
+            .all(|node| node.agent.live_hosts() == all);
         known && stamps.len() == 1 && self.holder().is_some() && !self.plans.is_empty()
     }
 
--- a/tests/net/mod.rs
+++ b/tests/net/mod.rs
@@ -11,7 +11,7 @@
 use ragwortfold::border::configuration::Configuration;
 use ragwortfold::catalog::{Catalog, HostKey, ZoneKey};
 use ragwortfold::control::detector::INTERVAL;
-use ragwortfold::control::membership::{Beat, Change, Membership, Status};
+use ragwortfold::control::membership::{Change, Heartbeat, Membership, Status};
 
 pub mod agents;
 
@@ -63,7 +63,7 @@
     pub loss: f64,
     pub jitter: u64,
     pub rng: Pcg64,
-    pub due: BTreeMap<(u64, u64), (HostKey, HostKey, Beat)>,
+    pub due: BTreeMap<(u64, u64), (HostKey, HostKey, Heartbeat)>,
     pub serial: u64,
 }
 
@@ -115,7 +115,7 @@
             .is_some_and(|&until| until > self.time)
     }
 
-    pub fn post(&mut self, from: HostKey, to: HostKey, beat: Beat) {
+    pub fn post(&mut self, from: HostKey, to: HostKey, beat: Heartbeat) {
         let lost = self.rng.random_bool(self.loss);
         if lost || self.cut.contains(&(from, to)) {
             return;
@@ -126,7 +126,7 @@
     }
 
     pub fn spread(&mut self, from: HostKey) {
-        let beat = self.nodes[&from].beat(INTERVAL);
+        let beat = self.nodes[&from].heartbeat(INTERVAL);
         let others: Vec<HostKey> = self.nodes.keys().copied().collect();
         for to in others.into_iter().filter(|&to| to != from) {
             self.post(from, to, beat.clone());
@@ -167,7 +167,7 @@
             let beat = (self.time + 70 * n as u64) % 500 < 10;
             let node = self.nodes.get_mut(&host).expect("a node");
             if beat {
-                node.advance();
+                node.advance_sequence();
             }
             let mut ask = beat;
             if self.time.is_multiple_of(100) {
--- a/tests/plan.rs
+++ b/tests/plan.rs
@@ -13,10 +13,10 @@
 use planning::{burst, catalog, catalog_with, Course, World};
 use ragwortfold::catalog::{Catalog, HostKey, ServiceKey, ZoneKey};
 use ragwortfold::control::digest::{self, Digest, Level, Levels};
-use ragwortfold::control::membership::{Membership, Sight, State, Via};
+use ragwortfold::control::membership::{Membership, State, Via, ZoneStatus};
 use ragwortfold::control::plan::{Bonus, Plan, Record, Shares, Stamp};
-use ragwortfold::control::planner::{wanted, Causality, Planner, View};
-use ragwortfold::control::summary::{Load, Message, Sample, Sender, Table, Taken};
+use ragwortfold::control::planner::{wanted_quotas, Causality, Planner, View};
+use ragwortfold::control::summary::{ApplyResult, Load, Message, Sample, Sender, Table};
 
 #[test]
 fn samples_taken_after_the_last_step_keep_the_split_from_overshooting() {
@@ -146,7 +146,7 @@
         assert_eq!(world.away(), 0.0);
     },
     a_lost_zone_gives_all_to_its_sibling: |world| {
-        world.sights.insert(world.zones[0], Sight::Lost);
+        world.sights.insert(world.zones[0], ZoneStatus::Lost);
         world.muted = vec![world.zones[0]];
         world.run(120);
         let share = |n: usize| world.share(world.regions[0], world.zones[n]);
@@ -235,9 +235,9 @@
             ages: BTreeMap::from([(world.zones[0], Duration::from_millis(1_200))]),
         };
         let mut bytes = Vec::new();
-        ciborium::into_writer(&plan.record(&world.catalog), &mut bytes).expect("bytes");
+        ciborium::into_writer(&plan.to_record(&world.catalog), &mut bytes).expect("bytes");
         let record: Record = ciborium::from_reader(bytes.as_slice()).expect("a record");
-        let back = record.plan(&world.catalog);
+        let back = record.to_plan(&world.catalog);
         prop_assert_eq!(&back.bonuses, &plan.bonuses);
         prop_assert_eq!(back.stamp, plan.stamp);
         let shares_back = &back.splits[&(world.service, world.regions[0])];
@@ -251,19 +251,19 @@
 #[test]
 fn a_difference_makes_the_plan_whole_again() {
     let mut world = quiet((0.25, 10));
-    let old = world.plan.record(&world.catalog);
+    let old = world.plan.to_record(&world.catalog);
     world.demand = [220.0, 40.0];
     world.run(60);
-    let new = world.plan.record(&world.catalog);
-    let difference = new.since(&old);
+    let new = world.plan.to_record(&world.catalog);
+    let difference = new.difference_from(&old);
     assert_eq!(difference.base, Some(old.stamp));
     assert_eq!(difference.splits["lookups"].len(), 1, "one locality moved");
-    assert_eq!(difference.onto(&old), Some(new.clone()));
-    assert_eq!(difference.onto(&new), None);
+    assert_eq!(difference.applied_to(&old), Some(new.clone()));
+    assert_eq!(difference.applied_to(&new), None);
     let mut less = new.clone();
     less.splits.clear();
-    assert_eq!(less.since(&new), less);
-    assert_eq!(new.onto(&Record::default()), Some(new.clone()));
+    assert_eq!(less.difference_from(&new), less);
+    assert_eq!(new.applied_to(&Record::default()), Some(new.clone()));
 }
 
 /// Two hosts of a zone and a delegate of it, with reports given by hand.
@@ -315,9 +315,10 @@
         self.senders[host].message(now, &sample, &self.catalog)
     }
 
-    fn take(&mut self, at: u64, message: &Message) -> Taken {
+    fn take(&mut self, at: u64, message: &Message) -> ApplyResult {
         let now = self.at(at);
-        self.table.take(now, message, Duration::ZERO, &self.catalog)
+        self.table
+            .apply(now, message, Duration::ZERO, &self.catalog)
     }
 
     fn merged(&self, at: u64) -> Option<Sample> {
@@ -359,9 +360,9 @@
         let second = it.message(2_000, 0, 3.1, 0);
         assert!(first.head.full && !second.head.full && second.loads.is_empty());
         it.take(0, &first);
-        assert_eq!(it.take(2_000, &second), Taken::Newer);
+        assert_eq!(it.take(2_000, &second), ApplyResult::Newer);
         assert_eq!(it.in_flight(6_000), 3.0);
-        let entry = it.table.source(it.hosts[0]).and_then(|source| source.load(it.service));
+        let entry = it.table.host_source(it.hosts[0]).and_then(|source| source.load(it.service));
         assert_eq!(entry.map(|entry| entry.sampled), Some(it.at(2_000)));
     },
     a_gap_leaves_the_rest_as_old_as_it_was: |it| {
@@ -370,32 +371,32 @@
         let third = it.message(4_000, 0, 9.0, 0);
         let fourth = it.message(6_000, 0, 9.0, 0);
         it.take(0, &first);
-        assert_eq!(it.take(4_000, &third), Taken::Gap);
-        assert_eq!(it.take(6_000, &fourth), Taken::Gap);
-        let entry = it.table.source(it.hosts[0]).and_then(|source| source.load(it.service));
+        assert_eq!(it.take(4_000, &third), ApplyResult::Gap);
+        assert_eq!(it.take(6_000, &fourth), ApplyResult::Gap);
+        let entry = it.table.host_source(it.hosts[0]).and_then(|source| source.load(it.service));
         assert_eq!(entry.map(|entry| entry.sampled), Some(it.at(0)));
-        it.senders[0].refill();
+        it.senders[0].request_full();
         let full = it.message(8_000, 0, 9.0, 0);
-        assert_eq!(it.take(8_000, &full), Taken::Newer);
+        assert_eq!(it.take(8_000, &full), ApplyResult::Newer);
         assert_eq!(it.in_flight(8_000), 9.0);
     },
     older_messages_are_ignored: |it| {
         let first = it.message(0, 0, 3.0, 0);
-        it.senders[0].refill();
+        it.senders[0].request_full();
         let second = it.message(2_000, 0, 5.0, 0);
-        assert_eq!(it.take(2_000, &second), Taken::Newer);
-        assert_eq!(it.take(2_000, &first), Taken::Ignored);
-        assert_eq!(it.take(2_000, &second), Taken::Ignored);
+        assert_eq!(it.take(2_000, &second), ApplyResult::Newer);
+        assert_eq!(it.take(2_000, &first), ApplyResult::Ignored);
+        assert_eq!(it.take(2_000, &second), ApplyResult::Ignored);
         it.senders[0] = Sender::new(it.hosts[0], 2);
         let restarted = it.message(2_500, 0, 1.0, 0);
-        assert_eq!(it.take(2_500, &restarted), Taken::Newer);
-        assert_eq!(it.take(2_600, &second), Taken::Ignored);
+        assert_eq!(it.take(2_500, &restarted), ApplyResult::Newer);
+        assert_eq!(it.take(2_600, &second), ApplyResult::Ignored);
         assert_eq!(it.in_flight(2_600), 1.0);
     },
     a_host_that_is_not_configured_is_ignored: |it| {
         let mut message = it.message(0, 0, 3.0, 0);
         message.head.host = "nobody".into();
-        assert_eq!(it.take(0, &message), Taken::Ignored);
+        assert_eq!(it.take(0, &message), ApplyResult::Ignored);
     },
     wants_are_passed_on: |it| {
         let region = it.catalog.region_key("b").expect("a region");
@@ -409,9 +410,9 @@
         let message = it.senders[1].message(now, &sample, &it.catalog);
         it.take(0, &message);
         let sights = BTreeMap::new();
-        let view = View { catalog: &it.catalog, summaries: &it.table, sights: &sights };
-        assert_eq!(wanted(now, &view), BTreeMap::from([(key, 12.5)]));
-        assert_eq!(wanted(it.at(11_000), &view), BTreeMap::new());
+        let view = View { catalog: &it.catalog, summaries: &it.table, zone_statuses: &sights };
+        assert_eq!(wanted_quotas(now, &view), BTreeMap::from([(key, 12.5)]));
+        assert_eq!(wanted_quotas(it.at(11_000), &view), BTreeMap::new());
     },
 }
 
@@ -435,7 +436,7 @@
         let key = |name: &str| catalog.host_key(name).expect("a host");
         let (own, other) = (key("ent-a0-0"), key("ent-b0-0"));
         let mut membership = Membership::new(base, own, 1, &catalog);
-        membership.heard(base, other, 1, 1, State::Serving, Via::Direct);
+        membership.record_heard(base, other, 1, 1, State::Serving, Via::Direct);
         Self {
             base,
             service: catalog.service_key("lookups").expect("a service"),
@@ -467,17 +468,18 @@
             ..Sample::default()
         };
         let now = self.at(at);
-        self.source.refill();
+        self.source.request_full();
         let message = self.source.message(now, &sample, &self.catalog);
         self.summaries
-            .take(now, &message, Duration::ZERO, &self.catalog);
+            .apply(now, &message, Duration::ZERO, &self.catalog);
         self.sender
             .digest(now, &self.summaries, &self.membership, &self.catalog)
     }
 
-    fn take(&mut self, at: u64, digest: &Digest) -> Taken {
+    fn take(&mut self, at: u64, digest: &Digest) -> ApplyResult {
         let now = self.at(at);
-        self.levels.take(now, digest, Duration::ZERO, &self.catalog)
+        self.levels
+            .apply(now, digest, Duration::ZERO, &self.catalog)
     }
 
     fn level(&self) -> Option<Level> {
@@ -496,7 +498,7 @@
         let digest = it.digest(0, 30.0, 20.0);
         assert_eq!(digest.zones.len(), 1, "only what is heard and told of");
         assert_eq!(digest.zones[0].roster, 77);
-        assert_eq!(it.take(100, &digest), Taken::Newer);
+        assert_eq!(it.take(100, &digest), ApplyResult::Newer);
         assert_eq!(it.level(), Some(Level { filled: 1.5, sampled: it.at(100) }));
     },
     a_site_without_live_slots_is_full_beyond_measure: |it| {
@@ -509,7 +511,7 @@
         let second = it.digest(4_000, 10.1, 20.0);
         assert!(second.zones[0].levels.is_empty());
         it.take(0, &first);
-        assert_eq!(it.take(4_000, &second), Taken::Newer);
+        assert_eq!(it.take(4_000, &second), ApplyResult::Newer);
         assert_eq!(it.level(), Some(Level { filled: 0.5, sampled: it.at(4_000) }));
     },
     a_missed_digest_freshens_nothing: |it| {
@@ -517,12 +519,12 @@
         it.digest(4_000, 18.0, 20.0);
         let third = it.digest(8_000, 18.0, 20.0);
         it.take(0, &first);
-        assert_eq!(it.take(8_000, &third), Taken::Gap);
+        assert_eq!(it.take(8_000, &third), ApplyResult::Gap);
         assert_eq!(it.level(), Some(Level { filled: 0.5, sampled: it.at(0) }));
-        assert_eq!(it.take(8_000, &first), Taken::Ignored);
-        it.sender.refill();
+        assert_eq!(it.take(8_000, &first), ApplyResult::Ignored);
+        it.sender.request_full();
         let full = it.digest(9_000, 18.0, 20.0);
-        assert_eq!(it.take(9_000, &full), Taken::Newer);
+        assert_eq!(it.take(9_000, &full), ApplyResult::Newer);
         assert_eq!(it.level().map(|level| level.filled), Some(0.9));
     },
 }
--- a/tests/planning/mod.rs
+++ b/tests/planning/mod.rs
@@ -7,7 +7,7 @@
 
 use ragwortfold::border::configuration::Configuration;
 use ragwortfold::catalog::{Catalog, RegionKey, ServiceKey, ZoneKey};
-use ragwortfold::control::membership::Sight;
+use ragwortfold::control::membership::ZoneStatus;
 use ragwortfold::control::plan::{Plan, Shares, Stamp};
 use ragwortfold::control::planner::{Causality, Planner, View};
 use ragwortfold::control::summary::{Load, Message, Sample, Sender, Table};
@@ -106,7 +106,7 @@
     pub summaries: Table,
     pub planner: Planner,
     pub sequence: u64,
-    pub sights: BTreeMap<ZoneKey, Sight>,
+    pub sights: BTreeMap<ZoneKey, ZoneStatus>,
     /// Zones whose summaries do not arrive.
     pub muted: Vec<ZoneKey>,
     /// Hosts that reported in zones where not all did.
@@ -194,7 +194,7 @@
                 self.plan = plan;
             }
         }
-        let lost = self.sights.values().any(|sight| *sight == Sight::Lost);
+        let lost = self.sights.values().any(|sight| *sight == ZoneStatus::Lost);
         let cap = if lost {
             self.catalog.limits().failover
         } else {
@@ -243,7 +243,7 @@
             if let Some((_, sent, message)) = self.messages.pop_front() {
                 let delay = Duration::from_millis(100 * (self.time - sent));
                 let now = self.now();
-                self.summaries.take(now, &message, delay, &self.catalog);
+                self.summaries.apply(now, &message, delay, &self.catalog);
             }
         }
     }
@@ -258,9 +258,9 @@
         let view = View {
             catalog: &self.catalog,
             summaries: &self.summaries,
-            sights: &self.sights,
+            zone_statuses: &self.sights,
         };
-        let (plan, changed) = self.planner.make(now, stamp, &view);
+        let (plan, changed) = self.planner.make_plan(now, stamp, &view);
         if changed {
             self.sequence += 1;
             self.plans.push_back((self.time + 10, plan));
