--- a/tests/presence.rs
+++ b/tests/presence.rs
@@ -8,7 +8,8 @@
 use std::time::{Duration, Instant};
 
 use ragwortfold::control::presence::{
-    Beat, Naming, Presence, Pulse, Record, Sight, Strength, FAR, FORGET, INTERVAL,
+    Heartbeat, LookupFilter, Presence, Pulse, Record, StoreView, Strength, INTERVAL,
+    REMOTE_HEARTBEAT_STRIDE, REMOVAL_SILENCE,
 };
 use ragwortfold::control::replica::Outage;
 use ragwortfold::port::Question;
@@ -42,8 +43,8 @@
     }
 }
 
-fn beat(record: Record, sight: Sight) -> Beat {
-    Beat {
+fn beat(record: Record, sight: StoreView) -> Heartbeat {
+    Heartbeat {
         record,
         leaving: false,
         sight,
@@ -58,10 +59,10 @@
 /// A host `h0` in zone `n-a` that has heard of others at a time of the test's own.
 fn presence(now: Instant, others: &[(&str, &str)]) -> Presence {
     let mut presence = Presence::new(now, record("h0", "n-a", 1), regions());
-    presence.see(Sight::Store);
-    presence.list();
+    presence.set_store_view(StoreView::Store);
+    presence.mark_listed();
     for (host, zone) in others {
-        presence.hear(now, beat(record(host, zone, 1), Sight::Relayed));
+        presence.receive_heartbeat(now, beat(record(host, zone, 1), StoreView::Relayed));
     }
     presence
 }
@@ -73,34 +74,37 @@
     let after = |time: Duration| names(presence.serving(start + time));
     assert_eq!(after(INTERVAL * 3), ["h0", "h1", "h2"]);
     assert_eq!(after(INTERVAL * 4), ["h0", "h2"]);
-    assert_eq!(after(INTERVAL * 4 * FAR as u32), ["h0"]);
-    let departed: Vec<_> = presence.departed(start + FORGET).collect();
+    assert_eq!(after(INTERVAL * 4 * REMOTE_HEARTBEAT_STRIDE as u32), ["h0"]);
+    let departed: Vec<_> = presence.removable_hosts(start + REMOVAL_SILENCE).collect();
     assert_eq!(departed, [&"h1".into(), &Arc::<str>::from("h2")]);
 }
 
 /// The hosts that have departed after `silence` in the eyes of one that sees the store or not, beside
 /// another one that does and says so all the time.
-fn departed(sight: Sight, silence: Duration, witness: Option<&str>) -> Vec<Arc<str>> {
+fn departed(sight: StoreView, silence: Duration, witness: Option<&str>) -> Vec<Arc<str>> {
     let start = Instant::now();
     let mut presence = presence(start, &[("h-silent", "n-b")]);
-    presence.see(sight);
+    presence.set_store_view(sight);
     if let Some(witness) = witness {
         let record = record(witness, "n-a", 1);
-        presence.hear(start + silence, beat(record, Sight::Store));
+        presence.receive_heartbeat(start + silence, beat(record, StoreView::Store));
     }
-    presence.departed(start + silence).cloned().collect()
+    presence.removable_hosts(start + silence).cloned().collect()
 }
 
 #[test]
 fn registrations_are_removed_by_one_host_that_sees_the_store() {
     let silent = vec![Arc::<str>::from("h-silent")];
-    assert_eq!(departed(Sight::Store, FORGET, None), silent);
+    assert_eq!(departed(StoreView::Store, REMOVAL_SILENCE, None), silent);
     assert_eq!(
-        departed(Sight::Store, FORGET - INTERVAL, None),
+        departed(StoreView::Store, REMOVAL_SILENCE - INTERVAL, None),
         [] as [Arc<str>; 0]
     );
-    assert_eq!(departed(Sight::Stale, FORGET, None), [] as [Arc<str>; 0]);
-    let by_witness = |name| departed(Sight::Store, FORGET, Some(name)).len();
+    assert_eq!(
+        departed(StoreView::Stale, REMOVAL_SILENCE, None),
+        [] as [Arc<str>; 0]
+    );
+    let by_witness = |name| departed(StoreView::Store, REMOVAL_SILENCE, Some(name)).len();
     let witnesses = ["a", "b", "c", "d", "e", "f", "g", "i"];
     let mine = witnesses.map(by_witness);
     assert!(mine.contains(&0) && mine.contains(&1), "{mine:?}");
@@ -110,9 +114,9 @@
 fn a_host_that_leaves_is_not_named() {
     let now = Instant::now();
     let mut presence = presence(now, &[("h1", "n-b")]);
-    let mut last = beat(record("h1", "n-b", 1), Sight::Store);
+    let mut last = beat(record("h1", "n-b", 1), StoreView::Store);
     last.leaving = true;
-    presence.hear(now, last);
+    presence.receive_heartbeat(now, last);
     assert_eq!(names(presence.serving(now)), ["h0"]);
     presence.leave();
     assert!(names(presence.serving(now)).is_empty());
@@ -124,18 +128,18 @@
         #[test]
         fn $name() {
             let now = Instant::now();
-            let [own, sights @ ..]: [Sight; 3] = $sights;
-            let mut presence = presence(now, &[]).with_naming(Naming::$naming);
-            presence.see(own);
+            let [own, sights @ ..]: [StoreView; 3] = $sights;
+            let mut presence = presence(now, &[]).with_lookup_filter(LookupFilter::$naming);
+            presence.set_store_view(own);
             for (host, sight) in ["h1", "h2"].into_iter().zip(sights) {
-                presence.hear(now, beat(record(host, "n-a", 1), sight));
+                presence.receive_heartbeat(now, beat(record(host, "n-a", 1), sight));
             }
             let question = Question {
                 region: "n".into(),
                 zone: "n-a".into(),
             };
             let caller = IpAddr::V4(Ipv4Addr::LOCALHOST);
-            let named: BTreeSet<_> = presence.named(now, &question, caller).into_iter().collect();
+            let named: BTreeSet<_> = presence.lookup_hosts(now, &question, caller).into_iter().collect();
             let expected: &[&str] = &$expected;
             assert_eq!(named, expected.iter().map(|host| place(host)).collect());
         }
@@ -143,17 +147,17 @@
 }
 
 informed! {
-    hosts_that_lost_the_store_are_not_named_beside_others: Informed, [Sight::Stale, Sight::Relayed, Sight::Store]
+    hosts_that_lost_the_store_are_not_named_beside_others: Informed, [StoreView::Stale, StoreView::Relayed, StoreView::Store]
         => ["h1", "h2"];
-    all_are_named_if_none_sees_the_store: Informed, [Sight::Stale; 3] => ["h0", "h1", "h2"];
-    all_are_named_where_hosts_go_on_without_it: All, [Sight::Stale, Sight::Relayed, Sight::Store] => ["h0", "h1", "h2"];
+    all_are_named_if_none_sees_the_store: Informed, [StoreView::Stale; 3] => ["h0", "h1", "h2"];
+    all_are_named_where_hosts_go_on_without_it: All, [StoreView::Stale, StoreView::Relayed, StoreView::Store] => ["h0", "h1", "h2"];
 }
 
 #[test]
 fn a_host_without_a_configuration_is_alive_but_not_named() {
     let now = Instant::now();
     let mut presence = presence(now, &[]);
-    presence.hear(now, beat(record("h1", "n-b", 1), Sight::Nothing));
+    presence.receive_heartbeat(now, beat(record("h1", "n-b", 1), StoreView::Nothing));
     assert_eq!(names(presence.alive(now)), ["h0", "h1"]);
     assert_eq!(names(presence.serving(now)), ["h0"]);
 }
@@ -172,10 +176,10 @@
 fn what_an_earlier_process_said_is_ignored() {
     let now = Instant::now();
     let mut presence = presence(now, &[("h1", "n-b")]);
-    presence.hear(now, beat(record("h1", "n-b", 5), Sight::Store));
-    let mut late = beat(record("h1", "n-b", 1), Sight::Store);
+    presence.receive_heartbeat(now, beat(record("h1", "n-b", 5), StoreView::Store));
+    let mut late = beat(record("h1", "n-b", 1), StoreView::Store);
     late.leaving = true;
-    presence.hear(now, late);
+    presence.receive_heartbeat(now, late);
     assert_eq!(names(presence.serving(now)), ["h0", "h1"]);
 }
 
@@ -183,9 +187,9 @@
 fn a_restart_after_the_clock_went_back_is_taken() {
     let now = Instant::now();
     let mut presence = presence(now, &[]);
-    presence.hear(now, beat(record("h1", "n-b", 5), Sight::Store));
+    presence.receive_heartbeat(now, beat(record("h1", "n-b", 5), StoreView::Store));
     let later = now + INTERVAL * 3;
-    assert!(presence.hear(later, beat(record("h1", "n-b", 2), Sight::Store)));
+    assert!(presence.receive_heartbeat(later, beat(record("h1", "n-b", 2), StoreView::Store)));
     assert_eq!(names(presence.serving(later + INTERVAL)), ["h0", "h1"]);
 }
 
@@ -203,16 +207,16 @@
 }
 
 /// Hosts of one region, each knowing of all others what `sights` says; which of them watch.
-fn watchers(now: Instant, sights: &[Sight]) -> Vec<usize> {
+fn watchers(now: Instant, sights: &[StoreView]) -> Vec<usize> {
     let host = |index: usize| record(&format!("h{index}"), "n-a", 1);
     (0..sights.len())
         .filter(|own| {
             let met = now.checked_sub(Duration::from_secs(10)).unwrap();
             let mut presence = Presence::new(met, host(*own), regions());
-            presence.see(sights[*own]);
+            presence.set_store_view(sights[*own]);
             for (index, sight) in sights.iter().enumerate() {
-                presence.hear(met, beat(host(index), *sight));
-                presence.hear(now, beat(host(index), *sight));
+                presence.receive_heartbeat(met, beat(host(index), *sight));
+                presence.receive_heartbeat(now, beat(host(index), *sight));
             }
             presence.is_watcher(now)
         })
@@ -237,21 +241,21 @@
 
 fn check_watchers(hosts: usize, count: usize) {
     let now = Instant::now();
-    let few = watchers(now, &vec![Sight::Store; hosts]);
+    let few = watchers(now, &vec![StoreView::Store; hosts]);
     assert_eq!(few.len(), count);
-    assert_eq!(watchers(now, &vec![Sight::Relayed; hosts]), few);
-    let stale = watchers(now, &vec![Sight::Stale; hosts]);
+    assert_eq!(watchers(now, &vec![StoreView::Relayed; hosts]), few);
+    let stale = watchers(now, &vec![StoreView::Stale; hosts]);
     assert_eq!(
         stale.len(),
         count,
         "a store that nobody sees is called by few"
     );
-    let mut sights = vec![Sight::Relayed; hosts];
+    let mut sights = vec![StoreView::Relayed; hosts];
     for index in &few {
-        sights[*index] = Sight::Store;
+        sights[*index] = StoreView::Store;
     }
     assert_eq!(watchers(now, &sights), few);
-    sights[few[0]] = Sight::Stale;
+    sights[few[0]] = StoreView::Stale;
     let others = watchers(now, &sights);
     assert_eq!(
         others.len(),
@@ -269,9 +273,9 @@
     let watching: Vec<_> = (0..12)
         .filter(|own| {
             let mut presence = Presence::new(now, host(*own), regions());
-            presence.see(Sight::Store);
+            presence.set_store_view(StoreView::Store);
             for index in 0..12 {
-                presence.hear(now, beat(host(index), Sight::Store));
+                presence.receive_heartbeat(now, beat(host(index), StoreView::Store));
             }
             presence.is_watcher(now)
         })
@@ -284,10 +288,10 @@
 #[test]
 fn a_host_that_sees_the_store_goes_on_beside_those_that_do_not() {
     let now = Instant::now();
-    let mut sights = [Sight::Relayed; 20];
-    let first = watchers(now, &[Sight::Store; 20]);
+    let mut sights = [StoreView::Relayed; 20];
+    let first = watchers(now, &[StoreView::Store; 20]);
     let last = (0..20).find(|index| !first.contains(index)).unwrap();
-    sights[last] = Sight::Store;
+    sights[last] = StoreView::Store;
     assert!(watchers(now, &sights).contains(&last));
 }
 
@@ -298,7 +302,7 @@
     let count = (0..20).filter(|own| {
         let mut presence = Presence::new(now, host(*own), regions());
         for index in 0..20 {
-            presence.hear(now, beat(host(index), Sight::Nothing));
+            presence.receive_heartbeat(now, beat(host(index), StoreView::Nothing));
         }
         presence.is_watcher(now)
     });
@@ -309,12 +313,12 @@
 fn the_nearest_host_that_sees_the_store_is_followed() {
     let now = Instant::now();
     let mut presence = presence(now, &[("h1", "n-b")]);
-    presence.see(Sight::Nothing);
-    assert_eq!(&*presence.source(now, |_| false).unwrap().0.host, "h1");
-    presence.hear(now, beat(record("h2", "s-a", 1), Sight::Store));
-    assert_eq!(&*presence.source(now, |_| false).unwrap().0.host, "h2");
-    presence.hear(now, beat(record("h3", "n-b", 1), Sight::Store));
-    assert_eq!(&*presence.source(now, |_| false).unwrap().0.host, "h3");
+    presence.set_store_view(StoreView::Nothing);
+    assert_eq!(&*presence.feed_source(now, |_| false).unwrap().0.host, "h1");
+    presence.receive_heartbeat(now, beat(record("h2", "s-a", 1), StoreView::Store));
+    assert_eq!(&*presence.feed_source(now, |_| false).unwrap().0.host, "h2");
+    presence.receive_heartbeat(now, beat(record("h3", "n-b", 1), StoreView::Store));
+    assert_eq!(&*presence.feed_source(now, |_| false).unwrap().0.host, "h3");
 }
 
 #[test]
@@ -323,9 +327,9 @@
     for zone in ["n-a", "n-b"] {
         let mut presence = Presence::new(now, record("own", zone, 1), regions());
         for (host, zone) in [("h1", "n-a"), ("h2", "n-b"), ("h3", "s-a")] {
-            presence.hear(now, beat(record(host, zone, 1), Sight::Store));
+            presence.receive_heartbeat(now, beat(record(host, zone, 1), StoreView::Store));
         }
-        let (source, _) = presence.source(now, |_| false).unwrap();
+        let (source, _) = presence.feed_source(now, |_| false).unwrap();
         assert_eq!(&*source.zone, zone);
     }
 }
@@ -334,12 +338,12 @@
 fn hosts_that_lost_the_store_do_not_follow_each_other() {
     let now = Instant::now();
     let mut presence = presence(now, &[]);
-    presence.see(Sight::Stale);
-    presence.hear(now, beat(record("h1", "n-b", 1), Sight::Stale));
-    assert!(presence.source(now, |_| false).is_none());
-    presence.see(Sight::Nothing);
+    presence.set_store_view(StoreView::Stale);
+    presence.receive_heartbeat(now, beat(record("h1", "n-b", 1), StoreView::Stale));
+    assert!(presence.feed_source(now, |_| false).is_none());
+    presence.set_store_view(StoreView::Nothing);
     assert!(
-        presence.source(now, |_| false).is_some(),
+        presence.feed_source(now, |_| false).is_some(),
         "what is old is better than nothing"
     );
 }
@@ -349,7 +353,7 @@
     let now = Instant::now();
     let mut presence = presence(now, &[("h1", "n-b")]);
     assert!(!presence.is_store_doubtful(now));
-    presence.hear(now, beat(record("h1", "n-b", 1), Sight::Stale));
+    presence.receive_heartbeat(now, beat(record("h1", "n-b", 1), StoreView::Stale));
     assert!(presence.is_store_doubtful(now));
 }
 
@@ -358,15 +362,15 @@
 fn a_store_is_in_doubt_until_targets_had_time_to_tell_it_their_news() {
     let now = Instant::now();
     let mut presence = presence(now, &[("h1", "n-b")]);
-    presence.see(Sight::Stale);
-    presence.watch_store(now);
-    presence.see(Sight::Store);
+    presence.set_store_view(StoreView::Stale);
+    presence.track_outage(now);
+    presence.set_store_view(StoreView::Store);
     let back = now + Duration::from_millis(100);
-    presence.watch_store(back);
+    presence.track_outage(back);
     assert!(presence.is_store_doubtful(back + Duration::from_secs(2)));
-    presence.hear(
+    presence.receive_heartbeat(
         back + Duration::from_secs(3),
-        beat(record("h1", "n-b", 1), Sight::Relayed),
+        beat(record("h1", "n-b", 1), StoreView::Relayed),
     );
     assert!(!presence.is_store_doubtful(back + Duration::from_secs(3)));
 }
@@ -375,13 +379,13 @@
 fn outage_after(unseen: u64) -> Outage {
     let start = Instant::now();
     let mut presence = presence(start, &[]);
-    presence.see(Sight::Stale);
+    presence.set_store_view(StoreView::Stale);
     let last = Duration::from_millis(unseen);
     for tick in 0..=unseen / 100 {
-        presence.watch_store(start + Duration::from_millis(tick * 100));
+        presence.track_outage(start + Duration::from_millis(tick * 100));
     }
-    presence.see(Sight::Store);
-    presence.watch_store(start + last);
+    presence.set_store_view(StoreView::Store);
+    presence.track_outage(start + last);
     presence.outage(start + last)
 }
 
@@ -404,18 +408,18 @@
 fn the_store_was_away_only_if_no_host_saw_it() {
     let now = Instant::now();
     let mut presence = presence(now, &[]);
-    presence.hear(now, beat(record("h1", "n-b", 1), Sight::Store));
-    presence.see(Sight::Stale);
-    presence.watch_store(now);
+    presence.receive_heartbeat(now, beat(record("h1", "n-b", 1), StoreView::Store));
+    presence.set_store_view(StoreView::Stale);
+    presence.track_outage(now);
     assert_eq!(presence.outage(now), Outage::None, "another host saw it");
-    presence.hear(now, beat(record("h1", "n-b", 1), Sight::Stale));
-    presence.watch_store(now);
+    presence.receive_heartbeat(now, beat(record("h1", "n-b", 1), StoreView::Stale));
+    presence.track_outage(now);
     let end = now + Duration::from_secs(2);
-    presence.watch_store(end);
+    presence.track_outage(end);
     assert_eq!(presence.outage(end), Outage::Long);
-    presence.see(Sight::Store);
+    presence.set_store_view(StoreView::Store);
     let back = end + Duration::from_secs(1);
-    presence.watch_store(back);
+    presence.track_outage(back);
     assert_eq!(
         presence.outage(back),
         Outage::Long,
@@ -428,14 +432,14 @@
 fn a_host_that_fell_silent_does_not_see_the_store_until_it_is_heard_again() {
     let now = Instant::now();
     let mut presence = presence(now, &[]);
-    presence.see(Sight::Relayed);
+    presence.set_store_view(StoreView::Relayed);
     let other = record("h1", "n-b", 1);
-    presence.hear(now, beat(other.clone(), Sight::Store));
+    presence.receive_heartbeat(now, beat(other.clone(), StoreView::Store));
     assert!(presence.is_store_seen(now));
-    presence.doubt(other.feed);
+    presence.forget_store_view(other.feed);
     assert!(!presence.is_store_seen(now));
-    assert!(presence.source(now, |_| false).is_none());
-    presence.hear(now + INTERVAL, beat(other, Sight::Store));
+    assert!(presence.feed_source(now, |_| false).is_none());
+    presence.receive_heartbeat(now + INTERVAL, beat(other, StoreView::Store));
     assert!(presence.is_store_seen(now + INTERVAL));
 }
 
@@ -443,10 +447,10 @@
 fn a_host_whose_feed_failed_is_passed_over() {
     let now = Instant::now();
     let mut presence = presence(now, &[]);
-    presence.see(Sight::Stale);
-    presence.hear(now, beat(record("h1", "n-b", 1), Sight::Store));
-    presence.hear(now, beat(record("h2", "s-a", 1), Sight::Store));
-    let source = presence.source(now, |record| &*record.host == "h1");
+    presence.set_store_view(StoreView::Stale);
+    presence.receive_heartbeat(now, beat(record("h1", "n-b", 1), StoreView::Store));
+    presence.receive_heartbeat(now, beat(record("h2", "s-a", 1), StoreView::Store));
+    let source = presence.feed_source(now, |record| &*record.host == "h1");
     assert_eq!(&*source.unwrap().0.host, "h2");
 }
 
@@ -462,7 +466,7 @@
         let mut presence = Presence::new(now, own, regions());
         for other in 3..6 {
             let wide = record(&format!("h{other}"), "n-a", 1);
-            presence.hear(now, beat(wide, Sight::Store));
+            presence.receive_heartbeat(now, beat(wide, StoreView::Store));
         }
         assert!(!presence.is_watcher(now));
     }
@@ -473,10 +477,10 @@
     let start = Instant::now();
     let mut presence = presence(start, &[("h1", "n-b")]);
     let now = start + INTERVAL * 3;
-    assert!(presence.feel(now, place("h1"), Pulse(1, Sight::Store, false, 7)));
+    assert!(presence.receive_pulse(now, place("h1"), Pulse(1, StoreView::Store, false, 7)));
     let later = now + INTERVAL * 3;
     assert_eq!(names(presence.serving(later)), ["h0", "h1"]);
-    assert!(presence.feel(later, place("h1"), Pulse(1, Sight::Store, true, 7)));
+    assert!(presence.receive_pulse(later, place("h1"), Pulse(1, StoreView::Store, true, 7)));
     assert_eq!(names(presence.serving(later)), ["h0"]);
 }
 
@@ -488,7 +492,7 @@
             let start = Instant::now();
             let mut presence = presence(start, &[("h1", "n-b")]);
             let now = start + INTERVAL * 3;
-            assert!(!presence.feel(now, place($place), Pulse($incarnation, Sight::Store, false, 7)));
+            assert!(!presence.receive_pulse(now, place($place), Pulse($incarnation, StoreView::Store, false, 7)));
             assert_eq!(names(presence.serving(start + INTERVAL * 4)), ["h0"]);
         }
     )*};
@@ -505,8 +509,8 @@
     let start = Instant::now();
     let mut presence = presence(start, &[("h1", "n-b")]);
     let later = start + INTERVAL * 5;
-    presence.withdraw(later, "h1");
-    assert!(!presence.feel(later, place("h1"), Pulse(1, Sight::Store, false, 7)));
+    presence.unregister(later, "h1");
+    assert!(!presence.receive_pulse(later, place("h1"), Pulse(1, StoreView::Store, false, 7)));
 }
 
 #[test]
@@ -517,9 +521,9 @@
             let name = format!("follower-{number}");
             let mut presence = Presence::new(now, record(&name, "n-a", 1), regions());
             for watcher in ["h1", "h2"] {
-                presence.hear(now, beat(record(watcher, "n-b", 1), Sight::Store));
+                presence.receive_heartbeat(now, beat(record(watcher, "n-b", 1), StoreView::Store));
             }
-            let (source, _) = presence.source(now, |_| false).unwrap();
+            let (source, _) = presence.feed_source(now, |_| false).unwrap();
             source.host.clone()
         })
         .collect();
@@ -536,7 +540,9 @@
         presence.register(now, record(&format!("h{number}"), zone, 1));
     }
     let rounds = 120;
-    let sent: usize = (0..rounds).map(|_| presence.next_beat(now).len()).sum();
+    let sent: usize = (0..rounds)
+        .map(|_| presence.next_heartbeat_recipients(now).len())
+        .sum();
     let each_second = sent as f64 / (f64::from(rounds) * INTERVAL.as_secs_f64());
     assert!(each_second < 400.0, "{each_second} a second");
 }
@@ -560,7 +566,7 @@
     let question = ask("n", "n-a");
     let mut counts = vec![0; cores.len()];
     for number in 0..callers {
-        let answer = presence.named(now, &question, caller(number));
+        let answer = presence.lookup_hosts(now, &question, caller(number));
         assert_eq!(answer.len(), 3);
         for (index, count) in counts.iter_mut().enumerate() {
             *count += usize::from(answer.contains(&place(&format!("h{index}"))));
@@ -577,15 +583,15 @@
 /// The same where each of the hosts gets `rate` requests a second.
 fn zone_with_rate(now: Instant, cores: &[f64], rate: u32) -> Presence {
     let mut presence = Presence::new(now, record("own", "s-a", 1), regions());
-    presence.list();
+    presence.mark_listed();
     for (index, cores) in cores.iter().enumerate() {
         let mut record = record(&format!("h{index}"), "n-a", 1);
         record.strength.cores = *cores;
-        let beat = Beat {
+        let beat = Heartbeat {
             rate,
-            ..beat(record, Sight::Store)
+            ..beat(record, StoreView::Store)
         };
-        presence.hear(now, beat);
+        presence.receive_heartbeat(now, beat);
     }
     presence
 }
@@ -615,15 +621,15 @@
 fn parts(hosts: &[Strength], callers: usize) -> Vec<f64> {
     let now = Instant::now();
     let mut presence = Presence::new(now, record("own", "s-a", 1), regions());
-    presence.list();
+    presence.mark_listed();
     for (index, strength) in hosts.iter().enumerate() {
         let mut record = record(&format!("h{index}"), "n-a", 1);
         record.strength = *strength;
-        presence.hear(now, beat(record, Sight::Store));
+        presence.receive_heartbeat(now, beat(record, StoreView::Store));
     }
     let mut parts = vec![0.0; hosts.len()];
     for number in 0..callers {
-        let answer = presence.named(now, &ask("n", "n-a"), caller(number));
+        let answer = presence.lookup_hosts(now, &ask("n", "n-a"), caller(number));
         assert!(answer.len() >= 2, "a second host should the first fail");
         for (index, part) in parts.iter_mut().enumerate() {
             let is_named = answer.contains(&place(&format!("h{index}")));
@@ -655,9 +661,9 @@
     let fewer = zone(now, &[0.2; 19]);
     let question = ask("n", "n-a");
     for number in 0..200 {
-        let before = whole.named(now, &question, caller(number));
-        assert_eq!(before, whole.named(now, &question, caller(number)));
-        let after = fewer.named(now, &question, caller(number));
+        let before = whole.lookup_hosts(now, &question, caller(number));
+        assert_eq!(before, whole.lookup_hosts(now, &question, caller(number)));
+        let after = fewer.lookup_hosts(now, &question, caller(number));
         let kept = before.iter().filter(|host| after.contains(host)).count();
         let lost = usize::from(before.contains(&place("h19")));
         assert_eq!(kept + lost, 3);
@@ -668,12 +674,17 @@
 fn callers_of_a_zone_without_hosts_are_sent_to_their_region() {
     let now = Instant::now();
     let presence = presence(now, &[("h1", "n-b"), ("h2", "s-a")]);
-    let mut found = presence.named(now, &ask("n", "n-c"), caller(1));
+    let mut found = presence.lookup_hosts(now, &ask("n", "n-c"), caller(1));
     found.sort();
     let mut expected = vec![place("h0"), place("h1")];
     expected.sort();
     assert_eq!(found, expected);
-    assert_eq!(presence.named(now, &ask("e", "e-a"), caller(1)).len(), 3);
+    assert_eq!(
+        presence
+            .lookup_hosts(now, &ask("e", "e-a"), caller(1))
+            .len(),
+        3
+    );
 }
 
 /// Hosts that one names which has just started and knows eight others, of which some serve.
@@ -683,14 +694,16 @@
     for number in 0..8 {
         let record = record(&format!("h-{number}"), "n-a", 1);
         let sight = if number < serving {
-            Sight::Store
+            StoreView::Store
         } else {
-            Sight::Nothing
+            StoreView::Nothing
         };
-        presence.hear(now + start, beat(record, sight));
+        presence.receive_heartbeat(now + start, beat(record, sight));
     }
     let question = ask("n", "n-a");
-    presence.named(now + start, &question, caller(1)).len()
+    presence
+        .lookup_hosts(now + start, &question, caller(1))
+        .len()
 }
 
 #[test]
@@ -706,12 +719,12 @@
 fn a_host_that_has_not_read_who_else_there_is_names_none_at_first() {
     let now = Instant::now();
     let mut presence = Presence::new(now, record("h0", "n-a", 1), regions());
-    presence.see(Sight::Store);
+    presence.set_store_view(StoreView::Store);
     let question = ask("n", "n-a");
-    let count = |presence: &Presence, at| presence.named(at, &question, caller(1)).len();
+    let count = |presence: &Presence, at| presence.lookup_hosts(at, &question, caller(1)).len();
     assert_eq!(count(&presence, now), 0);
     assert_eq!(count(&presence, now + Duration::from_millis(2500)), 1);
-    presence.list();
+    presence.mark_listed();
     assert_eq!(count(&presence, now), 1);
 }
 
@@ -721,7 +734,7 @@
     let mut presence = Presence::new(now, record("h0", "n-a", 1), regions());
     assert!(!presence.knows_others(now));
     assert!(presence.knows_others(now + Duration::from_secs(3)));
-    presence.list();
+    presence.mark_listed();
     assert!(presence.knows_others(now));
 }
 
@@ -732,7 +745,7 @@
     for number in 1..hosts {
         presence.register(now, record(&format!("h{number}"), "n-a", 1));
     }
-    hosts as f64 / presence.look_interval().as_secs_f64()
+    hosts as f64 / presence.probe_interval().as_secs_f64()
 }
 
 #[test]
@@ -758,12 +771,12 @@
     };
     let mut all = BTreeSet::new();
     for key in 0..200 {
-        let counters = presence.counters(start, key);
+        let counters = presence.counting_hosts(start, key);
         let zones: BTreeSet<&str> = counters.iter().map(zone).collect();
         assert_eq!(zones.len(), counters.len());
         // The own zone's may be this host itself.
         assert!(zones.contains("n-b") && zones.contains("s-a"));
-        assert_eq!(counters, presence.counters(start, key));
+        assert_eq!(counters, presence.counting_hosts(start, key));
         all.extend(counters);
     }
     assert!(all.len() > 50, "{} hosts count for 200 keys", all.len());
@@ -775,14 +788,14 @@
 };
 
 /// A weak host that has just started in zone `n-a`, and has heard of a strong one with each of these sights.
-fn newcomer(now: Instant, others: &[(&str, Sight)]) -> Presence {
+fn newcomer(now: Instant, others: &[(&str, StoreView)]) -> Presence {
     let own = Record {
         strength: WEAK,
         ..record("own", "n-a", 1)
     };
     let mut presence = Presence::new(now, own, regions());
     for (index, (zone, sight)) in others.iter().enumerate() {
-        presence.hear(now, beat(record(&format!("h{index}"), zone, 1), *sight));
+        presence.receive_heartbeat(now, beat(record(&format!("h{index}"), zone, 1), *sight));
     }
     presence
 }
@@ -796,7 +809,7 @@
             let mut presence = newcomer(now, &$others);
             let later = now + Duration::from_secs($seconds);
             presence.tick(later);
-            let source = presence.source(later, |_| false);
+            let source = presence.feed_source(later, |_| false);
             let followed: Option<&str> = source.map(|(record, _)| &*record.host);
             assert_eq!(followed, $followed);
             assert_eq!(presence.awaits_copy(later), $waits);
@@ -805,10 +818,10 @@
 }
 
 first_copies! {
-    a_copy_comes_from_the_own_region: [("s-a", Sight::Store), ("n-b", Sight::Relayed)], 0 => Some("h1"), true;
-    another_region_has_it_first: [("s-a", Sight::Store), ("n-b", Sight::Nothing)], 0 => None, true;
-    the_own_region_takes_too_long: [("s-a", Sight::Store), ("n-b", Sight::Nothing)], 4 => Some("h0"), false;
-    the_own_region_has_no_strong_host: [("s-a", Sight::Store)], 0 => Some("h0"), false;
+    a_copy_comes_from_the_own_region: [("s-a", StoreView::Store), ("n-b", StoreView::Relayed)], 0 => Some("h1"), true;
+    another_region_has_it_first: [("s-a", StoreView::Store), ("n-b", StoreView::Nothing)], 0 => None, true;
+    the_own_region_takes_too_long: [("s-a", StoreView::Store), ("n-b", StoreView::Nothing)], 4 => Some("h0"), false;
+    the_own_region_has_no_strong_host: [("s-a", StoreView::Store)], 0 => Some("h0"), false;
 }
 
 #[test]
@@ -816,8 +829,8 @@
     let start = Instant::now();
     for (seconds, watches) in [(3, false), (5, true)] {
         let now = start + Duration::from_secs(seconds);
-        let mut presence = newcomer(start, &[("n-b", Sight::Nothing)]);
-        presence.hear(now, beat(record("h0", "n-b", 1), Sight::Nothing));
+        let mut presence = newcomer(start, &[("n-b", StoreView::Nothing)]);
+        presence.receive_heartbeat(now, beat(record("h0", "n-b", 1), StoreView::Nothing));
         assert_eq!(presence.is_watcher(now), watches, "after {seconds} s");
     }
 }
@@ -833,8 +846,8 @@
         for index in all.clone() {
             presence.register(now, host(index));
         }
-        presence.see(Sight::Relayed);
-        presence.concerned(Sight::Nothing).len()
+        presence.set_store_view(StoreView::Relayed);
+        presence.store_view_recipients(StoreView::Nothing).len()
     });
     told.sum()
 }
@@ -849,10 +862,10 @@
 fn all_are_told_of_a_watcher() {
     let now = Instant::now();
     let mut presence = presence(now, &[("h1", "n-b"), ("h2", "s-a")]);
-    assert_eq!(presence.concerned(Sight::Relayed).len(), 2);
-    presence.see(Sight::Stale);
-    assert_eq!(presence.concerned(Sight::Store).len(), 2);
-    assert_eq!(presence.concerned(Sight::Relayed).len(), 1);
+    assert_eq!(presence.store_view_recipients(StoreView::Relayed).len(), 2);
+    presence.set_store_view(StoreView::Stale);
+    assert_eq!(presence.store_view_recipients(StoreView::Store).len(), 2);
+    assert_eq!(presence.store_view_recipients(StoreView::Relayed).len(), 1);
 }
 
 /// Heartbeats that all hosts of a region of two availability zones send to the other zone in `ROUNDS` rounds.
@@ -869,7 +882,7 @@
         for index in 0..hosts {
             presence.register(now, host(index));
         }
-        let beats = (0..ROUNDS).flat_map(|_| presence.next_beat(now));
+        let beats = (0..ROUNDS).flat_map(|_| presence.next_heartbeat_recipients(now));
         let own_zone = own as u8 % 2;
         let across = |place: &SocketAddr| match place.ip() {
             IpAddr::V4(address) => address.octets()[2] != own_zone,
@@ -896,10 +909,10 @@
         .map(|index| record(&format!("o{index:03}"), "n-b", 1))
         .collect();
     for other in &others {
-        presence.hear(start, beat(other.clone(), Sight::Relayed));
+        presence.receive_heartbeat(start, beat(other.clone(), StoreView::Relayed));
     }
     for other in &others[silent..] {
-        presence.hear(start + silence, beat(other.clone(), Sight::Relayed));
+        presence.receive_heartbeat(start + silence, beat(other.clone(), StoreView::Relayed));
     }
     presence.alive(start + silence).count() - 1
 }
@@ -926,7 +939,7 @@
     }
     assert_eq!(
         presence
-            .departed(start + FORGET)
+            .removable_hosts(start + REMOVAL_SILENCE)
             .filter(|host| &***host == "h-far")
             .count(),
         0
@@ -939,11 +952,11 @@
     // To connect, to open a feed, to tell what is known and to be told what is new.
     let to_follow = Duration::from_millis(110) * 4;
     let mut presence = presence(now, &[("h1", "s-a")]);
-    presence.see(Sight::Stale);
+    presence.set_store_view(StoreView::Stale);
     assert!(
         presence.watch_delay(now) < to_follow,
         "nobody sees the store"
     );
-    presence.hear(now, beat(record("h1", "s-a", 1), Sight::Store));
+    presence.receive_heartbeat(now, beat(record("h1", "s-a", 1), StoreView::Store));
     assert!(presence.watch_delay(now) >= to_follow * 2);
 }
--- a/tests/proof.rs
+++ b/tests/proof.rs
@@ -159,13 +159,14 @@
                 question.asked
             };
             if host.version >= version || way == Way::AnyVersion {
-                host.proof.take(now, asked, age);
+                host.proof.record(now, asked, age);
             }
             false
         });
         // A caller sends now, with a key that the version after the host's own withdrew.
         for host in &hosts {
-            let runs = host.asleep_until <= now && host.proof.holds(host.clock.moment(), TERM);
+            let runs =
+                host.asleep_until <= now && host.proof.is_younger_than(host.clock.moment(), TERM);
             let withdrawn = changes.get(host.version as usize + 1);
             late +=
                 u32::from(runs && withdrawn.is_some_and(|at| now > at + TERM.as_millis() as u64));
@@ -200,10 +201,10 @@
     let steady = Instant::now();
     let before = Moment::new(steady, ms(1_000));
     let mut proof = Proof::new();
-    proof.take(before, before, Duration::ZERO);
+    proof.record(before, before, Duration::ZERO);
     let after = Moment::new(steady + ms(10), ms(7_010));
-    assert!(proof.holds(Moment::new(steady + ms(4_000), ms(5_000)), TERM));
-    assert!(!proof.holds(after, TERM));
+    assert!(proof.is_younger_than(Moment::new(steady + ms(4_000), ms(5_000)), TERM));
+    assert!(!proof.is_younger_than(after, TERM));
 }
 
 #[test]
@@ -211,7 +212,7 @@
     let steady = Instant::now();
     let now = Moment::new(steady + ms(900), ms(900));
     let mut proof = Proof::new();
-    proof.take(now, Moment::new(steady + ms(800), ms(800)), ms(50));
-    proof.take(now, Moment::new(steady, Duration::ZERO), Duration::ZERO);
+    proof.record(now, Moment::new(steady + ms(800), ms(800)), ms(50));
+    proof.record(now, Moment::new(steady, Duration::ZERO), Duration::ZERO);
     assert_eq!(proof.age(now), Some(ms(150)));
 }
--- a/tests/replica.rs
+++ b/tests/replica.rs
@@ -101,7 +101,9 @@
     let mut replica = Replica::new();
     replica.apply(now, update(None, 10, vec![target("a", 3, 2500)]));
     let later = now + Duration::from_secs(1);
-    let whole = replica.whole(later, Kind::Targets, Outage::None).unwrap();
+    let whole = replica
+        .snapshot(later, Kind::Targets, Outage::None)
+        .unwrap();
     assert_eq!(whole.entries, vec![target("a", 3, 1500)]);
     assert_eq!(whole.from, None);
     assert_eq!(whole.to, 10);
@@ -115,13 +117,13 @@
     let (mut one, mut other) = (Replica::new(), Replica::new());
     one.apply(now, update(None, 10, vec![target("a", 3, 0)]));
     let mut told = 0;
-    let mut next = one.whole(now, Kind::Targets, Outage::None);
+    let mut next = one.snapshot(now, Kind::Targets, Outage::None);
     while let Some(update) = next.take() {
         told += 1;
         assert!(told < 5, "they go on for ever");
         std::mem::swap(&mut one, &mut other);
         if let Effect::Changed(_) = one.apply(now, update) {
-            next = one.whole(now, Kind::Targets, Outage::None);
+            next = one.snapshot(now, Kind::Targets, Outage::None);
         }
     }
 }
@@ -150,7 +152,7 @@
     let removals = vec![gone("t00011", revision + 11), gone("t00012", revision + 12)];
     watcher.apply(now, update(Some(revision + 10), revision + 12, removals));
     let difference = watcher
-        .since(now, Kind::Targets, revision, Outage::None)
+        .changes_since(now, Kind::Targets, revision, Outage::None)
         .unwrap();
     let told = difference.entries.len();
     follower.apply(now, difference);
@@ -175,7 +177,9 @@
     watcher.apply(now, update(Some(4), 5, vec![target("t00001", 5, 0)]));
     follower.apply(
         now,
-        watcher.since(now, Kind::Targets, 3, Outage::None).unwrap(),
+        watcher
+            .changes_since(now, Kind::Targets, 3, Outage::None)
+            .unwrap(),
     );
     assert_eq!(follower.names(Kind::Targets).count(), 3);
     assert_eq!(
@@ -194,7 +198,9 @@
     follower.apply(now, update(None, 5, both));
     follower.apply(
         now,
-        watcher.since(now, Kind::Targets, 5, Outage::None).unwrap(),
+        watcher
+            .changes_since(now, Kind::Targets, 5, Outage::None)
+            .unwrap(),
     );
     assert_eq!(follower.revision(Kind::Targets), Some(9));
     assert_ne!(
@@ -203,7 +209,7 @@
     );
     follower.apply(
         now,
-        watcher.whole(now, Kind::Targets, Outage::None).unwrap(),
+        watcher.snapshot(now, Kind::Targets, Outage::None).unwrap(),
     );
     assert_eq!(
         follower.digest(Kind::Targets),
--- a/tests/working.rs
+++ b/tests/working.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
+use ragwortfold::control::active_hosts::{active_hosts, comfortable_rate, Candidate, Rate};
 use ragwortfold::control::presence::Strength;
-use ragwortfold::control::working::{ease, in_use, Candidate, Rate};
 
 const STRONG: Strength = Strength {
     cores: 0.5,
@@ -34,7 +34,7 @@
     ($($name:ident: $strong:expr, $weak:expr, $load:expr => $used_strong:expr, $used_weak:expr;)*) => {$(
         #[test]
         fn $name() {
-            let used = in_use(candidates($strong, $weak, $load));
+            let used = active_hosts(candidates($strong, $weak, $load));
             let strong = used.iter().filter(|one| one.strength == STRONG).count();
             assert_eq!((strong, used.len() - strong), ($used_strong, $used_weak));
         }
@@ -56,19 +56,19 @@
 #[test]
 fn those_in_use_carry_the_load_with_ease() {
     for load in [100.0, 540.0, 900.0, 1_500.0, 2_500.0] {
-        let used = in_use(candidates(3, 30, load));
-        let carried: f64 = used.iter().map(|one| ease(one.strength)).sum();
+        let used = active_hosts(candidates(3, 30, load));
+        let carried: f64 = used.iter().map(|one| comfortable_rate(one.strength)).sum();
         assert!(carried >= load, "{load}: {carried}");
     }
 }
 
 #[test]
 fn one_host_more_or_less_changes_little() {
-    let whole = in_use(candidates(3, 30, 1_800.0));
+    let whole = active_hosts(candidates(3, 30, 1_800.0));
     for lost in &whole {
         let rest = candidates(3, 30, 1_800.0);
         let rest = rest.into_iter().filter(|one| one.front != lost.front);
-        let now = in_use(rest.collect());
+        let now = active_hosts(rest.collect());
         let kept = whole
             .iter()
             .filter(|one| now.iter().any(|other| other.front == one.front));
@@ -82,11 +82,11 @@
     let mut rate = Rate::new(start);
     let at = |ms: u64| start + Duration::from_millis(ms);
     for ms in 0..1000 {
-        rate.count(at(ms));
+        rate.count_request(at(ms));
     }
     assert_eq!(rate.peak(at(1000)), 1000);
     for second in 1..10 {
-        rate.count(at(second * 1000));
+        rate.count_request(at(second * 1000));
     }
     assert_eq!(rate.peak(at(10_000)), 1000);
     assert_eq!(rate.peak(at(11_000)), 1);
