--- a/benches/control.rs
+++ b/benches/control.rs
@@ -14,7 +14,7 @@
 
 use criterion::Criterion;
 
-use net::agents::{catalog, Coding, Fleet, Node, FIRST};
+use net::agents::{catalog, Coding, Fleet, Node, FIRST_INCARNATION};
 use ragwortfold::catalog::{Catalog, HostKey, ZoneKey};
 use ragwortfold::control::delegate;
 use ragwortfold::control::membership::{Membership, ZoneStatus};
@@ -78,7 +78,7 @@
     let mut fleet = Fleet::new(zones, hosts, 10, 1);
     fleet.step = STEP;
     fleet.coding = Coding::Coded;
-    fleet.unrest = unrest;
+    fleet.load_noise = unrest;
     fleet.settle();
     fleet.run(10_000);
     fleet
@@ -87,7 +87,7 @@
 fn fleet_row(zones: usize, hosts: usize, unrest: f32, seconds: u64) {
     let before = resident();
     let mut fleet = settled(zones, hosts, unrest);
-    fleet.forget();
+    fleet.reset_counters();
     let start = thread_time();
     fleet.run(1_000 * seconds);
     let busy = (thread_time() - start) / 1e9;
@@ -162,7 +162,7 @@
     println!("hosts zones |  plan | killed  power delegate planner");
     for (zones, hosts) in SIZES {
         let mut fleet = settled(zones, hosts, 0.0);
-        fleet.hot = fleet.zones().first().copied();
+        fleet.nearly_full_zone = fleet.zones().first().copied();
         let stored = fleet.store.history.last().copied();
         let written = fleet.until(60_000, |fleet| fleet.store.history.last().copied() > stored);
         let plan = written.and_then(|_| {
@@ -172,13 +172,13 @@
                 nodes.all(|node| node.agent.plan_stamp() >= newest)
             })
         });
-        fleet.hot = None;
+        fleet.nearly_full_zone = None;
         let gone = |fleet: &mut Fleet, host: HostKey| {
             let took = fleet.until(30_000, |fleet| {
                 let mut nodes = fleet.nodes.values();
                 nodes.all(|node| !node.agent.live_hosts().contains(&host))
             });
-            fleet.start(host, FIRST + 1 + fleet.time);
+            fleet.start(host, FIRST_INCARNATION + 1 + fleet.time);
             fleet.settle();
             shown(took)
         };
--- a/src/control/agent.rs
+++ b/src/control/agent.rs
@@ -253,23 +253,26 @@
             true => delegate::heartbeat_interval(self.remote_links.len()),
             false => INTERVAL,
         };
-        let beat = Frame::Beat(
+        let frame = Frame::Beat(
             without_sender(self.membership.heartbeat(interval)),
             self.catalog.revision,
         );
-        self.outputs.push(Output::Send(vec![host], beat));
+        self.outputs.push(Output::Send(vec![host], frame));
     }
 
     /// Sends a heartbeat to all linked hosts outside the regular schedule.
     fn send_extra_heartbeats(&mut self) {
-        let slow = delegate::heartbeat_interval(self.remote_links.len());
-        for (hosts, interval) in [(&self.zone_links, INTERVAL), (&self.remote_links, slow)] {
-            let beat = Frame::Beat(
+        let remote_interval = delegate::heartbeat_interval(self.remote_links.len());
+        for (hosts, interval) in [
+            (&self.zone_links, INTERVAL),
+            (&self.remote_links, remote_interval),
+        ] {
+            let frame = Frame::Beat(
                 without_sender(self.membership.heartbeat(interval)),
                 self.catalog.revision,
             );
             let hosts = hosts.iter().copied().collect();
-            self.outputs.push(Output::Send(hosts, beat));
+            self.outputs.push(Output::Send(hosts, frame));
         }
     }
 
@@ -314,10 +317,10 @@
                 }
             }
             Frame::Load(message) => {
-                let taken = self
+                let result = self
                     .zone_reports
                     .apply(now, &message, Duration::ZERO, &self.catalog);
-                if taken == ApplyResult::Gap {
+                if result == ApplyResult::Gap {
                     self.send_request(from, Ask::Load);
                 }
             }
@@ -346,22 +349,22 @@
 
     /// Sends a frame about crashing requests or target rates to all linked hosts except the one it
     /// came from.
-    pub fn broadcast(&mut self, frame: Frame, teller: Option<HostKey>) {
+    pub fn broadcast(&mut self, frame: Frame, origin: Option<HostKey>) {
         let linked = self.zone_links.union(&self.remote_links).copied();
-        let hosts: Vec<HostKey> = linked.filter(|host| Some(*host) != teller).collect();
+        let hosts: Vec<HostKey> = linked.filter(|host| Some(*host) != origin).collect();
         if !hosts.is_empty() {
             self.outputs.push(Output::Send(hosts, frame));
         }
     }
 
     fn receive_summary(&mut self, now: Instant, from: HostKey, message: &Message) {
-        let taken = self
+        let result = self
             .summaries
             .apply(now, message, Duration::ZERO, &self.catalog);
-        if taken == ApplyResult::Gap {
+        if result == ApplyResult::Gap {
             self.send_request(from, Ask::Summary);
         }
-        if taken == ApplyResult::Ignored {
+        if result == ApplyResult::Ignored {
             return;
         }
         // The age in the message is that of the loads. The roster digest is current as of sending.
@@ -371,7 +374,7 @@
     }
 
     fn receive_digest(&mut self, now: Instant, digest: &Digest) {
-        let Some(teller) = self.catalog.host_key(&digest.host) else {
+        let Some(sender) = self.catalog.host_key(&digest.host) else {
             return;
         };
         match self
@@ -379,7 +382,7 @@
             .apply(now, digest, Duration::ZERO, &self.catalog)
         {
             ApplyResult::Ignored => return,
-            ApplyResult::Gap => self.send_request(teller, Ask::Digest),
+            ApplyResult::Gap => self.send_request(sender, Ask::Digest),
             ApplyResult::Newer => {}
         }
         let reports: Vec<_> = digest
@@ -390,7 +393,7 @@
         self.membership.merge_reports(now, &reports, Duration::ZERO);
         for zone in digest.zones.iter().filter(|zone| zone.roster != 0) {
             let age = Duration::from_millis(zone.report.age_ms.into());
-            self.confirm_roster(now, teller, &zone.report.zone, zone.roster, age);
+            self.confirm_roster(now, sender, &zone.report.zone, zone.roster, age);
         }
         self.outputs.push(Output::Changed);
     }
@@ -404,10 +407,10 @@
         roster: u64,
         age: Duration,
     ) {
-        let Some(key) = self.catalog.zone_key(zone) else {
+        let Some(zone_key) = self.catalog.zone_key(zone) else {
             return;
         };
-        if key != self.zone && !self.membership.confirm_roster(now, key, roster, age) {
+        if zone_key != self.zone && !self.membership.confirm_roster(now, zone_key, roster, age) {
             self.send_request(from, Ask::Roster(zone.clone()));
         }
     }
@@ -459,15 +462,19 @@
     /// Forwards a message to the hosts of the own zone. A message with a root goes on along the
     /// tree of that root. One without a root came from another zone: the first delegate becomes the
     /// root of a new tree.
-    fn forward(&mut self, root: Option<Arc<str>>, frame: impl FnOnce(Option<Arc<str>>) -> Frame) {
+    fn forward(
+        &mut self,
+        root: Option<Arc<str>>,
+        make_frame: impl FnOnce(Option<Arc<str>>) -> Frame,
+    ) {
         match root {
             Some(root) => {
-                let frame = frame(Some(root.clone()));
+                let frame = make_frame(Some(root.clone()));
                 self.send_to_branches(&root, frame);
             }
             None if self.is_first_delegate() => {
                 let name = self.name.clone();
-                let frame = frame(Some(name.clone()));
+                let frame = make_frame(Some(name.clone()));
                 self.send_to_branches(&name, frame);
             }
             None => {}
@@ -506,17 +513,17 @@
         event: publish::Event,
         rng: &mut impl Rng,
     ) {
-        let asked = self.pending_epoch.take();
-        let Some(reign) = &mut self.planner_term else {
+        let pending = self.pending_epoch.take();
+        let Some(term) = &mut self.planner_term else {
             return;
         };
-        if asked != Some(reign.publish.epoch()) {
+        if pending != Some(term.publish.epoch()) {
             return;
         }
-        match reign.publish.handle_event(now, event, rng) {
-            Some(Outcome::Published(stamp)) if stamp == reign.last_written.stamp => {
-                reign.plan.stamp = stamp;
-                let record = reign.last_written.clone();
+        match term.publish.handle_event(now, event, rng) {
+            Some(Outcome::Published(stamp)) if stamp == term.last_written.stamp => {
+                term.plan.stamp = stamp;
+                let record = term.last_written.clone();
                 self.adopt_published_plan(record);
             }
             Some(Outcome::Published(_)) | None => {}
@@ -544,10 +551,10 @@
         let frame = Frame::Plan(self.record.clone(), Some(name.clone()));
         self.send_to_branches(&name, frame);
         let previous = self.record.to_plan(&self.catalog);
-        let others = |reign: &&mut PlannerTerm| reign.last_written.stamp != stamp;
-        if let Some(reign) = self.planner_term.as_mut().filter(others) {
-            reign.planner = Planner::new(now, Some(&previous), &self.catalog);
-            reign.plan = previous;
+        let is_other = |term: &&mut PlannerTerm| term.last_written.stamp != stamp;
+        if let Some(term) = self.planner_term.as_mut().filter(is_other) {
+            term.planner = Planner::new(now, Some(&previous), &self.catalog);
+            term.plan = previous;
         }
     }
 
@@ -641,8 +648,9 @@
         }
         self.outputs.push(Output::Changed);
         // Linked hosts can hear the suspect only if it is within the set of linked hosts, too.
-        let asked = |c: &Change| matches!(c, Change::Suspected(host) if self.is_linked(*host));
-        if changes.iter().any(asked) {
+        let is_linked_suspect =
+            |c: &Change| matches!(c, Change::Suspected(host) if self.is_linked(*host));
+        if changes.iter().any(is_linked_suspect) {
             self.send_extra_heartbeats();
             self.suspect_retry = Some(now + SUSPECT_RETRY_DELAY);
         }
@@ -667,8 +675,8 @@
             self.membership.link_opening(now, new);
         }
         let zone = self.zone;
-        let near = |other: &HostKey| catalog.host(*other).zone == zone;
-        (self.zone_links, self.remote_links) = links.iter().copied().partition(near);
+        let is_in_zone = |other: &HostKey| catalog.host(*other).zone == zone;
+        (self.zone_links, self.remote_links) = links.iter().copied().partition(is_in_zone);
         self.first_delegates = catalog
             .zones()
             .filter_map(|(zone, _)| {
@@ -694,23 +702,26 @@
         }
         self.due.zone_heartbeat = next_due(self.due.zone_heartbeat, INTERVAL, now);
         self.membership.advance_sequence();
-        let near = Frame::Beat(
+        let zone_frame = Frame::Beat(
             without_sender(self.membership.heartbeat(INTERVAL)),
             revision,
         );
         self.outputs.push(Output::Send(
             self.zone_links.iter().copied().collect(),
-            near,
+            zone_frame,
         ));
-        let slow = delegate::heartbeat_interval(self.remote_links.len());
+        let remote_interval = delegate::heartbeat_interval(self.remote_links.len());
         if now < self.due.remote_heartbeat {
             return;
         }
-        self.due.remote_heartbeat = now + slow.saturating_sub(INTERVAL / 2);
-        let far = Frame::Beat(without_sender(self.membership.heartbeat(slow)), revision);
+        self.due.remote_heartbeat = now + remote_interval.saturating_sub(INTERVAL / 2);
+        let remote_frame = Frame::Beat(
+            without_sender(self.membership.heartbeat(remote_interval)),
+            revision,
+        );
         self.outputs.push(Output::Send(
             self.remote_links.iter().copied().collect(),
-            far,
+            remote_frame,
         ));
     }
 
@@ -791,38 +802,38 @@
         }
         self.update_planner_term(now);
         let held = self.lease.held_epoch(now);
-        let Some(reign) = &mut self.planner_term else {
+        let Some(term) = &mut self.planner_term else {
             return;
         };
         // The first write of an epoch repeats the existing plan, if there is one, to fence off
         // earlier holders. Later plans are made only once the previous one is in the store.
-        let free = reign.publish.is_idle() || reign.plan.splits.is_empty();
-        if now >= self.due.plan && free {
+        let can_plan = term.publish.is_idle() || term.plan.splits.is_empty();
+        if now >= self.due.plan && can_plan {
             self.due.plan = now + planner::INTERVAL;
-            let sights = sights(&self.catalog, &self.membership);
+            let zone_statuses = zone_statuses(&self.catalog, &self.membership);
             let view = View {
                 catalog: &self.catalog,
                 summaries: &self.summaries,
-                zone_statuses: &sights,
+                zone_statuses: &zone_statuses,
             };
-            let (plan, changed) = reign
+            let (plan, changed) = term
                 .planner
-                .make_plan(now, reign.publish.next_stamp(), &view);
+                .make_plan(now, term.publish.next_stamp(), &view);
             if changed {
-                reign.plan = plan;
-                reign.publish.request_write();
+                term.plan = plan;
+                term.publish.request_write();
             }
         }
         if self.pending_epoch.is_some() {
             return;
         }
-        if let Some(command) = reign.publish.tick(now, held) {
-            self.pending_epoch = Some(reign.publish.epoch());
+        if let Some(command) = term.publish.tick(now, held) {
+            self.pending_epoch = Some(term.publish.epoch());
             if let publish::Command::Write { stamp, .. } = &command {
-                reign.plan.stamp = *stamp;
-                reign.last_written = reign.plan.to_record(&self.catalog);
+                term.plan.stamp = *stamp;
+                term.last_written = term.plan.to_record(&self.catalog);
             }
-            let record = Box::new(reign.last_written.clone());
+            let record = Box::new(term.last_written.clone());
             self.outputs.push(Output::Plan(command, record));
         }
     }
@@ -843,7 +854,7 @@
 
     /// The status of each zone.
     pub fn zone_statuses(&self) -> BTreeMap<ZoneKey, ZoneStatus> {
-        sights(&self.catalog, &self.membership)
+        zone_statuses(&self.catalog, &self.membership)
     }
 
     /// The known load of a service in a zone, with its age.
@@ -912,7 +923,7 @@
     }
 }
 
-fn sights(catalog: &Catalog, membership: &Membership) -> BTreeMap<ZoneKey, ZoneStatus> {
+fn zone_statuses(catalog: &Catalog, membership: &Membership) -> BTreeMap<ZoneKey, ZoneStatus> {
     catalog
         .zones()
         .map(|(zone, _)| (zone, membership.zone_status(zone)))
@@ -934,9 +945,9 @@
 }
 
 /// A heartbeat without the sender's name. The receiver knows the sender from the link.
-fn without_sender(beat: Heartbeat) -> Heartbeat {
+fn without_sender(heartbeat: Heartbeat) -> Heartbeat {
     Heartbeat {
         host: Arc::default(),
-        ..beat
+        ..heartbeat
     }
 }
--- a/src/control/delegate.rs
+++ b/src/control/delegate.rs
@@ -120,7 +120,7 @@
     if hosts.len() <= MAX_FULL_MESH || delegates.contains(&host) {
         return hosts;
     }
-    let near = |from: HostKey| {
+    let neighbours = |from: HostKey| {
         let others = hosts.iter().copied().filter(move |&other| other != from);
         rank(
             catalog,
@@ -130,11 +130,11 @@
         )
     };
     let mut links: BTreeSet<HostKey> = delegates.into_iter().collect();
-    links.extend(near(host));
+    links.extend(neighbours(host));
     links.extend(
         hosts
             .iter()
-            .filter(|&&other| other != host && near(other).contains(&host)),
+            .filter(|&&other| other != host && neighbours(other).contains(&host)),
     );
     links
 }
--- a/src/control/digest.rs
+++ b/src/control/digest.rs
@@ -205,13 +205,13 @@
             return ApplyResult::Ignored;
         };
         let next = (host, digest.incarnation, digest.sequence);
-        let follows = match self.last_order {
+        let is_next = match self.last_order {
             Some(last) if last.0 == host && next <= last => return ApplyResult::Ignored,
             Some(last) => next == (last.0, last.1, last.2 + 1),
             None => false,
         };
         self.last_order = Some(next);
-        self.is_complete = digest.full || (self.is_complete && follows);
+        self.is_complete = digest.full || (self.is_complete && is_next);
         if digest.full {
             self.levels.clear();
         }
--- a/src/control/lease.rs
+++ b/src/control/lease.rs
@@ -204,15 +204,15 @@
         if !self.is_read {
             return Command::Read;
         }
-        let Some(seen) = &self.observed else {
+        let Some(observed) = &self.observed else {
             return self.write(self.highest_epoch + 1, TTL, Condition::Absent, rng);
         };
-        let condition = Condition::Version(seen.version.clone());
+        let condition = Condition::Version(observed.version.clone());
         if let Some(epoch) = self.held_epoch(now) {
             return self.write(epoch, TTL, condition, rng);
         }
-        let own = seen.value.holder == self.holder;
-        if own || now >= seen.first_seen + seen.value.ttl {
+        let is_own = observed.value.holder == self.holder;
+        if is_own || now >= observed.first_seen + observed.value.ttl {
             return self.write(self.highest_epoch + 1, TTL, condition, rng);
         }
         Command::Read
@@ -295,9 +295,9 @@
             self.due = now + random_acquire_delay(rng);
             return;
         };
-        let own = value.holder == self.holder;
-        if let (true, Some(&at)) = (own, self.uncertain_writes.get(&value.identity)) {
-            return self.handle_written(now, version, value, at);
+        let is_own = value.holder == self.holder;
+        if let (true, Some(&sent)) = (is_own, self.uncertain_writes.get(&value.identity)) {
+            return self.handle_written(now, version, value, sent);
         }
         self.observe_version(now, version, value);
         self.schedule_next_command(now, rng);
@@ -305,8 +305,8 @@
 
     /// Records a version that another host wrote, or that this host wrote earlier.
     fn observe_version(&mut self, now: Instant, version: Version, mut value: Value) {
-        let same = self.observed.as_ref().is_some_and(|s| s.version == version);
-        if same {
+        let is_known = self.observed.as_ref().is_some_and(|s| s.version == version);
+        if is_known {
             return;
         }
         self.conflicts = 0;
@@ -323,7 +323,7 @@
     }
 
     fn schedule_next_command(&mut self, now: Instant, rng: &mut impl Rng) {
-        let Some(seen) = &self.observed else {
+        let Some(observed) = &self.observed else {
             self.due = now;
             return;
         };
@@ -331,7 +331,7 @@
             self.due = now;
             return;
         }
-        let lapses = seen.first_seen + seen.value.ttl;
+        let lapses = observed.first_seen + observed.value.ttl;
         let poll = now + MEAN_POLL_INTERVAL.mul_f64(rng.random_range(0.7..1.3));
         self.due = if lapses <= poll {
             lapses.max(now) + random_acquire_delay(rng)
--- a/src/control/membership.rs
+++ b/src/control/membership.rs
@@ -83,8 +83,8 @@
     sequence: u64,
     state: State,
     records: BTreeMap<HostKey, Record>,
-    names: BTreeMap<Arc<str>, HostKey>,
-    zones: BTreeMap<ZoneKey, Arc<str>>,
+    hosts_by_name: BTreeMap<Arc<str>, HostKey>,
+    zone_names: BTreeMap<ZoneKey, Arc<str>>,
     zone_reports: BTreeMap<ZoneKey, ZoneReport>,
     rosters: BTreeMap<ZoneKey, Roster>,
     zone_statuses: BTreeMap<ZoneKey, ZoneStatus>,
@@ -104,8 +104,8 @@
             sequence: 0,
             state: State::Serving,
             records: BTreeMap::new(),
-            names: BTreeMap::new(),
-            zones: BTreeMap::new(),
+            hosts_by_name: BTreeMap::new(),
+            zone_names: BTreeMap::new(),
             zone_reports: BTreeMap::new(),
             rosters: BTreeMap::new(),
             zone_statuses: BTreeMap::new(),
@@ -120,26 +120,27 @@
     /// Applies the hosts of a configuration; removed hosts are forgotten.
     pub fn apply_catalog(&mut self, catalog: &Catalog) {
         let mut records = BTreeMap::new();
-        self.names.clear();
-        self.zones.clear();
+        self.hosts_by_name.clear();
+        self.zone_names.clear();
         for (key, host) in catalog.hosts() {
             if catalog.host_state(key) == catalog::State::Off {
                 continue;
             }
-            self.names.insert(host.name.clone(), key);
-            self.zones
+            self.hosts_by_name.insert(host.name.clone(), key);
+            self.zone_names
                 .insert(host.zone, catalog.zone(host.zone).name.clone());
             if key != self.own {
-                let old = self.records.remove(&key);
-                let mut record = old.unwrap_or_else(|| Record::new(host));
+                let previous = self.records.remove(&key);
+                let mut record = previous.unwrap_or_else(|| Record::new(host));
                 record.zone = host.zone;
                 records.insert(key, record);
             }
         }
         self.records = records;
         self.zone_reports
-            .retain(|zone, _| self.zones.contains_key(zone));
-        self.rosters.retain(|zone, _| self.zones.contains_key(zone));
+            .retain(|zone, _| self.zone_names.contains_key(zone));
+        self.rosters
+            .retain(|zone, _| self.zone_names.contains_key(zone));
     }
 
     /// From now on the heartbeats of this host say that it is leaving.
@@ -206,19 +207,19 @@
             },
         };
         record.sequence = record.sequence.max(sequence);
-        let left = record.is_leaving();
+        let was_leaving = record.is_leaving();
         record.state = record.state.max(state);
-        if !left && record.is_leaving() {
+        if !was_leaving && record.is_leaving() {
             self.changes.push(Change::Left(host));
         }
-        let fresh = record.last_heard.is_none_or(|heard| at > heard);
-        if fresh {
+        let is_newer = record.last_heard.is_none_or(|heard| at > heard);
+        if is_newer {
             record.last_heard = Some(at);
             record.is_confirmed = false;
         }
         let (_, dead) = record.silence_limits();
-        let lately = now.saturating_duration_since(at) < dead;
-        if !fresh || !lately {
+        let is_recent = now.saturating_duration_since(at) < dead;
+        if !is_newer || !is_recent {
             return;
         }
         match record.status {
@@ -275,9 +276,9 @@
         let Some(record) = self.records.get_mut(&host) else {
             return;
         };
-        let left = record.is_leaving();
+        let was_leaving = record.is_leaving();
         record.listing = listing;
-        if !left && record.is_leaving() {
+        if !was_leaving && record.is_leaving() {
             self.changes.push(Change::Left(host));
         }
     }
@@ -317,15 +318,18 @@
     }
 
     fn is_heard_directly_within(&self, record: &Record, silence: Duration) -> bool {
-        let whole = !matches!(record.link, Link::Down(_));
-        let silent = |at| self.last_tick.saturating_duration_since(at);
-        whole && record.last_direct.is_some_and(|at| silent(at) < silence)
+        let is_link_intact = !matches!(record.link, Link::Down(_));
+        let silence_since = |at| self.last_tick.saturating_duration_since(at);
+        is_link_intact
+            && record
+                .last_direct
+                .is_some_and(|at| silence_since(at) < silence)
     }
 
     /// Processes a heartbeat that came over the link from its sender. If it asks about hosts that
     /// are heard here, returns an answer to send back at once.
     pub fn receive(&mut self, now: Instant, beat: &Heartbeat) -> Option<Heartbeat> {
-        let &host = self.names.get(&beat.host)?;
+        let &host = self.hosts_by_name.get(&beat.host)?;
         let interval = Duration::from_millis(beat.interval_ms.into());
         self.record_heard_with_interval(
             now,
@@ -345,7 +349,7 @@
         let known: Vec<Known> = beat
             .missed
             .iter()
-            .filter_map(|name| self.names.get(name))
+            .filter_map(|name| self.hosts_by_name.get(name))
             .filter(|&&asked| self.is_recently_heard(asked))
             .filter_map(|asked| self.records[asked].to_known(now))
             .collect();
@@ -364,7 +368,7 @@
         let unheard = beat
             .missed
             .iter()
-            .any(|name| self.names.get(name) == Some(&own));
+            .any(|name| self.hosts_by_name.get(name) == Some(&own));
         if let Some(record) = self.records.get_mut(&host) {
             record.is_unheard = unheard;
         }
@@ -380,7 +384,7 @@
     /// Merges what other hosts know, `delay` after they sent it.
     pub fn merge_known(&mut self, now: Instant, known: &[Known], delay: Duration) {
         for known in known {
-            let Some(&host) = self.names.get(&known.host) else {
+            let Some(&host) = self.hosts_by_name.get(&known.host) else {
                 continue;
             };
             let age = Duration::from_millis(known.age_ms.into()) + delay;
@@ -402,7 +406,10 @@
 
     /// Merges the roster of another zone, `delay` after it was made.
     pub fn merge_roster(&mut self, now: Instant, roster: Roster, delay: Duration) {
-        let found = self.zones.iter().find(|(_, name)| **name == roster.zone);
+        let found = self
+            .zone_names
+            .iter()
+            .find(|(_, name)| **name == roster.zone);
         let Some((&zone, _)) = found else {
             return;
         };
@@ -422,10 +429,10 @@
         let Some(roster) = self.rosters.remove(&zone) else {
             return false;
         };
-        let same = roster.digest() == digest;
-        if same {
+        let is_same = roster.digest() == digest;
+        if is_same {
             for known in roster.hosts.iter().filter(|known| !known.dead) {
-                if let Some(&host) = self.names.get(&known.host) {
+                if let Some(&host) = self.hosts_by_name.get(&known.host) {
                     let (incarnation, state) = (known.incarnation, known.state);
                     let via = Via::Relayed(age);
                     self.record_heard(now, host, incarnation, known.sequence, state, via);
@@ -434,7 +441,7 @@
             }
         }
         self.rosters.insert(zone, roster);
-        same
+        is_same
     }
 
     /// Marks a host whose most recent sign of life is the confirmation of its zone's roster.
@@ -448,7 +455,7 @@
     pub fn cached_roster(&self, now: Instant, zone: ZoneKey) -> Option<Roster> {
         let mut roster = self.rosters.get(&zone)?.clone();
         for known in &mut roster.hosts {
-            let record = self.names.get(&known.host);
+            let record = self.hosts_by_name.get(&known.host);
             let record = record.and_then(|host| self.records.get(host));
             if let Some(heard) = record.and_then(|record| record.last_heard) {
                 known.age_ms = millis(now.saturating_duration_since(heard));
@@ -470,14 +477,14 @@
         let Some(record) = self.records.get_mut(&host) else {
             return;
         };
-        let later = match (record.last_heard, now.checked_sub(age)) {
+        let is_heard_later = match (record.last_heard, now.checked_sub(age)) {
             // Its zone confirmed it when the silence had already begun, and no longer does.
             _ if record.is_confirmed => false,
-            (Some(heard), Some(theirs)) => heard > theirs + DEATH_CONFIRMATION,
+            (Some(heard), Some(reported)) => heard > reported + DEATH_CONFIRMATION,
             (Some(_), None) => true,
             (None, _) => true,
         };
-        if later || record.is_linked() || incarnation < record.incarnation {
+        if is_heard_later || record.is_linked() || incarnation < record.incarnation {
             return;
         }
         if record.status != Status::Dead {
@@ -502,14 +509,14 @@
             .filter(|record| record.zone == self.zone)
             .filter_map(|record| record.to_known(now));
         Roster {
-            zone: self.zones.get(&self.zone).cloned().unwrap_or_default(),
+            zone: self.zone_names.get(&self.zone).cloned().unwrap_or_default(),
             hosts: std::iter::once(own).chain(others).collect(),
         }
     }
 
     /// The reports on other zones that a delegate sends to the hosts of its zone.
     pub fn reports(&self, now: Instant) -> Vec<Report> {
-        self.zones
+        self.zone_names
             .iter()
             .filter(|(&zone, _)| zone != self.zone)
             .filter_map(|(&zone, name)| {
@@ -527,7 +534,10 @@
     pub fn merge_reports(&mut self, now: Instant, reports: &[Report], delay: Duration) {
         self.detect_pause(now);
         for report in reports {
-            let found = self.zones.iter().find(|(_, name)| **name == report.zone);
+            let found = self
+                .zone_names
+                .iter()
+                .find(|(_, name)| **name == report.zone);
             let Some((&zone, _)) = found else {
                 continue;
             };
@@ -535,17 +545,17 @@
             let Some(heard) = now.checked_sub(age) else {
                 continue;
             };
-            let newer = self
+            let is_newer = self
                 .zone_reports
                 .get(&zone)
-                .is_none_or(|word| heard >= word.heard);
-            if newer {
-                let word = ZoneReport {
+                .is_none_or(|zone_report| heard >= zone_report.heard);
+            if is_newer {
+                let zone_report = ZoneReport {
                     received: now,
                     heard,
                     lost: report.lost,
                 };
-                self.zone_reports.insert(zone, word);
+                self.zone_reports.insert(zone, zone_report);
             }
         }
     }
@@ -583,21 +593,21 @@
 
     fn update_zone_statuses(&mut self, now: Instant) {
         let silent: BTreeMap<ZoneKey, bool> = self
-            .zones
+            .zone_names
             .keys()
             .map(|&zone| (zone, self.is_zone_silent(now, zone)))
             .collect();
         let heard = silent.values().filter(|&&silent| !silent).count();
         let majority = 2 * heard > silent.len();
         for (zone, silent) in silent {
-            let sight = self.evaluate_zone(now, zone, silent, majority);
-            let before = self.zone_statuses.insert(zone, sight);
-            if before.map(status_kind) != Some(status_kind(sight)) {
-                self.changes.push(Change::Zone(zone, sight));
+            let status = self.evaluate_zone(now, zone, silent, majority);
+            let before = self.zone_statuses.insert(zone, status);
+            if before.map(status_kind) != Some(status_kind(status)) {
+                self.changes.push(Change::Zone(zone, status));
             }
         }
         self.zone_statuses
-            .retain(|zone, _| self.zones.contains_key(zone));
+            .retain(|zone, _| self.zone_names.contains_key(zone));
     }
 
     fn evaluate_zone(
@@ -613,12 +623,12 @@
         let Some(heard) = self.zone_last_heard(zone) else {
             return ZoneStatus::Unknown(None);
         };
-        let lost = if self.has_zone_link(zone) {
+        let is_lost = if self.has_zone_link(zone) {
             majority
         } else {
             self.is_reported_lost(now, zone)
         };
-        if lost {
+        if is_lost {
             return ZoneStatus::Lost;
         }
         ZoneStatus::Unknown(Some(now.saturating_duration_since(heard)))
@@ -626,10 +636,11 @@
 
     /// Whether a delegate recently reported a zone as lost and nothing was heard of the zone since.
     fn is_reported_lost(&self, now: Instant, zone: ZoneKey) -> bool {
-        self.zone_reports.get(&zone).is_some_and(|word| {
-            let lately = now.saturating_duration_since(word.received) < REMOTE_DEAD_SILENCE;
-            let later = self.zone_last_heard(zone) > Some(word.heard + DEATH_CONFIRMATION);
-            word.lost && lately && !later
+        self.zone_reports.get(&zone).is_some_and(|report| {
+            let is_recent = now.saturating_duration_since(report.received) < REMOTE_DEAD_SILENCE;
+            let is_heard_later =
+                self.zone_last_heard(zone) > Some(report.heard + DEATH_CONFIRMATION);
+            report.lost && is_recent && !is_heard_later
         })
     }
 
@@ -651,8 +662,8 @@
             .zone_records(zone)
             .filter_map(|(_, r)| r.last_heard)
             .max();
-        let word = self.zone_reports.get(&zone).map(|word| word.heard);
-        hosts.max(word)
+        let report = self.zone_reports.get(&zone).map(|report| report.heard);
+        hosts.max(report)
     }
 
     /// Whether a zone is silent: no linked host of it is heard or, if there is no link, nothing is
@@ -668,19 +679,19 @@
         if !self.has_zone_link(zone) {
             return silence >= REMOTE_DEAD_SILENCE || self.is_reported_lost(now, zone);
         }
-        let dead = self
+        let is_dead = self
             .zone_records(zone)
             .filter(|(_, record)| record.is_linked())
             .all(|(_, record)| matches!(record.status, Status::Dead | Status::Unknown));
         // Other hosts of the zone may answer once there are links to them.
-        let untried = self
+        let has_untried = self
             .zone_records(zone)
             .any(|(_, record)| record.is_alive() && !record.is_linked());
-        let limit = match untried {
+        let limit = match has_untried {
             true => ZONE_LOSS_SILENCE + OPENING_ALLOWANCE,
             false => ZONE_LOSS_SILENCE,
         };
-        dead && silence >= limit
+        is_dead && silence >= limit
     }
 
     /// This host's key.
@@ -764,8 +775,8 @@
 }
 
 /// The kind of a zone status, without its age.
-fn status_kind(sight: ZoneStatus) -> u8 {
-    match sight {
+fn status_kind(status: ZoneStatus) -> u8 {
+    match status {
         ZoneStatus::Alive => 0,
         ZoneStatus::Lost => 1,
         ZoneStatus::Unknown(_) => 2,
--- a/src/control/plan.rs
+++ b/src/control/plan.rs
@@ -109,15 +109,15 @@
 
 /// Converts shares to ten-thousandths that add up to exactly 10,000.
 fn quantize(shares: &Shares) -> BTreeMap<ZoneKey, u16> {
-    let mut rest = SHARE_UNITS as i32;
+    let mut remainder = SHARE_UNITS as i32;
     let mut units: BTreeMap<ZoneKey, i32> = BTreeMap::new();
     for (&zone, &share) in shares {
         let unit = (share * SHARE_UNITS).round() as i32;
         units.insert(zone, unit);
-        rest -= unit;
+        remainder -= unit;
     }
     if let Some(unit) = units.values_mut().max() {
-        *unit += rest;
+        *unit += remainder;
     }
     units
         .into_iter()
@@ -170,11 +170,11 @@
         let removed = |new: &Localities, old: &Localities| {
             old.keys().any(|locality| !new.contains_key(locality))
         };
-        let gone = old.splits.iter().any(|(service, localities)| {
+        let has_removals = old.splits.iter().any(|(service, localities)| {
             let new = self.splits.get(service);
             new.is_none_or(|new| removed(new, localities))
         });
-        if gone || old.base.is_some() {
+        if has_removals || old.base.is_some() {
             return self.clone();
         }
         let mut difference = self.clone();
--- a/src/control/planner.rs
+++ b/src/control/planner.rs
@@ -76,8 +76,8 @@
     /// Records that load had to be moved away again. If the last return was recent, it counts as
     /// failed and the next one waits longer.
     fn record_failure(&mut self, now: Instant, window: Duration) {
-        let lately = |at: Instant| now < at + window * FAILED_RETURN_WINDOWS;
-        if self.returned.is_some_and(lately) {
+        let is_recent = |at: Instant| now < at + window * FAILED_RETURN_WINDOWS;
+        if self.returned.is_some_and(is_recent) {
             self.failures = (self.failures + 1).min(MAX_RETURN_FAILURES);
         }
     }
@@ -246,19 +246,28 @@
         service: ServiceKey,
         view: &View<'_>,
     ) -> bool {
-        let Some(after) = self.sample_threshold(now, service, view) else {
+        let Some(threshold) = self.sample_threshold(now, service, view) else {
             return false;
         };
-        let mut places = site_loads(now, service, after, view);
-        let planned = view.catalog.service(service).shift;
-        let lost = places.values().any(|place| place.access == Access::Lost);
-        let cap = if lost {
+        let mut site_loads = site_loads(now, service, threshold, view);
+        let planned_cap = view.catalog.service(service).shift;
+        let has_lost_zone = site_loads
+            .values()
+            .any(|site_load| site_load.access == Access::Lost);
+        let cap = if has_lost_zone {
             view.catalog.limits().failover
         } else {
-            planned
+            planned_cap
         };
-        let mut moved = self.relieve_overloaded(service, &mut places, cap, view.catalog);
-        moved.extend(self.return_shares_home(now, service, &places, &moved, planned, view.catalog));
+        let mut moved = self.relieve_overloaded(service, &mut site_loads, cap, view.catalog);
+        moved.extend(self.return_shares_home(
+            now,
+            service,
+            &site_loads,
+            &moved,
+            planned_cap,
+            view.catalog,
+        ));
         if moved.is_empty() {
             return false;
         }
@@ -301,32 +310,32 @@
     fn relieve_overloaded(
         &mut self,
         service: ServiceKey,
-        places: &mut BTreeMap<ZoneKey, SiteLoad>,
+        site_loads: &mut BTreeMap<ZoneKey, SiteLoad>,
         cap: Cap,
         catalog: &Catalog,
     ) -> BTreeSet<RegionKey> {
-        let mut spent: BTreeMap<RegionKey, f64> = BTreeMap::new();
-        let hot: Vec<(ZoneKey, SiteLoad)> = places
+        let mut moved: BTreeMap<RegionKey, f64> = BTreeMap::new();
+        let overloaded: Vec<(ZoneKey, SiteLoad)> = site_loads
             .iter()
-            .filter(|(_, place)| place.excess_fraction() > 0.0)
-            .map(|(&zone, place)| (zone, *place))
+            .filter(|(_, site_load)| site_load.excess_fraction() > 0.0)
+            .map(|(&zone, site_load)| (zone, *site_load))
             .collect();
-        for (from, place) in hot {
+        for (from, site_load) in overloaded {
             let total: f64 = service_splits(&mut self.splits, service)
                 .filter_map(|(_, shares)| shares.get(&from).copied())
                 .sum();
-            let weight = place.demand.max(MIN_SHARE_MOVE) / total.max(MIN_SHARE_MOVE);
+            let weight = site_load.demand.max(MIN_SHARE_MOVE) / total.max(MIN_SHARE_MOVE);
             for (&(_, locality), shares) in service_splits(&mut self.splits, service) {
                 let Some(&share) = shares.get(&from) else {
                     continue;
                 };
-                let spent = spent.entry(locality).or_default();
-                let want = (share * place.excess_fraction()).min(cap.share - *spent);
-                *spent += move_share(locality, from, want, weight, shares, places, catalog);
+                let moved = moved.entry(locality).or_default();
+                let wanted = (share * site_load.excess_fraction()).min(cap.share - *moved);
+                *moved += move_share(locality, from, wanted, weight, shares, site_loads, catalog);
             }
         }
-        spent.retain(|_, sent| *sent > 0.0);
-        spent.into_keys().collect()
+        moved.retain(|_, sent| *sent > 0.0);
+        moved.into_keys().collect()
     }
 
     /// Moves shares back towards the home zones of their locality where there is room again.
@@ -335,24 +344,24 @@
         &mut self,
         now: Instant,
         service: ServiceKey,
-        places: &BTreeMap<ZoneKey, SiteLoad>,
+        site_loads: &BTreeMap<ZoneKey, SiteLoad>,
         moved: &BTreeSet<RegionKey>,
         cap: Cap,
         catalog: &Catalog,
     ) -> BTreeSet<RegionKey> {
         let mut returned = BTreeSet::new();
         for (&(_, locality), shares) in service_splits(&mut self.splits, service) {
-            let homing = self.returns.entry((service, locality)).or_default();
+            let backoff = self.returns.entry((service, locality)).or_default();
             if moved.contains(&locality) {
-                homing.record_failure(now, cap.window);
+                backoff.record_failure(now, cap.window);
                 continue;
             }
-            if !homing.is_return_allowed(now, cap.window) {
+            if !backoff.is_return_allowed(now, cap.window) {
                 continue;
             }
             let home = home_split(service, locality, catalog);
-            if step_towards_home(shares, &home, places, cap) {
-                homing.returned = Some(now);
+            if step_towards_home(shares, &home, site_loads, cap) {
+                backoff.returned = Some(now);
                 returned.insert(locality);
             }
         }
@@ -414,23 +423,23 @@
 fn site_loads(
     now: Instant,
     service: ServiceKey,
-    after: Instant,
+    threshold: Instant,
     view: &View<'_>,
 ) -> BTreeMap<ZoneKey, SiteLoad> {
-    let mut places = BTreeMap::new();
+    let mut site_loads = BTreeMap::new();
     for (zone, _) in view.catalog.sites(service) {
-        if let Some(place) = site_load(now, service, zone, after, view) {
-            places.insert(zone, place);
+        if let Some(site_load) = site_load(now, service, zone, threshold, view) {
+            site_loads.insert(zone, site_load);
         }
     }
-    places
+    site_loads
 }
 
 fn site_load(
     now: Instant,
     service: ServiceKey,
     zone: ZoneKey,
-    after: Instant,
+    threshold: Instant,
     view: &View<'_>,
 ) -> Option<SiteLoad> {
     let utilization = view.catalog.limits().utilization;
@@ -444,7 +453,7 @@
     }
     let source = view.summaries.zone_source(now, zone, view.catalog)?;
     let Entry { load, sampled } = source.load(service)?;
-    if now.saturating_duration_since(sampled) >= MAX_SAMPLE_AGE || sampled <= after {
+    if now.saturating_duration_since(sampled) >= MAX_SAMPLE_AGE || sampled <= threshold {
         return None;
     }
     let (live, reported) = source.hosts;
@@ -467,9 +476,9 @@
 /// the service left to move. If some zone does not, the step counts as in force after twice the
 /// window of its cap.
 fn settled_at(now: Instant, service: ServiceKey, step: &Step, view: &View<'_>) -> Option<Instant> {
-    let bound = step.made + 2 * step.window;
+    let deadline = step.made + 2 * step.window;
     let mut latest = None;
-    let mut done = true;
+    let mut is_done = true;
     for (zone, _) in view.catalog.zones() {
         let Some(source) = view.summaries.zone_source(now, zone, view.catalog) else {
             continue;
@@ -477,44 +486,44 @@
         if now.saturating_duration_since(source.sampled) >= MAX_SAMPLE_AGE {
             continue;
         }
-        done &= source.applied >= step.stamp && !source.moving.contains(&service);
+        is_done &= source.applied >= step.stamp && !source.moving.contains(&service);
         latest = latest.max(Some(source.sampled));
     }
     latest
-        .filter(|_| done)
-        .or_else(|| (now >= bound).then_some(bound))
+        .filter(|_| is_done)
+        .or_else(|| (now >= deadline).then_some(deadline))
 }
 
-/// Moves up to `want` of a locality's traffic away from a zone to zones with headroom, nearest
+/// Moves up to `wanted` of a locality's traffic away from a zone to zones with headroom, nearest
 /// region first. `weight` is the load that a full share represents. Returns the share moved.
 fn move_share(
     locality: RegionKey,
     from: ZoneKey,
-    want: f64,
+    wanted: f64,
     weight: f64,
     shares: &mut Shares,
-    places: &mut BTreeMap<ZoneKey, SiteLoad>,
+    site_loads: &mut BTreeMap<ZoneKey, SiteLoad>,
     catalog: &Catalog,
 ) -> f64 {
-    let mut order: Vec<(Duration, ZoneKey)> = places
+    let mut nearest_first: Vec<(Duration, ZoneKey)> = site_loads
         .iter()
-        .filter(|&(&zone, place)| zone != from && place.headroom() > 0.0)
+        .filter(|&(&zone, site_load)| zone != from && site_load.headroom() > 0.0)
         .map(|(&zone, _)| (distance(locality, catalog.region_of(zone), catalog), zone))
         .filter(|&(distance, _)| distance < Duration::MAX)
         .collect();
-    order.sort_unstable();
+    nearest_first.sort_unstable();
     let mut sent = 0.0;
-    for (_, to) in order {
-        let Some(place) = places.get_mut(&to) else {
+    for (_, to) in nearest_first {
+        let Some(site_load) = site_loads.get_mut(&to) else {
             continue;
         };
-        let part = (want - sent).min(STEP_GAIN * place.headroom() / weight);
-        if part < MIN_SHARE_MOVE.min(want) || part <= 0.0 {
+        let moved = (wanted - sent).min(STEP_GAIN * site_load.headroom() / weight);
+        if moved < MIN_SHARE_MOVE.min(wanted) || moved <= 0.0 {
             continue;
         }
-        place.demand += part * weight;
-        *shares.entry(to).or_default() += part;
-        sent += part;
+        site_load.demand += moved * weight;
+        *shares.entry(to).or_default() += moved;
+        sent += moved;
     }
     if sent > 0.0 {
         if let Some(share) = shares.get_mut(&from) {
@@ -530,22 +539,22 @@
 fn step_towards_home(
     shares: &mut Shares,
     home: &Shares,
-    places: &BTreeMap<ZoneKey, SiteLoad>,
+    site_loads: &BTreeMap<ZoneKey, SiteLoad>,
     cap: Cap,
 ) -> bool {
-    let lacking: Vec<(ZoneKey, f64)> = home
+    let deficits: Vec<(ZoneKey, f64)> = home
         .iter()
         .map(|(&zone, &share)| (zone, share - shares.get(&zone).copied().unwrap_or(0.0)))
-        .filter(|&(_, lack)| lack > MIN_SHARE_MOVE)
+        .filter(|&(_, deficit)| deficit > MIN_SHARE_MOVE)
         .collect();
     let mut sent = 0.0;
-    for (zone, lack) in lacking {
-        let Some(place) = places.get(&zone) else {
+    for (zone, deficit) in deficits {
+        let Some(site_load) = site_loads.get(&zone) else {
             continue;
         };
-        let most = return_limit(place, shares.get(&zone).copied().unwrap_or(0.0));
-        let want = lack.min(most).min(cap.share - sent);
-        let taken = take_excess(shares, home, places, want);
+        let limit = return_limit(site_load, shares.get(&zone).copied().unwrap_or(0.0));
+        let wanted = deficit.min(limit).min(cap.share - sent);
+        let taken = take_excess(shares, home, site_loads, wanted);
         if taken > 0.0 {
             *shares.entry(zone).or_default() += taken;
             sent += taken;
@@ -560,44 +569,44 @@
 /// Drops negligible shares and adds the remainder to the largest, so that all add up to 1.
 fn normalize(shares: &mut Shares) {
     shares.retain(|_, share| *share > MIN_SHARE_MOVE / 10.0);
-    let rest = 1.0 - shares.values().sum::<f64>();
+    let remainder = 1.0 - shares.values().sum::<f64>();
     let largest = shares.values_mut().max_by(|a, b| a.total_cmp(b));
     if let Some(share) = largest {
-        *share += rest;
+        *share += remainder;
     }
 }
 
 /// The share that a home zone can take back, estimated from the load that its present share brings.
-fn return_limit(place: &SiteLoad, share: f64) -> f64 {
-    let room = place.limit * RETURN_LEVEL - place.demand;
-    if place.access != Access::Open || room <= 0.0 {
+fn return_limit(site_load: &SiteLoad, share: f64) -> f64 {
+    let headroom = site_load.limit * RETURN_LEVEL - site_load.demand;
+    if site_load.access != Access::Open || headroom <= 0.0 {
         return 0.0;
     }
-    if share < MIN_SHARE_MOVE || place.demand < MIN_SHARE_MOVE {
+    if share < MIN_SHARE_MOVE || site_load.demand < MIN_SHARE_MOVE {
         return PROBE_SHARE;
     }
-    (STEP_GAIN * room * share / place.demand).max(MIN_SHARE_MOVE)
+    (STEP_GAIN * headroom * share / site_load.demand).max(MIN_SHARE_MOVE)
 }
 
-/// Takes up to `want` from zones that have more than their home share. Returns the share taken.
+/// Takes up to `wanted` from zones that have more than their home share. Returns the share taken.
 fn take_excess(
     shares: &mut Shares,
     home: &Shares,
-    places: &BTreeMap<ZoneKey, SiteLoad>,
-    want: f64,
+    site_loads: &BTreeMap<ZoneKey, SiteLoad>,
+    wanted: f64,
 ) -> f64 {
-    if want < MIN_SHARE_MOVE {
+    if wanted < MIN_SHARE_MOVE {
         return 0.0;
     }
     let mut taken = 0.0;
     for (zone, share) in shares.iter_mut() {
-        if !places.contains_key(zone) {
+        if !site_loads.contains_key(zone) {
             continue;
         }
-        let over = *share - home.get(zone).copied().unwrap_or(0.0);
-        let part = over.min(want - taken).max(0.0);
-        *share -= part;
-        taken += part;
+        let excess = *share - home.get(zone).copied().unwrap_or(0.0);
+        let moved = excess.min(wanted - taken).max(0.0);
+        *share -= moved;
+        taken += moved;
     }
     taken
 }
--- a/src/control/presence.rs
+++ b/src/control/presence.rs
@@ -79,9 +79,9 @@
 }
 
 impl Peer {
-    fn update(&mut self, now: Instant, sight: StoreView, leaving: bool, rate: u32) {
+    fn update(&mut self, now: Instant, view: StoreView, leaving: bool, rate: u32) {
         self.last_heard = now;
-        self.store_view = Some(sight);
+        self.store_view = Some(view);
         self.is_leaving = leaving;
         self.rate = rate;
     }
@@ -208,8 +208,8 @@
     }
 
     /// Sets this host's view of the store. Returns whether it changed.
-    pub fn set_store_view(&mut self, sight: StoreView) -> bool {
-        std::mem::replace(&mut self.store_view, sight) != sight
+    pub fn set_store_view(&mut self, view: StoreView) -> bool {
+        std::mem::replace(&mut self.store_view, view) != view
     }
 
     /// This host's view of the store.
@@ -250,16 +250,16 @@
 
     /// Starts the next regular heartbeat and returns the addresses that receive it.
     pub fn next_heartbeat_recipients(&mut self, now: Instant) -> Vec<SocketAddr> {
-        let far = self.heartbeats_sent.is_multiple_of(self.remote_stride());
-        let across =
+        let includes_remote = self.heartbeats_sent.is_multiple_of(self.remote_stride());
+        let includes_region =
             self.heartbeats_sent.is_multiple_of(self.zone_stride()) || self.is_speaker(now);
         self.heartbeats_sent += 1;
-        let wanted = |peer: &&Peer| match self.distance(peer) {
+        let is_recipient = |peer: &&Peer| match self.distance(peer) {
             Distance::Zone => true,
-            Distance::Region => across,
-            Distance::Elsewhere => far,
+            Distance::Region => includes_region,
+            Distance::Elsewhere => includes_remote,
         };
-        let peers = self.peers.values().filter(wanted);
+        let peers = self.peers.values().filter(is_recipient);
         peers.map(|peer| peer.record.peers).collect()
     }
 
@@ -276,11 +276,11 @@
     /// Whether this host sends every heartbeat to the other zones of the region.
     fn is_speaker(&self, now: Instant) -> bool {
         let own = rank(&self.own);
-        let of_zone = self
+        let zone_peers = self
             .live_peers(now)
             .filter(|peer| peer.record.zone == self.own.zone);
-        let before = of_zone.filter(|peer| rank(&peer.record) > own);
-        before.take(ZONE_SPEAKERS).count() < ZONE_SPEAKERS
+        let ranked_before = zone_peers.filter(|peer| rank(&peer.record) > own);
+        ranked_before.take(ZONE_SPEAKERS).count() < ZONE_SPEAKERS
     }
 
     /// The addresses to notify at once after this host's view of the store changed from `before`:
@@ -288,10 +288,10 @@
     /// other regions only need to know whether any host sees the store. If followers announced
     /// their views to them as well, the messages would grow with the product of the hosts.
     pub fn store_view_recipients(&self, before: StoreView) -> Vec<SocketAddr> {
-        let everywhere = before == StoreView::Store || self.store_view == StoreView::Store;
+        let is_for_all = before == StoreView::Store || self.store_view == StoreView::Store;
         self.peers
             .values()
-            .filter(|peer| everywhere || peer.is_near)
+            .filter(|peer| is_for_all || peer.is_near)
             .map(|peer| peer.record.peers)
             .collect()
     }
@@ -308,8 +308,8 @@
                 return false;
             }
             // A later process may have a lower incarnation if the host's clock was set back.
-            let silent = now.saturating_duration_since(peer.last_heard) > 2 * INTERVAL;
-            if peer.record.incarnation > record.incarnation && !silent {
+            let is_silent = now.saturating_duration_since(peer.last_heard) > 2 * INTERVAL;
+            if peer.record.incarnation > record.incarnation && !is_silent {
                 return false;
             }
         }
@@ -333,19 +333,19 @@
 
     /// Forgets a host whose registration was removed, unless it is still heard.
     pub fn unregister(&mut self, now: Instant, host: &str) {
-        let gone = self
+        let is_gone = self
             .peers
             .get(host)
             .is_some_and(|peer| peer.is_leaving || !self.is_heard(now, peer));
-        if !gone {
+        if !is_gone {
             return;
         }
         if let Some(peer) = self.peers.remove(host) {
             self.region_peers -= usize::from(peer.is_near);
             // Another host may use the address by now.
-            let place = peer.record.peers;
-            if self.hosts_by_address.get(&place) == Some(&peer.record.host) {
-                self.hosts_by_address.remove(&place);
+            let address = peer.record.peers;
+            if self.hosts_by_address.get(&address) == Some(&peer.record.host) {
+                self.hosts_by_address.remove(&address);
             }
         }
     }
@@ -364,17 +364,17 @@
         new
     }
 
-    /// Processes a pulse that came from `place`. Returns whether its sender is known.
-    pub fn receive_pulse(&mut self, now: Instant, place: SocketAddr, pulse: Pulse) -> bool {
-        let Pulse(incarnation, sight, leaving, rate) = pulse;
-        let host = self.hosts_by_address.get(&place);
+    /// Processes a pulse that came from `address`. Returns whether its sender is known.
+    pub fn receive_pulse(&mut self, now: Instant, address: SocketAddr, pulse: Pulse) -> bool {
+        let Pulse(incarnation, view, leaving, rate) = pulse;
+        let host = self.hosts_by_address.get(&address);
         let Some(peer) = host.and_then(|host| self.peers.get_mut(host)) else {
             return false;
         };
         if peer.record.incarnation != incarnation {
             return false;
         }
-        peer.update(now, sight, leaving, rate);
+        peer.update(now, view, leaving, rate);
         match self.zones_last_heard.get_mut(&peer.record.zone) {
             Some(heard) => *heard = now,
             None => {
@@ -407,9 +407,9 @@
         self.peers.get(host).map(|peer| &peer.record)
     }
 
-    /// The record of the host that sends heartbeats from `place`.
-    pub fn peer_at(&self, place: SocketAddr) -> Option<&Record> {
-        let peer = self.peers.get(self.hosts_by_address.get(&place)?)?;
+    /// The record of the host that sends heartbeats from `address`.
+    pub fn peer_at(&self, address: SocketAddr) -> Option<&Record> {
+        let peer = self.peers.get(self.hosts_by_address.get(&address)?)?;
         Some(&peer.record)
     }
 
@@ -429,15 +429,15 @@
     /// Rendezvous hashing selects one live host in each availability zone, so that zones that are
     /// cut off from each other each have one.
     pub fn counting_hosts(&self, now: Instant, key: u64) -> Vec<SocketAddr> {
-        let mut first: BTreeMap<&Arc<str>, (u64, &Record)> = BTreeMap::new();
+        let mut best_by_zone: BTreeMap<&Arc<str>, (u64, &Record)> = BTreeMap::new();
         for record in self.alive(now) {
-            let draw = xxh3_64_with_seed(record.host.as_bytes(), key);
-            let best = first.entry(&record.zone).or_insert((draw, record));
-            if draw > best.0 {
-                *best = (draw, record);
+            let score = xxh3_64_with_seed(record.host.as_bytes(), key);
+            let best = best_by_zone.entry(&record.zone).or_insert((score, record));
+            if score > best.0 {
+                *best = (score, record);
             }
         }
-        let others = first.values().map(|(_, record)| record);
+        let others = best_by_zone.values().map(|(_, record)| record);
         let others = others.filter(|record| record.host != self.own.host);
         others.map(|record| record.peers).collect()
     }
--- a/src/control/presence/lookup.rs
+++ b/src/control/presence/lookup.rs
@@ -40,9 +40,8 @@
     /// The hosts that a look-up names to a caller: some of its availability zone, else of its
     /// region, else any.
     ///
-    /// They are drawn from the active hosts (see [`active_hosts`]) by weighted rendezvous hashing
-    /// on the caller's address, so that a caller gets the same answer whenever and from whichever
-    /// host it asks. A caller closes its connections to hosts that are missing from a new answer.
+    /// Of the active hosts (see [`active_hosts`]) some are drawn for each caller by weighted rendezvous hashing, so that a caller gets the
+    /// same answer wherever and whenever it asks: it closes its connections to hosts that are missing from a new one.
     pub fn lookup_hosts(
         &self,
         now: Instant,
@@ -68,20 +67,20 @@
             region: self.region.clone(),
             zone: self.own.zone.clone(),
         };
-        let used = active_hosts::active_hosts(self.candidates(now, &question));
-        let own = used.iter().find(|one| one.front == self.own.front)?;
-        let all: f64 = used
+        let active = active_hosts::active_hosts(self.candidates(now, &question));
+        let own = active.iter().find(|one| one.front == self.own.front)?;
+        let total: f64 = active
             .iter()
             .map(|one| active_hosts::comfortable_rate(one.strength))
             .sum();
         let zones = self.regions.values().filter(|one| **one == self.region);
-        Some(active_hosts::comfortable_rate(own.strength) / all / zones.count().max(1) as f64)
+        Some(active_hosts::comfortable_rate(own.strength) / total / zones.count().max(1) as f64)
     }
 
-    /// The hosts that may be named to a caller: those of its availability zone if there are enough,
-    /// else those of its region, else all.
+    /// The hosts that may be named to a caller: those of its availability zone if there are enough, else those of its
+    /// region, else all.
     fn candidates(&self, now: Instant, question: &Question) -> Vec<Candidate> {
-        let near = |record: &Record| -> u8 {
+        let distance = |record: &Record| -> u8 {
             if record.zone == question.zone {
                 return 0;
             }
@@ -92,30 +91,32 @@
                 || self
                     .live_peers(now)
                     .any(|peer| peer.store_view > Some(StoreView::Stale)));
-        let least = if informed {
+        let min_view = if informed {
             StoreView::Stale
         } else {
             StoreView::Nothing
         };
         let own = Some((&self.own, self.request_rate.last_peak()));
-        let own = own.filter(|_| !self.is_leaving && self.store_view > least);
+        let own = own.filter(|_| !self.is_leaving && self.store_view > min_view);
         let others = self
             .live_peers(now)
-            .filter(|peer| peer.store_view.is_none_or(|sight| sight > least))
+            .filter(|peer| peer.store_view.is_none_or(|view| view > min_view))
             .map(|peer| (&peer.record, peer.rate));
         let all: Vec<(u8, Candidate)> = own
             .into_iter()
             .chain(others)
-            .map(|(record, rate)| (near(record), candidate(record, rate)))
+            .map(|(record, rate)| (distance(record), candidate(record, rate)))
             .collect();
-        let in_zone = all.iter().filter(|(near, _)| *near == 0).count();
-        let in_region = all.iter().filter(|(near, _)| *near <= 1).count();
+        let in_zone = all.iter().filter(|(distance, _)| *distance == 0).count();
+        let in_region = all.iter().filter(|(distance, _)| *distance <= 1).count();
         let farthest = match (in_zone, in_region) {
             (zone, _) if zone >= SUFFICIENT_ZONE_HOSTS => 0,
             (_, region) if region > 0 => 1,
             _ => 2,
         };
-        let named = all.into_iter().filter(|(near, _)| *near <= farthest);
+        let named = all
+            .into_iter()
+            .filter(|(distance, _)| *distance <= farthest);
         named.map(|(_, candidate)| candidate).collect()
     }
 
@@ -157,12 +158,12 @@
         .collect();
     ranked.sort_by(|one, other| one.0.total_cmp(&other.0));
     ranked.truncate(MAX_NAMED_HOSTS);
-    let strength = |candidate: &Candidate| active_hosts::comfortable_rate(candidate.strength);
-    let strongest = ranked.iter().map(|(_, candidate)| strength(candidate));
-    let least = strongest.fold(0.0, f64::max) * MIN_RELATIVE_RATE;
+    let rate = |candidate: &Candidate| active_hosts::comfortable_rate(candidate.strength);
+    let rates = ranked.iter().map(|(_, candidate)| rate(candidate));
+    let min_rate = rates.fold(0.0, f64::max) * MIN_RELATIVE_RATE;
     // The sort is stable: the strong hosts keep their order, and stay if one of them is lost.
-    ranked.sort_by_key(|(_, candidate)| strength(candidate) < least);
-    let strong = ranked.iter().filter(|(_, one)| strength(one) >= least);
+    ranked.sort_by_key(|(_, candidate)| rate(candidate) < min_rate);
+    let strong = ranked.iter().filter(|(_, one)| rate(one) >= min_rate);
     let count = strong.count().max(MIN_NAMED_HOSTS);
     ranked.truncate(count);
     let named = ranked.into_iter();
--- a/src/control/presence/watching.rs
+++ b/src/control/presence/watching.rs
@@ -65,16 +65,18 @@
             return false;
         }
         let own = rank(&self.own);
-        let away = !self.is_store_seen(now);
-        let before = self.live_peers(now).filter(|peer| {
-            let starting = now.saturating_duration_since(peer.first_heard) < START_ALLOWANCE;
-            let sees = peer.store_view == Some(StoreView::Store);
-            let could = away || peer.store_view >= Some(StoreView::Relayed);
+        let is_store_lost = !self.is_store_seen(now);
+        let ranked_before = self.live_peers(now).filter(|peer| {
+            let is_starting = now.saturating_duration_since(peer.first_heard) < START_ALLOWANCE;
+            let sees_store = peer.store_view == Some(StoreView::Store);
+            let could_see_store = is_store_lost || peer.store_view >= Some(StoreView::Relayed);
             peer.is_near
                 && rank(&peer.record) > own
-                && (sees || starting || (could && self.store_view != StoreView::Store))
+                && (sees_store
+                    || is_starting
+                    || (could_see_store && self.store_view != StoreView::Store))
         });
-        before.count() < self.watcher_count()
+        ranked_before.count() < self.watcher_count()
     }
 
     /// How long this host must be selected as a watcher before it begins to watch.
@@ -110,11 +112,11 @@
     /// traffic between regions would grow with the number of hosts times the number of targets.
     pub fn awaits_copy(&self, now: Instant) -> bool {
         let age = now.saturating_duration_since(self.started);
-        let strong = |peer: &Peer| peer.is_near && peer.record.strength.is_ample();
+        let is_strong_neighbour = |peer: &Peer| peer.is_near && peer.record.strength.is_ample();
         self.store_view == StoreView::Nothing
             && !self.own.strength.is_ample()
             && age < MAX_COPY_WAIT
-            && self.live_peers(now).any(strong)
+            && self.live_peers(now).any(is_strong_neighbour)
     }
 
     /// The host whose feed this host should follow: the one with the most current view of the
@@ -127,20 +129,20 @@
         now: Instant,
         skip: impl Fn(&Record) -> bool,
     ) -> Option<(&Record, StoreView)> {
-        let least = self.store_view.min(StoreView::Stale);
-        let (_, own) = rank(&self.own);
+        let min_view = self.store_view.min(StoreView::Stale);
+        let (_, own_draw) = rank(&self.own);
         let only_near = self.awaits_copy(now);
         self.live_peers(now)
             .filter_map(|peer| Some((peer, peer.store_view?)))
-            .filter(|(peer, sight)| *sight > least && !skip(&peer.record))
+            .filter(|(peer, view)| *view > min_view && !skip(&peer.record))
             .filter(|(peer, _)| !only_near || peer.is_near)
-            .max_by_key(|(peer, sight)| {
+            .max_by_key(|(peer, view)| {
                 // Traffic between zones has a price, and each follower copies all targets.
                 let in_zone = peer.record.zone == self.own.zone;
                 let (share, draw) = rank(&peer.record);
-                (*sight, peer.is_near, in_zone, share, draw ^ own)
+                (*view, peer.is_near, in_zone, share, draw ^ own_draw)
             })
-            .map(|(peer, sight)| (&peer.record, sight))
+            .map(|(peer, view)| (&peer.record, view))
     }
 
     /// Discards the last known store view of the host with this feed, which has fallen silent,
--- a/src/control/replica.rs
+++ b/src/control/replica.rs
@@ -35,8 +35,8 @@
 }
 
 impl From<Option<bool>> for Outage {
-    fn from(told: Option<bool>) -> Self {
-        match told {
+    fn from(value: Option<bool>) -> Self {
+        match value {
             Some(false) => Self::None,
             Some(true) => Self::Long,
             None => Self::Brief,
@@ -225,11 +225,11 @@
     fn remove_unlisted(&mut self, entries: &[Entry]) -> Vec<Entry> {
         let listed: BTreeSet<&Arc<str>> = entries.iter().map(|entry| &entry.name).collect();
         let names = self.objects.keys();
-        let gone: Vec<_> = names
+        let removed: Vec<_> = names
             .filter(|name| !listed.contains(name))
             .cloned()
             .collect();
-        let removals = gone.into_iter().filter_map(|name| {
+        let removals = removed.into_iter().filter_map(|name| {
             let version = self.remove(&name)?;
             Some(Entry {
                 name,
--- a/tests/agent.rs
+++ b/tests/agent.rs
@@ -1,4 +1,4 @@
-//! Fleets of agents under faults.
+//! Tests of the control agents in fleets of hosts with faults.
 
 #![allow(clippy::unwrap_used)]
 
@@ -6,12 +6,12 @@
 
 use std::collections::BTreeSet;
 
-use net::agents::{Fleet, FIRST};
+use net::agents::{Fleet, FIRST_INCARNATION};
 use ragwortfold::catalog::{HostKey, ZoneKey};
 use ragwortfold::control::delegate;
 use ragwortfold::control::membership::ZoneStatus;
 
-/// A case: zones and hosts, the part of messages that is lost, and what happens.
+/// Defines tests by the number of zones and hosts, the fraction of lost messages and the scenario.
 macro_rules! case {
     ($($name:ident: $zones:literal zones, $hosts:literal hosts, $loss:literal lost => $run:expr;)*) => {$(
         #[test]
@@ -32,8 +32,8 @@
     delegate::zone_delegates(zone, node.agent.membership(), &fleet.catalog)
 }
 
-/// A zone in which the planner is not.
-fn quiet_zone(fleet: &Fleet) -> ZoneKey {
+/// Returns a zone that does not contain the planner.
+fn zone_without_planner(fleet: &Fleet) -> ZoneKey {
     let holder = fleet.holder().unwrap();
     let busy = fleet.catalog.host(holder).zone;
     let mut zones = fleet.zones().into_iter();
@@ -45,24 +45,24 @@
     nodes.all(|node| !node.agent.live_hosts().contains(&host))
 }
 
-fn sees(fleet: &Fleet, zone: ZoneKey, sight: impl Fn(ZoneStatus) -> bool) -> bool {
+fn has_zone_status(fleet: &Fleet, zone: ZoneKey, is_expected: impl Fn(ZoneStatus) -> bool) -> bool {
     let mut others = fleet.nodes.values().filter(|node| node.zone != zone);
-    others.all(|node| sight(node.agent.zone_statuses()[&zone]))
+    others.all(|node| is_expected(node.agent.zone_statuses()[&zone]))
 }
 
-/// Ends a process and says after how long no host sends it new work any more.
+/// Kills a process and returns the time until no host sends it new work any more.
 fn kill(fleet: &mut Fleet, host: HostKey) -> Option<u64> {
     fleet.kill(host);
     fleet.until(20_000, |fleet| is_gone(fleet, host))
 }
 
-fn lives_on(fleet: &mut Fleet) {
+fn heal_and_settle(fleet: &mut Fleet) {
     fleet.heal();
     fleet.settle();
 }
 
 fn ordinary_host(fleet: &mut Fleet) {
-    let zone = quiet_zone(fleet);
+    let zone = zone_without_planner(fleet);
     let delegates = delegates(fleet, zone);
     let mut hosts = fleet.zone_hosts(zone).into_iter();
     let host = hosts.find(|host| !delegates.contains(host)).unwrap();
@@ -72,7 +72,7 @@
 }
 
 fn first_delegate(fleet: &mut Fleet) {
-    let zone = quiet_zone(fleet);
+    let zone = zone_without_planner(fleet);
     let host = delegates(fleet, zone)[0];
     let took = kill(fleet, host);
     assert!(took.is_some_and(|took| took < 2_000), "{took:?}");
@@ -87,38 +87,38 @@
     assert_ne!(fleet.holder(), Some(before));
 }
 
-/// The zone of two dead delegates is never taken for lost while others of it live.
+/// A zone whose two delegates die must never count as lost while other hosts of it live.
 fn both_delegates(fleet: &mut Fleet) {
-    let zone = quiet_zone(fleet);
+    let zone = zone_without_planner(fleet);
     let both = delegates(fleet, zone);
     for &host in &both {
         fleet.kill(host);
     }
     for _ in 0..2_000 {
         fleet.tick();
-        assert!(sees(fleet, zone, |sight| sight == ZoneStatus::Alive));
+        assert!(has_zone_status(fleet, zone, |status| status == ZoneStatus::Alive));
     }
     assert!(both.iter().all(|&host| is_gone(fleet, host)));
     fleet.settle();
 }
 
-/// The same when nobody is told that their links broke.
+/// The same if both machines lose power, so that no host is notified of their broken links.
 fn both_delegates_unplugged(fleet: &mut Fleet) {
-    let zone = quiet_zone(fleet);
+    let zone = zone_without_planner(fleet);
     let both = delegates(fleet, zone);
     for &host in &both {
         fleet.unplug(host);
     }
     for _ in 0..2_000 {
         fleet.tick();
-        assert!(sees(fleet, zone, |sight| sight == ZoneStatus::Alive));
+        assert!(has_zone_status(fleet, zone, |status| status == ZoneStatus::Alive));
     }
     assert!(both.iter().all(|&host| is_gone(fleet, host)));
     fleet.settle();
 }
 
 fn unplugged(fleet: &mut Fleet) {
-    let zone = quiet_zone(fleet);
+    let zone = zone_without_planner(fleet);
     let host = delegates(fleet, zone)[0];
     fleet.unplug(host);
     let took = fleet.until(20_000, |fleet| is_gone(fleet, host));
@@ -130,25 +130,26 @@
     for host in fleet.hosts() {
         fleet.kill(host);
         fleet.run(300);
-        fleet.start(host, FIRST + 1);
+        fleet.start(host, FIRST_INCARNATION + 1);
         fleet.settle();
-        let known =
-            |node: &net::agents::Node| node.agent.membership().incarnation(host) == Some(FIRST + 1);
+        let known = |node: &net::agents::Node| {
+            node.agent.membership().incarnation(host) == Some(FIRST_INCARNATION + 1)
+        };
         let took = fleet.until(20_000, |fleet| fleet.nodes.values().all(known));
         assert!(took.is_some(), "an old incarnation is still known");
     }
 }
 
 fn cut_zone(fleet: &mut Fleet) {
-    let zone = quiet_zone(fleet);
+    let zone = zone_without_planner(fleet);
     let side = fleet.zone_hosts(zone);
     let all = fleet.hosts();
-    fleet.part(&side, &all);
-    fleet.store.apart.insert(zone);
-    let lost = |fleet: &Fleet| sees(fleet, zone, |sight| sight == ZoneStatus::Lost);
+    fleet.cut_off(&side, &all);
+    fleet.store.unreachable_zones.insert(zone);
+    let lost = |fleet: &Fleet| has_zone_status(fleet, zone, |status| status == ZoneStatus::Lost);
     let took = fleet.until(20_000, lost);
     assert!(took.is_some_and(|took| took < 6_000), "{took:?}");
-    // Inside, nothing is known of the others, and the own hosts go on.
+    // The cut-off zone knows nothing of the other zones and keeps its own hosts alive.
     fleet.run(20_000);
     for &host in &side {
         let agent = &fleet.nodes[&host].agent;
@@ -157,22 +158,22 @@
             .zone_statuses()
             .into_iter()
             .filter(|&(z, _)| z != zone);
-        for (_, sight) in others {
-            assert!(matches!(sight, ZoneStatus::Unknown(_)), "{sight:?}");
+        for (_, status) in others {
+            assert!(matches!(status, ZoneStatus::Unknown(_)), "{status:?}");
         }
     }
-    lives_on(fleet);
+    heal_and_settle(fleet);
 }
 
 fn cut_from_platform(fleet: &mut Fleet) {
     let holder = fleet.holder().unwrap();
     let zone = fleet.catalog.host(holder).zone;
-    fleet.store.apart.insert(zone);
+    fleet.store.unreachable_zones.insert(zone);
     fleet.run(15_000);
     let now = fleet.holder().unwrap();
     assert_ne!(fleet.catalog.host(now).zone, zone);
     assert!(fleet.is_settled(), "the zone gets plans from the others");
-    lives_on(fleet);
+    heal_and_settle(fleet);
 }
 
 fn platform_down(fleet: &mut Fleet) {
@@ -182,19 +183,20 @@
     assert_eq!(fleet.holder(), None);
     let host = fleet.hosts()[0];
     assert!(kill(fleet, host).is_some_and(|took| took < 2_000));
-    fleet.start(host, FIRST + 1);
+    fleet.start(host, FIRST_INCARNATION + 1);
     fleet.run(15_000);
     let all: BTreeSet<HostKey> = fleet.hosts().into_iter().collect();
     for node in fleet.nodes.values() {
         assert_eq!(node.agent.live_hosts(), all);
         assert_eq!(node.agent.splits(), splits);
     }
-    lives_on(fleet);
+    heal_and_settle(fleet);
 }
 
-/// One direction between two hosts of a zone is cut: the others hear both, and nobody is dead.
+/// One direction of the link between two hosts of a zone is cut. Other hosts hear both, so neither
+/// may count as dead.
 fn one_way(fleet: &mut Fleet) {
-    let zone = quiet_zone(fleet);
+    let zone = zone_without_planner(fleet);
     let hosts = fleet.zone_hosts(zone);
     fleet.cut_way(hosts[0], hosts[1]);
     for _ in 0..2_000 {
@@ -205,15 +207,16 @@
             .values()
             .all(|n| n.agent.live_hosts().len() == all));
     }
-    lives_on(fleet);
+    heal_and_settle(fleet);
 }
 
-/// A planner sleeps past its lease with a write under way, and wakes.
+/// A planner is paused past its lease with a write in progress, and resumes. Its write must not
+/// take effect after that of the new planner.
 fn paused_planner(fleet: &mut Fleet) {
     let old = fleet.holder().unwrap();
     let epoch = fleet.nodes[&old].agent.held_epoch(fleet.now());
-    // Load that makes it write, and a way to the store on which its writes are late.
-    fleet.store.late.insert(old, 12_000);
+    // A load that makes it write, and delayed calls to the store.
+    fleet.store.call_delay.insert(old, 12_000);
     fleet.running = 18.0;
     fleet.run(3_000);
     let until = fleet.time + 11_000;
@@ -221,7 +224,7 @@
     fleet.run(10_000);
     let new = fleet.holder();
     assert!(new.is_some() && new != Some(old));
-    fleet.store.late.clear();
+    fleet.store.call_delay.clear();
     fleet.run(15_000);
     let stamp = fleet.nodes[&old].agent.plan_stamp();
     assert!(Some(stamp.epoch) > epoch, "the old planner follows the new");
@@ -240,8 +243,8 @@
     fleet.settle();
 }
 
-/// Holders and delegates die at random, with answers lost and messages lost.
-fn storm(fleet: &mut Fleet) {
+/// Lease holders and delegates die at random while answers and messages are lost.
+fn random_restarts(fleet: &mut Fleet) {
     fleet.store.loss = 0.2;
     let hosts = fleet.hosts();
     for round in 0..12_u64 {
@@ -266,20 +269,20 @@
     a_dead_first_delegate_is_replaced: 6 zones, 12 hosts, 0.0 lost => first_delegate;
     a_dead_planner_is_replaced: 6 zones, 12 hosts, 0.0 lost => planner;
     a_host_without_power_is_gone: 3 zones, 12 hosts, 0.0 lost => unplugged;
-    two_dead_delegates_do_not_lose_the_zone: 3 zones, 12 hosts, 0.0 lost => both_delegates;
-    two_delegates_without_power_do_not_lose_the_zone: 3 zones, 12 hosts, 0.0 lost => both_delegates_unplugged;
+    a_zone_with_two_dead_delegates_stays_alive: 3 zones, 12 hosts, 0.0 lost => both_delegates;
+    a_zone_with_two_unplugged_delegates_stays_alive: 3 zones, 12 hosts, 0.0 lost => both_delegates_unplugged;
     a_restarted_host_is_known_by_its_incarnation: 3 zones, 6 hosts, 0.0 lost => restart;
-    a_zone_that_is_cut_off_is_lost_to_the_others: 6 zones, 12 hosts, 0.0 lost => cut_zone;
+    a_partitioned_zone_is_lost_to_the_others: 6 zones, 12 hosts, 0.0 lost => cut_zone;
     a_zone_without_the_platform_follows_the_others: 6 zones, 12 hosts, 0.0 lost => cut_from_platform;
-    without_the_platform_all_goes_on: 6 zones, 12 hosts, 0.0 lost => platform_down;
-    a_link_that_is_cut_one_way_kills_nobody: 3 zones, 12 hosts, 0.0 lost => one_way;
-    a_planner_that_slept_is_not_followed: 6 zones, 12 hosts, 0.0 lost => paused_planner;
+    the_fleet_works_without_the_platform: 6 zones, 12 hosts, 0.0 lost => platform_down;
+    a_link_cut_in_one_direction_causes_no_death: 3 zones, 12 hosts, 0.0 lost => one_way;
+    a_planner_paused_past_its_lease_is_not_followed: 6 zones, 12 hosts, 0.0 lost => paused_planner;
     lost_answers_of_the_store_make_no_second_plan: 6 zones, 12 hosts, 0.01 lost => lost_answers;
-    a_storm_of_restarts_keeps_the_order_of_plans: 6 zones, 12 hosts, 0.02 lost => storm;
+    random_restarts_keep_the_order_of_plans: 6 zones, 12 hosts, 0.02 lost => random_restarts;
 }
 
-/// 130 restarts, more often than the 130 an hour that are asked for: one every 4 s. The bench runs
-/// the hour.
+/// 130 restarts, one every 4 s, which is more often than the required 130 an hour.
+/// `benches/control.rs` runs the full hour.
 #[test]
 fn restarts_change_no_split() {
     let mut fleet = Fleet::new(6, 48, 2, 1);
--- a/tests/intake.rs
+++ b/tests/intake.rs
@@ -1,4 +1,4 @@
-//! The memory that it takes to take in a list of all targets.
+//! Measures the memory needed to apply a list of all targets.
 
 #![allow(clippy::unwrap_used)]
 
@@ -32,7 +32,8 @@
     }
 }
 
-/// The memory that is needed for a moment to take in a list, beside the list and what is kept of it; in lists.
+/// The peak of memory while a list is applied, beyond the list itself and what is kept of it, in
+/// multiples of the list's size.
 fn spare_lists(targets: usize) -> f64 {
     let list = targets * size_of::<Entry>();
     let kept: Vec<Entry> = (0..targets).map(target).collect();
@@ -50,12 +51,12 @@
     let peak = MEMORY.peak_usage();
     assert!(matches!(&effect, Effect::Changed(entries) if entries.len() == targets));
     drop(effect);
-    let shelf = MEMORY.current_usage() + list - before;
-    peak.saturating_sub(before + shelf) as f64 / list as f64
+    let retained = MEMORY.current_usage() + list - before;
+    peak.saturating_sub(before + retained) as f64 / list as f64
 }
 
 #[test]
-fn a_list_is_taken_in_without_another_one() {
+fn applying_a_list_allocates_no_second_one() {
     for targets in [500, 2_000] {
         let spare = spare_lists(targets);
         assert!(spare < 0.25, "{spare} lists for {targets} targets");
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -1,4 +1,5 @@
-//! The planner lease and the fenced plan, on a modelled store that delays, loses and lies.
+//! Tests of the planner lease and the fenced plan against a simulated store that delays calls,
+//! loses answers and returns stale reads.
 
 #![allow(clippy::unwrap_used)]
 
@@ -32,7 +33,7 @@
         self.history.last().cloned()
     }
 
-    /// What a read gives: the newest value, or sometimes the one before.
+    /// A read returns the newest value or, if stale, the previous one.
     fn read(&self, stale: bool) -> Option<(Version, T)> {
         match (stale, self.history.len()) {
             (true, n) if n >= 2 => self.history.get(n - 2).cloned(),
@@ -66,14 +67,14 @@
     Plan(publish::Event),
 }
 
-/// Something the world does at a time, in milliseconds.
-enum Due {
-    Effect(usize, Call, Fate),
+/// An event at a time, in milliseconds.
+enum Pending {
+    Effect(usize, Call, AnswerFate),
     Answer(usize, Answer),
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Fate {
+enum AnswerFate {
     Answered,
     AnswerLost,
 }
@@ -82,13 +83,13 @@
     lease: Lease,
     publish: Option<(u64, Publisher)>,
     gate: Gate,
-    /// Rate of its clock.
+    /// Rate of its clock relative to real time.
     rate: f64,
     paused_until: u64,
     dead: bool,
 }
 
-/// How unkind the world is: probabilities of each call, and the longest delays.
+/// The fault probabilities of each call.
 #[derive(Clone, Copy)]
 struct Faults {
     lost: f64,
@@ -97,13 +98,13 @@
     slow: f64,
 }
 
-const NONE: Faults = Faults {
+const NO_FAULTS: Faults = Faults {
     lost: 0.0,
     down: 0.0,
     stale: 0.0,
     slow: 0.0,
 };
-const MANY: Faults = Faults {
+const MANY_FAULTS: Faults = Faults {
     lost: 0.15,
     down: 0.05,
     stale: 0.15,
@@ -118,15 +119,16 @@
     hosts: Vec<Host>,
     lease: Object<lease::Value>,
     plan: Object<(Stamp, usize)>,
-    due: BTreeMap<(u64, u64), Due>,
-    serial: u64,
-    /// Plan writes by a host whose epoch was no longer the highest: tried, and taken.
-    stale_tried: usize,
-    stale_taken: usize,
+    due: BTreeMap<(u64, u64), Pending>,
+    next_serial: u64,
+    /// Plan writes by a host whose epoch was no longer the highest: attempted, and accepted.
+    stale_writes: usize,
+    stale_accepted: usize,
     epochs: BTreeMap<u64, usize>,
     calls: usize,
-    /// Calls reach the store only after this delay: their sender is paused as it sends them.
-    stuck: Option<u64>,
+    /// If set, calls reach the store only after this delay, as their sender is paused while it
+    /// sends them.
+    call_delay: Option<u64>,
 }
 
 impl World {
@@ -156,12 +158,12 @@
             lease: Object::new(),
             plan: Object::new(),
             due: BTreeMap::new(),
-            serial: 0,
-            stale_tried: 0,
-            stale_taken: 0,
+            next_serial: 0,
+            stale_writes: 0,
+            stale_accepted: 0,
             epochs: BTreeMap::new(),
             calls: 0,
-            stuck: None,
+            call_delay: None,
         }
     }
 
@@ -170,31 +172,34 @@
         self.base + Duration::from_secs_f64(millis / 1000.0)
     }
 
-    fn at(&mut self, time: u64, due: Due) {
-        self.serial += 1;
-        self.due.insert((time, self.serial), due);
+    fn at(&mut self, time: u64, due: Pending) {
+        self.next_serial += 1;
+        self.due.insert((time, self.next_serial), due);
     }
 
     fn send(&mut self, host: usize, call: Call) {
         self.calls += 1;
-        if let Some(delay) = self.stuck {
-            return self.at(self.time + delay, Due::Effect(host, call, Fate::Answered));
+        if let Some(delay) = self.call_delay {
+            return self.at(
+                self.time + delay,
+                Pending::Effect(host, call, AnswerFate::Answered),
+            );
         }
         if self.rng.random_bool(self.faults.down) {
             let answer = match call {
                 Call::Lease(_) => Answer::Lease(lease::Event::Down),
                 Call::Plan(_) => Answer::Plan(publish::Event::Down),
             };
-            return self.at(self.time + 10, Due::Answer(host, answer));
+            return self.at(self.time + 10, Pending::Answer(host, answer));
         }
         let slow = self.rng.random_bool(self.faults.slow);
         let longest = if slow { 12_000 } else { 10 };
         let delay = self.rng.random_range(2..=longest);
         let lost = self.rng.random_bool(self.faults.lost) || delay > 2_000;
-        let fate = if lost {
-            Fate::AnswerLost
+        let answer_fate = if lost {
+            AnswerFate::AnswerLost
         } else {
-            Fate::Answered
+            AnswerFate::Answered
         };
         if lost {
             let answer = match &call {
@@ -207,14 +212,14 @@
             };
             self.at(
                 self.time + 2_000.min(delay + 500),
-                Due::Answer(host, answer),
+                Pending::Answer(host, answer),
             );
         }
-        self.at(self.time + delay, Due::Effect(host, call, fate));
+        self.at(self.time + delay, Pending::Effect(host, call, answer_fate));
     }
 
-    /// The store runs a call; its answer follows unless it is lost.
-    fn run(&mut self, host: usize, call: Call, fate: Fate) {
+    /// Runs a call at the store. The answer follows unless it is lost.
+    fn run(&mut self, host: usize, call: Call, answer_fate: AnswerFate) {
         let stale = self.rng.random_bool(self.faults.stale);
         let answer = match call {
             Call::Lease(lease::Command::Read) => {
@@ -240,16 +245,16 @@
                 let fence = self.plan.now().map_or(0, |(_, (stamp, _))| stamp.epoch);
                 let written = self.plan.write(&condition, (stamp, host));
                 let stale = stamp.epoch < fence;
-                self.stale_tried += usize::from(stale);
-                self.stale_taken += usize::from(stale && written.is_some());
+                self.stale_writes += usize::from(stale);
+                self.stale_accepted += usize::from(stale && written.is_some());
                 match written {
                     Some(version) => Answer::Plan(publish::Event::Written(version)),
                     None => Answer::Plan(publish::Event::Conflict),
                 }
             }
         };
-        if fate == Fate::Answered {
-            self.at(self.time + 2, Due::Answer(host, answer));
+        if answer_fate == AnswerFate::Answered {
+            self.at(self.time + 2, Pending::Answer(host, answer));
         }
     }
 
@@ -259,7 +264,7 @@
         }
         let paused = self.hosts[host].paused_until;
         if paused > self.time {
-            return self.at(paused, Due::Answer(host, answer));
+            return self.at(paused, Pending::Answer(host, answer));
         }
         let now = self.clock(host);
         let rng = &mut self.rng;
@@ -278,7 +283,7 @@
         }
     }
 
-    fn act(&mut self, host: usize) {
+    fn run_host(&mut self, host: usize) {
         if self.hosts[host].dead || self.hosts[host].paused_until > self.time {
             return;
         }
@@ -306,8 +311,8 @@
         }
     }
 
-    /// A host takes in the plan, sometimes an old one.
-    fn fetch(&mut self, host: usize) {
+    /// A host reads the plan, sometimes an old version.
+    fn fetch_plan(&mut self, host: usize) {
         let stale = self.rng.random_bool(0.5);
         let Some((_, (stamp, _))) = self.plan.read(stale) else {
             return;
@@ -324,28 +329,28 @@
                 break;
             }
             match self.due.remove(&key) {
-                Some(Due::Effect(host, call, fate)) => self.run(host, call, fate),
-                Some(Due::Answer(host, answer)) => self.answer(host, answer),
+                Some(Pending::Effect(host, call, answer_fate)) => self.run(host, call, answer_fate),
+                Some(Pending::Answer(host, answer)) => self.answer(host, answer),
                 None => {}
             }
         }
         for host in 0..self.hosts.len() {
-            self.act(host);
+            self.run_host(host);
         }
         let host = self.rng.random_range(0..self.hosts.len());
-        self.fetch(host);
+        self.fetch_plan(host);
         let holders = self.holders();
         assert!(holders.len() <= 1, "{holders:?} hold the lease at once");
     }
 
-    /// Pauses a host, just as it sends what it has to send.
+    /// Pauses a host while it sends its pending calls.
     fn pause(&mut self, host: usize, pause: u64) {
         if let Some((_, publish)) = &mut self.hosts[host].publish {
             publish.request_write();
         }
-        self.stuck = Some(pause);
-        self.act(host);
-        self.stuck = None;
+        self.call_delay = Some(pause);
+        self.run_host(host);
+        self.call_delay = None;
         self.hosts[host].paused_until = self.time + pause;
     }
 
@@ -376,8 +381,8 @@
     }
 }
 
-/// Random pauses of the holder and of others under all faults.
-fn pauses(seed: u64, count: usize, faults: Faults) -> (usize, usize, usize) {
+/// Pauses the holder and other hosts at random, with the given faults.
+fn run_pauses(seed: u64, count: usize, faults: Faults) -> (usize, usize, usize) {
     let mut world = World::new(seed, 5, faults);
     for _ in 0..count {
         let rest = world.rng.random_range(500..8_000);
@@ -390,23 +395,26 @@
     }
     world.run_until(30_000, |_| false);
     world.check_plans();
-    assert_eq!(world.stale_taken, 0, "seed {seed}: a stale plan was taken");
+    assert_eq!(
+        world.stale_accepted, 0,
+        "seed {seed}: a stale plan was taken"
+    );
     assert!(
         world.epochs.len() > count / 20,
         "the lease hardly ever moved"
     );
     (
-        world.stale_tried,
+        world.stale_writes,
         world.epochs.len(),
         world.plan.history.len(),
     )
 }
 
 #[test]
-fn no_act_of_a_stale_holder_is_taken_over_a_thousand_pauses() {
+fn no_write_of_a_stale_holder_is_accepted_in_a_thousand_pauses() {
     let (mut tried, mut epochs, mut plans) = (0, 0, 0);
     for seed in 0..20 {
-        let (t, e, p) = pauses(seed, 50, MANY);
+        let (t, e, p) = run_pauses(seed, 50, MANY_FAULTS);
         tried += t;
         epochs += e;
         plans += p;
@@ -415,9 +423,9 @@
     assert!(tried > 0, "no stale write was tried, so nothing was shown");
 }
 
-/// Time from the holder's death to the first plan of the next one, in milliseconds.
-fn hand_over(seed: u64, hosts: usize) -> u64 {
-    let mut world = World::new(seed, hosts, NONE);
+/// Time from the holder's death to the first plan of its successor, in milliseconds.
+fn hand_over_time(seed: u64, hosts: usize) -> u64 {
+    let mut world = World::new(seed, hosts, NO_FAULTS);
     let published = |world: &World| world.plan.now().is_some();
     assert!(world.run_until(20_000, published).is_some());
     let more = world.rng.random_range(0..6_000);
@@ -435,7 +443,7 @@
 #[test]
 fn the_lease_is_handed_over_within_ten_seconds_of_a_death() {
     for hosts in [2, 12, 30] {
-        let mut times: Vec<u64> = (0..100).map(|seed| hand_over(seed, hosts)).collect();
+        let mut times: Vec<u64> = (0..100).map(|seed| hand_over_time(seed, hosts)).collect();
         times.sort_unstable();
         println!(
             "{hosts} candidates: p50 {} ms, max {} ms",
@@ -446,15 +454,15 @@
 }
 
 #[test]
-fn the_store_is_asked_at_a_bounded_rate() {
-    let mut world = World::new(7, 30, NONE);
+fn the_store_is_called_at_a_bounded_rate() {
+    let mut world = World::new(7, 30, NO_FAULTS);
     world.run_until(60_000, |_| false);
     let rate = world.calls as f64 / 60.0;
     println!("30 candidates: {rate:.1} calls a second");
     assert!(rate < 30.0, "{rate} calls a second");
 }
 
-/// A host whose commands and events a table gives.
+/// A single lease whose events a test supplies.
 struct Script {
     base: Instant,
     rng: Pcg64,
@@ -499,7 +507,7 @@
         self.lease.held_epoch(self.at(millis))
     }
 
-    /// Takes a free lease by a write sent at 1,000 ms.
+    /// Acquires a free lease with a write sent at 1,000 ms.
     fn take(&mut self) -> lease::Value {
         assert_eq!(self.tick(0), Some(lease::Command::Read));
         self.event(1, lease::Event::Read(None));
@@ -539,7 +547,7 @@
         assert_eq!(it.held(5_800), Some(1));
         assert_eq!(it.held(6_000), None);
     },
-    a_lost_write_that_lands_after_the_next_is_still_known: |it| {
+    a_lost_write_that_takes_effect_late_is_recognized: |it| {
         let value = it.take();
         it.event(2_000, lease::Event::Uncertain);
         assert_eq!(it.tick(2_500), Some(lease::Command::Read));
@@ -551,7 +559,7 @@
         assert_eq!(it.held(5_800), Some(1));
         assert_eq!(it.held(6_000), None);
     },
-    another_holder_is_waited_for_on_the_own_clock: |it| {
+    the_wait_for_another_holder_uses_the_own_clock: |it| {
         it.tick(0);
         it.event(100, lease::Event::Read(Some(other(7, lease::TTL))));
         let mut now = 100;
@@ -568,7 +576,7 @@
         assert!((5_100..5_800).contains(&now), "{now}");
         assert_eq!(value.epoch, 8);
     },
-    a_renewal_by_the_other_starts_the_wait_anew: |it| {
+    a_renewal_by_the_other_restarts_the_wait: |it| {
         it.tick(0);
         it.event(100, lease::Event::Read(Some(other(7, lease::TTL))));
         let mut now = 100;
@@ -601,11 +609,11 @@
         assert_eq!(it.held(20_000), None);
         assert_eq!(it.write(20_000).epoch, 2);
     },
-    an_epoch_of_a_plan_is_never_gone_below: |it| {
+    a_new_epoch_exceeds_that_of_any_plan: |it| {
         it.lease.observe_epoch(41);
         assert_eq!(it.take().epoch, 42);
     },
-    a_store_that_lags_is_not_asked_in_a_loop: |it| {
+    a_store_that_lags_is_not_called_in_a_loop: |it| {
         let mut calls = 0;
         for now in 0..60_000 {
             match it.tick(now) {
@@ -619,7 +627,7 @@
         }
         assert!((20..=100).contains(&calls), "{calls}");
     },
-    a_nonsense_time_to_live_is_bounded: |it| {
+    an_excessive_time_to_live_is_bounded: |it| {
         it.tick(0);
         it.event(1, lease::Event::Read(Some(other(7, Duration::MAX))));
         let mut now = 1;
@@ -637,7 +645,7 @@
         }
         panic!("waited for ever");
     },
-    an_outage_is_met_with_back_off: |it| {
+    an_outage_causes_back_off: |it| {
         let mut calls = 0;
         for now in 0..60_000 {
             if it.tick(now).is_some() {
@@ -650,7 +658,7 @@
 }
 
 #[test]
-fn the_gate_only_rises() {
+fn the_gate_accepts_only_increasing_stamps() {
     let stamp = |epoch, sequence| Stamp { epoch, sequence };
     let mut gate = Gate::default();
     let table = [
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership and delegates: who is alive, seen by hosts that are cut, paused and restarted.
+//! Tests of membership and delegates with hosts that are partitioned, paused and restarted.
 
 #![allow(clippy::unwrap_used)]
 
@@ -64,7 +64,7 @@
         net.run(700);
         assert_eq!(net.died.len(), 5, "{:?}", net.died);
     },
-    a_broken_link_alone_kills_nobody: 1 x 4, |net| {
+    a_broken_link_alone_causes_no_death: 1 x 4, |net| {
         let (a, b) = (net.host("ent-00-00"), net.host("ent-00-01"));
         net.cut_both(a, b);
         net.down(a, b);
@@ -74,7 +74,7 @@
         assert!(net.nodes[&a].is_alive(b) && net.nodes[&a].live_hosts().contains(&b));
         assert!(!net.nodes[&a].is_reachable(b));
     },
-    one_deaf_direction_kills_nobody: 1 x 4, |net| {
+    a_cut_in_one_direction_causes_no_death: 1 x 4, |net| {
         let (a, b) = (net.host("ent-00-00"), net.host("ent-00-01"));
         net.cut.insert((b, a));
         net.run(30_000);
@@ -95,7 +95,7 @@
         assert_eq!(net.status(net.host("ent-00-01"), a), Status::Alive);
         assert!(net.nodes[&a].zone_status(net.zone("zone-01")) == ZoneStatus::Alive);
     },
-    a_pause_hides_no_death: 1 x 4, |net| {
+    a_death_during_a_pause_is_detected: 1 x 4, |net| {
         let (a, b) = (net.host("ent-00-00"), net.host("ent-00-01"));
         net.paused.insert(a, net.time + 20_000);
         net.kill(b);
@@ -111,7 +111,7 @@
         assert!(!net.nodes[&b].live_hosts().contains(&b));
     },
     a_lost_zone_is_lost_to_the_others: 6 x 2, |net| {
-        net.part(&["zone-03"]);
+        net.cut_off_zones(&["zone-03"]);
         net.run(2_500);
         let a = net.host("ent-00-00");
         assert_eq!(net.nodes[&a].zone_status(net.zone("zone-03")), ZoneStatus::Lost);
@@ -125,7 +125,7 @@
         assert_eq!(net.nodes[&a].zone_status(net.zone("zone-03")), ZoneStatus::Alive);
     },
     a_lost_region_is_lost_to_the_others: 6 x 2, |net| {
-        net.part(&["zone-02", "zone-03"]);
+        net.cut_off_zones(&["zone-02", "zone-03"]);
         net.run(2_500);
         let (a, b) = (net.host("ent-00-00"), net.host("ent-02-00"));
         for zone in ["zone-02", "zone-03"] {
@@ -136,8 +136,8 @@
             assert!(matches!(net.nodes[&b].zone_status(net.zone(zone)), ZoneStatus::Unknown(_)));
         }
     },
-    half_the_zones_never_call_the_other_half_lost: 6 x 2, |net| {
-        net.part(&["zone-00", "zone-01", "zone-02"]);
+    half_the_zones_never_mark_the_other_half_as_lost: 6 x 2, |net| {
+        net.cut_off_zones(&["zone-00", "zone-01", "zone-02"]);
         net.run(60_000);
         for node in net.nodes.values() {
             for zone in 0..6 {
@@ -148,7 +148,7 @@
     },
 }
 
-/// Feeds one membership by hand.
+/// A single membership whose events a test supplies.
 struct Script {
     base: Instant,
     node: Membership,
@@ -182,7 +182,7 @@
             .record_heard(now, host, incarnation, sequence, state, via);
     }
 
-    /// Ticks every 100 ms up to and with `to`.
+    /// Ticks every 100 ms, up to and including `to`, and returns the changes of hosts.
     fn ticks(&mut self, from: u64, to: u64) -> Vec<Change> {
         (from..=to)
             .step_by(100)
@@ -215,18 +215,18 @@
         assert_eq!(it.ticks(300, 400), [Change::Restarted(it.peer)]);
         assert!(it.node.live_hosts().contains(&it.peer));
     },
-    leaving_is_not_taken_back: |it| {
+    leaving_is_not_reverted: |it| {
         it.hear(0, it.peer, 5, 1, State::Leaving);
         it.hear(500, it.peer, 5, 2, State::Serving);
         assert!(!it.node.live_hosts().contains(&it.peer));
     },
-    an_old_sequence_is_no_evidence: |it| {
+    an_old_sequence_does_not_count: |it| {
         it.hear(0, it.peer, 5, 10, State::Serving);
         it.ticks(100, 1_000);
         it.hear(1_000, it.peer, 5, 9, State::Serving);
         assert_eq!(it.ticks(1_100, 1_800).last(), Some(&Change::Died(it.peer)));
     },
-    the_list_never_kills_who_is_heard: |it| {
+    a_host_that_is_heard_stays_alive_if_not_listed: |it| {
         let now = it.at(0);
         it.node.set_listing(now, it.peer, Listing::Absent);
         for beat in 0..20 {
@@ -248,12 +248,12 @@
         it.hear(100, it.peer, 6, 1, State::Serving);
         assert!(it.node.live_hosts().contains(&it.peer));
     },
-    the_list_makes_nobody_alive: |it| {
+    a_listing_alone_makes_no_host_alive: |it| {
         let now = it.at(0);
         it.node.set_listing(now, it.peer, Listing::Live);
         assert_eq!(it.node.status(it.peer), Status::Unknown);
     },
-    a_relayed_host_lasts_as_long_as_it_is_spoken_of: |it| {
+    a_relayed_host_dies_after_reports_of_it_stop: |it| {
         let now = it.at(0);
         let via = Via::Relayed(ms(400));
         it.node.record_heard(now, it.remote, 3, 8, State::Serving, via);
@@ -261,7 +261,7 @@
         let changes = it.ticks(8_000, 12_000);
         assert_eq!(changes, [Change::Suspected(it.remote), Change::Died(it.remote)]);
     },
-    a_roster_brings_life_and_death: |it| {
+    a_roster_reports_live_and_dead_hosts: |it| {
         let remote = it.catalog.host_key("ent-01-00").expect("a host");
         let other = it.catalog.host_key("ent-01-01").expect("a host");
         let mut sender = Membership::new(it.base, remote, 1, &it.catalog);
@@ -277,7 +277,7 @@
         it.node.merge_known(now, &sender.roster(it.base + ms(2_000)).hosts, ms(50));
         assert!(it.node.is_alive(remote) && !it.node.is_alive(other));
     },
-    a_digest_vouches_for_a_known_roster_only: |it| {
+    a_digest_confirms_only_a_known_roster: |it| {
         let zone = it.catalog.zone_key("zone-01").expect("a zone");
         let sender = Membership::new(it.base, it.remote, 1, &it.catalog);
         let roster = sender.roster(it.base);
@@ -295,7 +295,7 @@
         it.ticks(61_000, 75_000);
         assert!(!it.node.is_alive(it.remote));
     },
-    reports_of_a_delegate_tell_of_a_lost_zone: |it| {
+    a_report_of_a_delegate_marks_a_zone_as_lost: |it| {
         let zone = it.catalog.zone_key("zone-01").expect("a zone");
         let now = it.at(0);
         it.node.record_heard(now, it.remote, 3, 8, State::Serving, Via::Relayed(ms(0)));
@@ -315,7 +315,7 @@
         it.ticks(2_800, 20_000);
         assert!(matches!(it.node.zone_status(zone), ZoneStatus::Unknown(_)));
     },
-    the_first_tick_after_a_pause_kills_nobody: |it| {
+    the_first_tick_after_a_pause_causes_no_death: |it| {
         it.hear(0, it.peer, 5, 1, State::Serving);
         it.ticks(100, 500);
         assert_eq!(it.ticks(20_000, 21_000), []);
@@ -323,7 +323,7 @@
         assert_eq!(it.ticks(21_100, 22_000), []);
         assert_eq!(it.ticks(22_100, 23_000).last(), Some(&Change::Died(it.peer)));
     },
-    a_link_found_broken_after_a_pause_gets_the_whole_time: |it| {
+    a_link_found_broken_after_a_pause_gets_the_full_timeout: |it| {
         it.hear(0, it.peer, 5, 1, State::Serving);
         it.ticks(100, 500);
         let now = it.at(20_000);
@@ -391,8 +391,8 @@
     assert!(changed * 10 < events);
 }
 
-/// Everybody hears everybody.
-fn known(catalog: &Catalog, own: HostKey) -> Membership {
+/// A membership that has heard all hosts.
+fn fully_informed(catalog: &Catalog, own: HostKey) -> Membership {
     let now = Instant::now();
     let mut membership = Membership::new(now, own, 1, catalog);
     for (key, _) in catalog.hosts().filter(|&(key, _)| key != own) {
@@ -402,12 +402,12 @@
 }
 
 #[test]
-fn degrees_are_bounded() {
+fn link_counts_are_bounded() {
     for (zones, hosts, most) in [(6, 2, 12), (15, 45, 72), (15, 48, 75), (4, 100, 107)] {
         let catalog = catalog(zones, hosts);
         let mut links: BTreeMap<HostKey, BTreeSet<HostKey>> = BTreeMap::new();
         for (key, _) in catalog.hosts() {
-            let membership = known(&catalog, key);
+            let membership = fully_informed(&catalog, key);
             links.insert(key, delegate::wanted_links(key, &membership, &catalog));
         }
         for (from, others) in &links {
@@ -446,7 +446,7 @@
 }
 
 #[test]
-fn candidates_of_an_unknown_zone_take_turns() {
+fn delegates_of_an_unknown_zone_are_tried_in_turn() {
     let catalog = catalog(2, 4);
     let now = Instant::now();
     let own = catalog.host_key("ent-00-00").expect("a host");
--- a/tests/net/agents.rs
+++ b/tests/net/agents.rs
@@ -1,4 +1,5 @@
-//! Agents in one process, over a net that loses, delays and cuts, and a store that fails.
+//! Control agents in one process, over a simulated network that loses, delays and blocks messages,
+//! and a simulated store that fails.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -18,20 +19,20 @@
 
 use super::ms;
 
-/// Time after which a link over which nothing passes is closed, or given up when it is opened.
-const SILENT: u64 = 5_000;
-/// Time until a refused link is known to be refused, and between tries.
-const RETRY: u64 = 500;
-/// Time of a call to the store, one way.
-const CALL: u64 = 4;
-/// The first incarnation of each host: as long as real ones.
-pub const FIRST: u64 = 1_700_000_000_000;
+/// Time after which a silent link is closed, or a pending one is given up, in milliseconds.
+const SILENT_LINK_TIMEOUT: u64 = 5_000;
+/// Time until a refused link is known to be refused, and between attempts, in milliseconds.
+const LINK_RETRY_DELAY: u64 = 500;
+/// One-way time of a call to the store, in milliseconds.
+const STORE_DELAY: u64 = 4;
+/// The first incarnation of each host, with as many digits as real ones.
+pub const FIRST_INCARNATION: u64 = 1_700_000_000_000;
 /// Requests that run on a site that is nearly full.
-const FULL: f32 = 19.0;
+const NEARLY_FULL_LOAD: f32 = 19.0;
 /// Slots of a site.
 const SLOTS: f32 = 20.0;
 
-/// Zones in regions of about four, services in all zones, links between all regions.
+/// Zones spread over four regions, services in all zones, and links between all regions.
 pub fn catalog(zones: usize, hosts: usize, services: usize) -> Catalog {
     let mut folder = serde_json::json!({
         "regions": {}, "availability_zones": {}, "hosts": {}, "services": {},
@@ -79,7 +80,7 @@
         .expect("a catalog")
 }
 
-/// Messages and bytes.
+/// Number of messages and bytes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
     pub count: u64,
@@ -105,7 +106,7 @@
     pub by_kind: BTreeMap<&'static str, Tally>,
 }
 
-/// Whether messages are turned into bytes on the way.
+/// Whether messages are encoded for the transport.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Coding {
     Coded,
@@ -123,30 +124,30 @@
     Frame(HostKey, HostKey, Payload),
     /// The link between two hosts opens.
     Open(HostKey, HostKey),
-    /// A host learns that the link to another broke.
+    /// A host detects that the link to another broke.
     Down(HostKey, HostKey),
-    /// A command arrives at the store; the incarnation that sent it.
-    AskLease(HostKey, u64, lease::Command),
-    AskPlan(HostKey, u64, publish::Command, Box<Record>),
-    Leased(HostKey, u64, lease::Event),
-    Published(HostKey, u64, publish::Event, Option<Box<Record>>),
+    /// A command on the lease arrives at the store, with the incarnation that sent it.
+    LeaseCall(HostKey, u64, lease::Command),
+    PlanCall(HostKey, u64, publish::Command, Box<Record>),
+    LeaseAnswer(HostKey, u64, lease::Event),
+    PlanAnswer(HostKey, u64, publish::Event, Option<Box<Record>>),
 }
 
-/// The objects of the store, and how it fails.
+/// The objects of the store, and its faults.
 #[derive(Default)]
 pub struct Store {
     version: u64,
     lease: Option<(u64, lease::Value)>,
     plan: Option<(u64, Record)>,
-    /// Stamps of all plans that were ever in it.
+    /// Stamps of all plans that were ever stored.
     pub history: BTreeSet<Stamp>,
     pub down: bool,
-    /// Part of the answers that are lost.
+    /// Fraction of the answers that are lost.
     pub loss: f64,
-    /// Additional time that commands of some hosts take on their way.
-    pub late: BTreeMap<HostKey, u64>,
-    /// Zones that cannot reach it.
-    pub apart: BTreeSet<ZoneKey>,
+    /// Additional delay of the commands of some hosts.
+    pub call_delay: BTreeMap<HostKey, u64>,
+    /// Zones that cannot reach the store.
+    pub unreachable_zones: BTreeSet<ZoneKey>,
     pub reads: u64,
     pub writes: u64,
 }
@@ -159,7 +160,7 @@
     }
 }
 
-/// Splits as they are compared.
+/// Splits in the form in which they are compared.
 pub type Splits = BTreeMap<(ServiceKey, ragwortfold::catalog::RegionKey), BTreeMap<ZoneKey, f64>>;
 
 /// A fleet of agents.
@@ -173,19 +174,19 @@
     pub nodes: BTreeMap<HostKey, Node>,
     pub store: Store,
     pub loss: f64,
-    /// Directions between hosts in which nothing passes.
+    /// Directions between hosts in which no message passes.
     pub cut: BTreeSet<(HostKey, HostKey)>,
     pub paused: BTreeMap<HostKey, u64>,
-    /// Requests that run on each site, and by how much each measurement differs.
+    /// Running requests on each site, and the relative noise of each measurement.
     pub running: f32,
-    pub unrest: f32,
+    pub load_noise: f32,
     /// A zone whose sites are nearly full.
-    pub hot: Option<ZoneKey>,
+    pub nearly_full_zone: Option<ZoneKey>,
     pub coding: Coding,
     pub rng: Pcg64,
     queue: BTreeMap<(u64, u64), Event>,
     serial: u64,
-    /// What was accepted under each stamp.
+    /// The splits that were accepted under each stamp.
     pub plans: BTreeMap<Stamp, Splits>,
     newest: BTreeMap<(HostKey, u64), Stamp>,
 }
@@ -204,8 +205,8 @@
             cut: BTreeSet::new(),
             paused: BTreeMap::new(),
             running: 8.0,
-            unrest: 0.0,
-            hot: None,
+            load_noise: 0.0,
+            nearly_full_zone: None,
             coding: Coding::Plain,
             rng: Pcg64::seed_from_u64(seed),
             queue: BTreeMap::new(),
@@ -215,7 +216,7 @@
             catalog,
         };
         for host in fleet.hosts() {
-            fleet.start(host, FIRST);
+            fleet.start(host, FIRST_INCARNATION);
         }
         fleet
     }
@@ -240,7 +241,7 @@
         self.base + ms(self.time)
     }
 
-    /// Starts a host, or starts it again.
+    /// Starts a host, or restarts it.
     pub fn start(&mut self, host: HostKey, incarnation: u64) {
         let agent = Agent::new(self.now(), host, incarnation, self.catalog.clone());
         let node = Node {
@@ -254,7 +255,7 @@
             by_kind: BTreeMap::new(),
         };
         self.nodes.insert(host, node);
-        // Those who wait for it try again.
+        // Hosts that wait for it try again.
         let waiting: Vec<HostKey> = self
             .nodes
             .iter()
@@ -277,20 +278,20 @@
             .collect();
         for other in linked {
             let at = self.time + self.delay(host, other);
-            self.put(at, Event::Down(other, host));
+            self.schedule(at, Event::Down(other, host));
         }
     }
 
-    /// Ends a machine: nobody is told.
+    /// Cuts a machine's power: no host is notified.
     pub fn unplug(&mut self, host: HostKey) {
         self.nodes.remove(&host);
         for other in self.hosts() {
-            self.put(self.time + SILENT, Event::Down(other, host));
+            self.schedule(self.time + SILENT_LINK_TIMEOUT, Event::Down(other, host));
         }
     }
 
-    /// Cuts hosts from all others, or from some, both ways.
-    pub fn part(&mut self, side: &[HostKey], others: &[HostKey]) {
+    /// Cuts hosts off from the given others in both directions.
+    pub fn cut_off(&mut self, side: &[HostKey], others: &[HostKey]) {
         for &a in side {
             for &b in others.iter().filter(|b| !side.contains(b)) {
                 self.cut_way(a, b);
@@ -299,15 +300,15 @@
         }
     }
 
-    /// Cuts one direction. The link is closed after a while at the side that hears nothing.
+    /// Cuts one direction. After a while the side that receives nothing closes the link.
     pub fn cut_way(&mut self, from: HostKey, to: HostKey) {
         self.cut.insert((from, to));
-        self.put(self.time + SILENT, Event::Down(to, from));
+        self.schedule(self.time + SILENT_LINK_TIMEOUT, Event::Down(to, from));
     }
 
     pub fn heal(&mut self) {
         self.cut.clear();
-        self.store.apart.clear();
+        self.store.unreachable_zones.clear();
         self.store.down = false;
     }
 
@@ -315,7 +316,7 @@
         self.cut.contains(&(a, b)) || self.cut.contains(&(b, a))
     }
 
-    fn put(&mut self, at: u64, event: Event) {
+    fn schedule(&mut self, at: u64, event: Event) {
         self.serial += 1;
         self.queue.insert((at, self.serial), event);
     }
@@ -327,18 +328,18 @@
         base + self.rng.random_range(0..5)
     }
 
-    /// Begins to open a link, or finds that it cannot be opened.
+    /// Starts to open a link, or schedules its failure.
     fn open(&mut self, a: HostKey, b: HostKey) {
         if self.nodes.get(&a).is_none_or(|node| node.up.contains(&b)) {
             return;
         }
         let delay = self.delay(a, b);
         if self.is_cut(a, b) {
-            self.put(self.time + SILENT, Event::Down(a, b));
+            self.schedule(self.time + SILENT_LINK_TIMEOUT, Event::Down(a, b));
         } else if !self.nodes.contains_key(&b) {
-            self.put(self.time + 2 * delay, Event::Down(a, b));
+            self.schedule(self.time + 2 * delay, Event::Down(a, b));
         } else {
-            self.put(self.time + 2 * delay, Event::Open(a, b));
+            self.schedule(self.time + 2 * delay, Event::Open(a, b));
         }
     }
 
@@ -362,7 +363,7 @@
                 node.received.add(length);
             }
             let at = self.time + self.delay(from, to);
-            self.put(at, Event::Frame(from, to, payload.clone()));
+            self.schedule(at, Event::Frame(from, to, payload.clone()));
         }
     }
 
@@ -376,19 +377,19 @@
         (Payload::Bytes(bytes.into()), length)
     }
 
-    fn carry_out(&mut self, host: HostKey, output: Output) {
+    fn run_output(&mut self, host: HostKey, output: Output) {
         match output {
             Output::Send(to, frame) => self.send(host, to, frame),
             Output::Links(links) => self.link(host, links),
             Output::Lease(command) => {
                 let incarnation = self.nodes[&host].incarnation;
-                let at = self.time + CALL + self.late(host);
-                self.put(at, Event::AskLease(host, incarnation, command));
+                let at = self.time + STORE_DELAY + self.call_delay(host);
+                self.schedule(at, Event::LeaseCall(host, incarnation, command));
             }
             Output::Plan(command, record) => {
                 let incarnation = self.nodes[&host].incarnation;
-                let at = self.time + CALL + self.late(host);
-                self.put(at, Event::AskPlan(host, incarnation, command, record));
+                let at = self.time + STORE_DELAY + self.call_delay(host);
+                self.schedule(at, Event::PlanCall(host, incarnation, command, record));
             }
             Output::Joined(_)
             | Output::Newer(..)
@@ -399,8 +400,8 @@
         }
     }
 
-    fn late(&self, host: HostKey) -> u64 {
-        self.store.late.get(&host).copied().unwrap_or(0)
+    fn call_delay(&self, host: HostKey) -> u64 {
+        self.store.call_delay.get(&host).copied().unwrap_or(0)
     }
 
     fn link(&mut self, host: HostKey, links: BTreeSet<HostKey>) {
@@ -466,24 +467,24 @@
                     }
                 }
             }
-            Event::Down(at, other) => self.down(at, other),
-            Event::AskLease(host, incarnation, command) => {
-                let event = self.ask_lease(host, command);
-                let at = self.time + CALL;
-                self.put(at, Event::Leased(host, incarnation, event));
+            Event::Down(at, other) => self.link_down(at, other),
+            Event::LeaseCall(host, incarnation, command) => {
+                let event = self.run_lease_call(host, command);
+                let at = self.time + STORE_DELAY;
+                self.schedule(at, Event::LeaseAnswer(host, incarnation, event));
             }
-            Event::AskPlan(host, incarnation, command, record) => {
-                let (event, found) = self.ask_plan(host, command, *record);
-                let at = self.time + CALL;
-                self.put(at, Event::Published(host, incarnation, event, found));
+            Event::PlanCall(host, incarnation, command, record) => {
+                let (event, found) = self.run_plan_call(host, command, *record);
+                let at = self.time + STORE_DELAY;
+                self.schedule(at, Event::PlanAnswer(host, incarnation, event, found));
             }
-            Event::Leased(host, incarnation, event) => {
+            Event::LeaseAnswer(host, incarnation, event) => {
                 let node = self.nodes.get_mut(&host);
                 if let Some(node) = node.filter(|node| node.incarnation == incarnation) {
                     node.agent.handle_lease_event(now, event, &mut self.rng);
                 }
             }
-            Event::Published(host, incarnation, event, found) => {
+            Event::PlanAnswer(host, incarnation, event, found) => {
                 let node = self.nodes.get_mut(&host);
                 if let Some(node) = node.filter(|node| node.incarnation == incarnation) {
                     if let Some(found) = found {
@@ -495,7 +496,7 @@
         }
     }
 
-    fn down(&mut self, at: HostKey, other: HostKey) {
+    fn link_down(&mut self, at: HostKey, other: HostKey) {
         let now = self.now();
         let broken = self.is_cut(at, other) || !self.nodes.contains_key(&other);
         let wants = self.wants(at, other);
@@ -516,12 +517,12 @@
                     node.agent.link_down(now, at);
                 }
             }
-            self.put(self.time + RETRY, Event::Open(at, other));
+            self.schedule(self.time + LINK_RETRY_DELAY, Event::Open(at, other));
         }
     }
 
-    fn ask_lease(&mut self, host: HostKey, command: lease::Command) -> lease::Event {
-        if self.is_apart(host) {
+    fn run_lease_call(&mut self, host: HostKey, command: lease::Command) -> lease::Event {
+        if self.is_store_unreachable(host) {
             return lease::Event::Down;
         }
         let store = &mut self.store;
@@ -546,13 +547,13 @@
         }
     }
 
-    fn ask_plan(
+    fn run_plan_call(
         &mut self,
         host: HostKey,
         command: publish::Command,
         record: Record,
     ) -> (publish::Event, Option<Box<Record>>) {
-        if self.is_apart(host) {
+        if self.is_store_unreachable(host) {
             return (publish::Event::Down, None);
         }
         let store = &mut self.store;
@@ -583,9 +584,9 @@
         }
     }
 
-    fn is_apart(&self, host: HostKey) -> bool {
+    fn is_store_unreachable(&self, host: HostKey) -> bool {
         let zone = self.catalog.host(host).zone;
-        self.store.down || self.store.apart.contains(&zone)
+        self.store.down || self.store.unreachable_zones.contains(&zone)
     }
 
     fn is_paused(&self, host: HostKey) -> bool {
@@ -594,14 +595,14 @@
             .is_some_and(|&until| until > self.time)
     }
 
-    /// The host that an event is for, unless that is the store.
-    fn place(event: &Event) -> Option<HostKey> {
+    /// The host that an event is for, or none if it is for the store.
+    fn recipient(event: &Event) -> Option<HostKey> {
         match event {
             Event::Frame(_, to, _) => Some(*to),
-            Event::Leased(host, ..) | Event::Published(host, ..) | Event::Down(host, _) => {
+            Event::LeaseAnswer(host, ..) | Event::PlanAnswer(host, ..) | Event::Down(host, _) => {
                 Some(*host)
             }
-            Event::Open(..) | Event::AskLease(..) | Event::AskPlan(..) => None,
+            Event::Open(..) | Event::LeaseCall(..) | Event::PlanCall(..) => None,
         }
     }
 
@@ -612,7 +613,7 @@
                 break;
             }
             let ((_, serial), event) = entry.remove_entry();
-            let until = Self::place(&event).and_then(|host| self.paused.get(&host));
+            let until = Self::recipient(&event).and_then(|host| self.paused.get(&host));
             match until {
                 Some(&until) if until > self.time => {
                     self.queue.insert((until, serial), event);
@@ -622,13 +623,13 @@
         }
         for host in self.hosts() {
             if !self.is_paused(host) && self.nodes.contains_key(&host) {
-                self.act(host);
+                self.run_host(host);
             }
         }
         self.check();
     }
 
-    fn act(&mut self, host: HostKey) {
+    fn run_host(&mut self, host: HostKey) {
         let now = self.now();
         let second = (self.time + 37 * self.index(host)) % 1_000 < self.step;
         if second {
@@ -638,7 +639,7 @@
         }
         let node = self.nodes.get_mut(&host).expect("a node");
         for output in node.agent.tick(now, 1, &mut self.rng) {
-            self.carry_out(host, output);
+            self.run_output(host, output);
         }
     }
 
@@ -649,8 +650,8 @@
     fn loads(&mut self, host: HostKey) -> BTreeMap<ServiceKey, Load> {
         let zone = self.catalog.host(host).zone;
         let hosts = self.nodes.values().filter(|node| node.zone == zone).count();
-        let running = match self.hot {
-            Some(hot) if hot == zone => FULL,
+        let running = match self.nearly_full_zone {
+            Some(nearly_full_zone) if nearly_full_zone == zone => NEARLY_FULL_LOAD,
             _ => self.running,
         };
         let own = running / hosts.max(1) as f32;
@@ -658,7 +659,7 @@
         services
             .into_iter()
             .map(|service| {
-                let noise = 1.0 + self.unrest * self.rng.random_range(-1.0..1.0);
+                let noise = 1.0 + self.load_noise * self.rng.random_range(-1.0..1.0);
                 let load = Load {
                     live: SLOTS,
                     in_flight: own * noise,
@@ -677,7 +678,7 @@
         }
     }
 
-    /// Runs until something holds, and tells how long that took.
+    /// Runs until a condition holds and returns the time that it took.
     pub fn until(&mut self, most: u64, holds: impl Fn(&Self) -> bool) -> Option<u64> {
         let start = self.time;
         while self.time < start + most {
@@ -689,7 +690,7 @@
         None
     }
 
-    /// What must hold at every step.
+    /// Asserts the invariants that must hold at every step.
     fn check(&mut self) {
         let now = self.now();
         let mut holders = 0;
@@ -722,7 +723,7 @@
             .map(|(&host, _)| host)
     }
 
-    /// Whether all hosts that run know of each other and follow one plan.
+    /// Whether all running hosts know each other and follow one plan.
     pub fn is_settled(&self) -> bool {
         let all: BTreeSet<HostKey> = self.nodes.keys().copied().collect();
         let stamps: BTreeSet<Stamp> = self.nodes.values().map(|n| n.agent.plan_stamp()).collect();
@@ -739,7 +740,8 @@
         assert!(settled.is_some(), "it did not settle");
     }
 
-    /// Restarts hosts in turn, each down and then up for a time, and gives the splits that all follow.
+    /// Restarts hosts in turn, each down and then up for a time. Returns the splits that all
+    /// follow.
     pub fn restarts(&mut self, count: usize, down: u64, up: u64) -> Splits {
         let hosts = self.hosts();
         let splits = self.nodes[&hosts[0]].agent.splits();
@@ -754,7 +756,7 @@
         splits
     }
 
-    pub fn forget(&mut self) {
+    pub fn reset_counters(&mut self) {
         self.store.reads = 0;
         self.store.writes = 0;
         for node in self.nodes.values_mut() {
--- a/tests/net/mod.rs
+++ b/tests/net/mod.rs
@@ -1,4 +1,4 @@
-//! Memberships in one process, over a net whose links lose, delay and cut.
+//! Memberships in one process, over a simulated network that loses, delays and blocks messages.
 
 #![allow(dead_code, reason = "the tests and the bench each use a part of it")]
 
@@ -15,7 +15,7 @@
 
 pub mod agents;
 
-/// A catalog of `zones` zones in regions of two, with `hosts` hosts each.
+/// A catalog of `zones` zones in regions of two zones, with `hosts` hosts each.
 pub fn catalog(zones: usize, hosts: usize) -> Catalog {
     let mut regions = serde_json::Map::new();
     let mut places = serde_json::Map::new();
@@ -55,16 +55,16 @@
     pub time: u64,
     pub catalog: Catalog,
     pub nodes: BTreeMap<HostKey, Membership>,
-    /// Directions in which nothing passes.
+    /// Directions in which no message passes.
     pub cut: BTreeSet<(HostKey, HostKey)>,
-    /// Hosts that are stopped until a time.
+    /// Hosts that are paused, and until when.
     pub paused: BTreeMap<HostKey, u64>,
     pub died: Vec<(u64, HostKey, HostKey)>,
     pub loss: f64,
     pub jitter: u64,
     pub rng: Pcg64,
     pub due: BTreeMap<(u64, u64), (HostKey, HostKey, Heartbeat)>,
-    pub serial: u64,
+    pub next_serial: u64,
 }
 
 impl Net {
@@ -93,7 +93,7 @@
             jitter: 5,
             rng: Pcg64::seed_from_u64(11),
             due: BTreeMap::new(),
-            serial: 0,
+            next_serial: 0,
         }
     }
 
@@ -109,27 +109,27 @@
         self.catalog.zone_key(name).expect("a zone")
     }
 
-    pub fn stopped(&self, host: HostKey) -> bool {
+    pub fn is_paused(&self, host: HostKey) -> bool {
         self.paused
             .get(&host)
             .is_some_and(|&until| until > self.time)
     }
 
-    pub fn post(&mut self, from: HostKey, to: HostKey, beat: Heartbeat) {
+    pub fn send(&mut self, from: HostKey, to: HostKey, beat: Heartbeat) {
         let lost = self.rng.random_bool(self.loss);
         if lost || self.cut.contains(&(from, to)) {
             return;
         }
-        self.serial += 1;
+        self.next_serial += 1;
         let at = self.time + self.rng.random_range(1..=self.jitter);
-        self.due.insert((at, self.serial), (from, to, beat));
+        self.due.insert((at, self.next_serial), (from, to, beat));
     }
 
-    pub fn spread(&mut self, from: HostKey) {
+    pub fn send_heartbeats(&mut self, from: HostKey) {
         let beat = self.nodes[&from].heartbeat(INTERVAL);
         let others: Vec<HostKey> = self.nodes.keys().copied().collect();
         for to in others.into_iter().filter(|&to| to != from) {
-            self.post(from, to, beat.clone());
+            self.send(from, to, beat.clone());
         }
     }
 
@@ -150,7 +150,7 @@
             let now = self.now();
             let answer = self.nodes.get_mut(&to).and_then(|n| n.receive(now, &beat));
             if let Some(answer) = answer {
-                self.post(to, from, answer);
+                self.send(to, from, answer);
             }
         }
     }
@@ -160,7 +160,7 @@
         self.deliver();
         let hosts: Vec<HostKey> = self.nodes.keys().copied().collect();
         for (n, host) in hosts.into_iter().enumerate() {
-            if self.stopped(host) {
+            if self.is_paused(host) {
                 continue;
             }
             let now = self.now();
@@ -180,7 +180,7 @@
                 }
             }
             if ask {
-                self.spread(host);
+                self.send_heartbeats(host);
             }
         }
     }
@@ -213,7 +213,7 @@
     }
 
     /// Cuts a set of zones from all others.
-    pub fn part(&mut self, zones: &[&str]) {
+    pub fn cut_off_zones(&mut self, zones: &[&str]) {
         let side: BTreeSet<ZoneKey> = zones.iter().map(|name| self.zone(name)).collect();
         let place = |catalog: &Catalog, host| side.contains(&catalog.host(host).zone);
         let hosts: Vec<HostKey> = self.nodes.keys().copied().collect();
@@ -227,8 +227,8 @@
     }
 }
 
-/// Deaths that were none, and the hours of host pairs in which they came: hosts of one zone, with
-/// heartbeats lost at random and delayed by a jitter.
+/// Counts false deaths and the host-pair hours in which they occurred: hosts of one zone, with
+/// heartbeats lost at random and delayed by jitter.
 pub fn false_deaths(seed: u64, hosts: usize, loss: f64, jitter: u64, millis: u64) -> (usize, f64) {
     let mut net = Net::new(1, hosts);
     net.rng = Pcg64::seed_from_u64(seed);
--- a/tests/plan.rs
+++ b/tests/plan.rs
@@ -1,4 +1,5 @@
-//! Plans and summaries: steps from lagging samples, and what they are made from.
+//! Tests of plans made from delayed samples, and of the reports and digests that they are made
+//! from.
 
 #![allow(clippy::unwrap_used)]
 
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn a_split_comes_home_after_the_burst() {
+fn a_split_returns_home_after_a_burst() {
     for cap in [(0.05, 60), (0.25, 10)] {
         let (mut world, _) = burst(cap, Causality::Strict, 30, 600);
         assert!(world.away() > 0.2);
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn no_steady_demand_makes_a_split_swing() {
+fn splits_do_not_oscillate_under_steady_demand() {
     for demand in (100..=240).step_by(10) {
         let mut world = World::new(catalog(0.25, 10), Causality::Strict, 30);
         world.run(30);
@@ -61,8 +62,8 @@
     }
 }
 
-/// A world after a minute of quiet.
-fn quiet(cap: (f64, u32)) -> World {
+/// A world after a minute at normal load.
+fn settled_world(cap: (f64, u32)) -> World {
     let mut world = World::new(catalog(cap.0, cap.1), Causality::Strict, 10);
     world.run(60);
     world
@@ -72,14 +73,14 @@
     ($($name:ident: $body:expr),* $(,)?) => {
         $(#[test] fn $name() {
             let body: fn(&mut World) = $body;
-            body(&mut quiet((0.25, 10)));
+            body(&mut settled_world((0.25, 10)));
         })*
     };
 }
 
 case! {
-    a_zone_whose_samples_stop_is_left_alone: |world| {
-        world.muted = vec![world.zones[2]];
+    a_zone_whose_samples_stop_keeps_its_shares: |world| {
+        world.silent_zones = vec![world.zones[2]];
         world.run(15);
         let kept = world.share(world.regions[1], world.zones[2]);
         world.demand = [220.0, 100.0];
@@ -89,7 +90,7 @@
         assert_eq!(world.share(world.regions[1], world.zones[2]), kept);
     },
     with_no_samples_nothing_moves: |world| {
-        world.muted = world.zones.clone();
+        world.silent_zones = world.zones.clone();
         world.run(15);
         let before = world.sequence;
         world.demand = [300.0, 10.0];
@@ -100,7 +101,7 @@
         world.demand = [180.0, 20.0];
         world.run(120);
         assert!(world.away() > 0.05);
-        world.muted = world.zones.clone();
+        world.silent_zones = world.zones.clone();
         world.run(15);
         let before = world.sequence;
         let late = serde_json::json!({"limits": {"utilization": 0.3}});
@@ -125,12 +126,12 @@
     },
     a_plan_that_cannot_be_confirmed_counts_after_two_windows: |world| {
         world.demand = [220.0, 40.0];
-        world.stuck = true;
+        world.never_settles = true;
         world.run(60);
         let steps = world.sequence - 1;
         assert!((2..=3).contains(&steps), "{steps} steps in a minute, windows of 10 s");
     },
-    an_incomplete_summary_gives_and_does_not_take: |world| {
+    a_zone_with_an_incomplete_summary_gives_and_does_not_receive: |world| {
         world.reported = BTreeMap::from([(world.zones[2], 1), (world.zones[0], 1)]);
         world.demand = [220.0, 40.0];
         world.run(300);
@@ -146,14 +147,14 @@
         assert_eq!(world.away(), 0.0);
     },
     a_lost_zone_gives_all_to_its_sibling: |world| {
-        world.sights.insert(world.zones[0], ZoneStatus::Lost);
-        world.muted = vec![world.zones[0]];
+        world.zone_statuses.insert(world.zones[0], ZoneStatus::Lost);
+        world.silent_zones = vec![world.zones[0]];
         world.run(120);
         let share = |n: usize| world.share(world.regions[0], world.zones[n]);
         assert!(share(0) < 0.002, "{}", share(0));
         assert!(share(1) > 0.5, "{}", share(1));
-        world.sights.clear();
-        world.muted.clear();
+        world.zone_statuses.clear();
+        world.silent_zones.clear();
         let course = Course::new(world, 300);
         assert!((world.share(world.regions[0], world.zones[0]) - 0.5).abs() < 0.02);
         assert!(course.crossings <= 1, "{course:?}");
@@ -175,8 +176,8 @@
     },
 }
 
-/// One step of a planner never moves more than the cap, whatever the loads.
-fn within_cap(before: &Plan, after: &Plan, cap: f64) {
+/// Asserts that a step moved at most `cap` and that all shares add up to 1.
+fn assert_within_cap(before: &Plan, after: &Plan, cap: f64) {
     for (key, shares) in &after.splits {
         let total: f64 = shares.values().sum();
         assert!((total - 1.0).abs() < 1e-6, "{shares:?}");
@@ -201,18 +202,18 @@
     })]
 
     #[test]
-    fn every_step_is_whole_and_within_the_cap(
+    fn every_step_adds_up_to_one_and_stays_within_the_cap(
         demands in prop::collection::vec((0.0..400.0_f64, 0.0..400.0_f64, any::<bool>()), 1..12),
     ) {
-        let mut world = quiet((0.1, 20));
+        let mut world = settled_world((0.1, 20));
         let mut before = world.plan.clone();
         for (a, b, mute) in demands {
             world.demand = [a, b];
-            world.muted = if mute { vec![world.zones[1]] } else { Vec::new() };
+            world.silent_zones = if mute { vec![world.zones[1]] } else { Vec::new() };
             for _ in 0..200 {
                 world.step();
                 if world.plan.stamp != before.stamp {
-                    within_cap(&before, &world.plan, 0.1);
+                    assert_within_cap(&before, &world.plan, 0.1);
                     before = world.plan.clone();
                 }
             }
@@ -220,8 +221,8 @@
     }
 
     #[test]
-    fn a_plan_survives_its_names(parts in prop::collection::vec(0.01..1.0_f64, 4)) {
-        let world = quiet((0.1, 20));
+    fn a_plan_survives_the_conversion_to_names(parts in prop::collection::vec(0.01..1.0_f64, 4)) {
+        let world = settled_world((0.1, 20));
         let total: f64 = parts.iter().sum();
         let shares: Shares = world.zones.iter().copied()
             .zip(parts.iter().map(|part| part / total))
@@ -249,8 +250,8 @@
 }
 
 #[test]
-fn a_difference_makes_the_plan_whole_again() {
-    let mut world = quiet((0.25, 10));
+fn a_difference_restores_the_whole_plan() {
+    let mut world = settled_world((0.25, 10));
     let old = world.plan.to_record(&world.catalog);
     world.demand = [220.0, 40.0];
     world.run(60);
@@ -266,7 +267,7 @@
     assert_eq!(new.applied_to(&Record::default()), Some(new.clone()));
 }
 
-/// Two hosts of a zone and a delegate of it, with reports given by hand.
+/// Two hosts of a zone, and the table of their delegate.
 struct Zone {
     base: Instant,
     catalog: Catalog,
@@ -355,7 +356,7 @@
         assert!(it.merged(4_900).is_some());
         assert_eq!(it.merged(5_100), None);
     },
-    what_did_not_change_is_not_sent_and_stays_fresh: |it| {
+    an_unchanged_entry_is_not_sent_and_stays_fresh: |it| {
         let first = it.message(0, 0, 3.0, 0);
         let second = it.message(2_000, 0, 3.1, 0);
         assert!(first.head.full && !second.head.full && second.loads.is_empty());
@@ -365,7 +366,7 @@
         let entry = it.table.host_source(it.hosts[0]).and_then(|source| source.load(it.service));
         assert_eq!(entry.map(|entry| entry.sampled), Some(it.at(2_000)));
     },
-    a_gap_leaves_the_rest_as_old_as_it_was: |it| {
+    a_gap_does_not_refresh_unchanged_entries: |it| {
         let first = it.message(0, 0, 3.0, 0);
         it.message(2_000, 0, 9.0, 0);
         let third = it.message(4_000, 0, 9.0, 0);
@@ -398,7 +399,7 @@
         message.head.host = "nobody".into();
         assert_eq!(it.take(0, &message), ApplyResult::Ignored);
     },
-    wants_are_passed_on: |it| {
+    wanted_quotas_are_reported: |it| {
         let region = it.catalog.region_key("b").expect("a region");
         let key = (it.hosts[1], region);
         let sample = Sample {
@@ -409,14 +410,14 @@
         let now = it.at(0);
         let message = it.senders[1].message(now, &sample, &it.catalog);
         it.take(0, &message);
-        let sights = BTreeMap::new();
-        let view = View { catalog: &it.catalog, summaries: &it.table, zone_statuses: &sights };
+        let zone_statuses = BTreeMap::new();
+        let view = View { catalog: &it.catalog, summaries: &it.table, zone_statuses: &zone_statuses };
         assert_eq!(wanted_quotas(now, &view), BTreeMap::from([(key, 12.5)]));
         assert_eq!(wanted_quotas(it.at(11_000), &view), BTreeMap::new());
     },
 }
 
-/// A delegate in one zone that tells its hosts of the others.
+/// A delegate that sends digests of another zone to its hosts.
 struct Delegate {
     base: Instant,
     catalog: Catalog,
@@ -494,14 +495,14 @@
 }
 
 delegate! {
-    a_digest_tells_how_full_other_zones_are: |it| {
+    a_digest_contains_the_levels_of_other_zones: |it| {
         let digest = it.digest(0, 30.0, 20.0);
         assert_eq!(digest.zones.len(), 1, "only what is heard and told of");
         assert_eq!(digest.zones[0].roster, 77);
         assert_eq!(it.take(100, &digest), ApplyResult::Newer);
         assert_eq!(it.level(), Some(Level { filled: 1.5, sampled: it.at(100) }));
     },
-    a_site_without_live_slots_is_full_beyond_measure: |it| {
+    a_site_without_live_slots_has_an_infinite_level: |it| {
         let digest = it.digest(0, 3.0, 0.0);
         it.take(0, &digest);
         assert_eq!(it.level().map(|level| level.filled), Some(f64::INFINITY));
@@ -514,7 +515,7 @@
         assert_eq!(it.take(4_000, &second), ApplyResult::Newer);
         assert_eq!(it.level(), Some(Level { filled: 0.5, sampled: it.at(4_000) }));
     },
-    a_missed_digest_freshens_nothing: |it| {
+    a_missed_digest_refreshes_no_level: |it| {
         let first = it.digest(0, 10.0, 20.0);
         it.digest(4_000, 18.0, 20.0);
         let third = it.digest(8_000, 18.0, 20.0);
--- a/tests/planning/mod.rs
+++ b/tests/planning/mod.rs
@@ -1,4 +1,4 @@
-//! A small model of hosts that follow plans under their caps, with summaries that lag.
+//! A model of hosts that follow plans within their caps, with delayed summaries.
 
 #![allow(dead_code, reason = "the tests and the bench each use a part of it")]
 
@@ -68,7 +68,7 @@
         .expect("a catalog")
 }
 
-/// A load whose requests each take a second.
+/// The load of a service whose requests each take a second.
 pub fn load(demand: f64, cold: f32) -> Load {
     let slots = f64::from(SLOTS);
     let served = demand.min(slots);
@@ -82,7 +82,7 @@
     }
 }
 
-/// Hosts that follow plans under their caps, and summaries that lag.
+/// The model: hosts that follow plans within their caps, and delayed summaries.
 pub struct World {
     pub base: Instant,
     pub time: u64,
@@ -94,32 +94,32 @@
     pub demand: [f64; 2],
     /// The splits in force, by locality.
     pub splits: BTreeMap<RegionKey, Shares>,
-    /// Plans on their way to the hosts, by the time of their arrival.
+    /// Plans in transit to the hosts, by arrival time.
     pub plans: VecDeque<(u64, Plan)>,
     pub plan: Plan,
-    /// Whether the splits have yet to reach the plan.
+    /// Whether the splits have not reached the plan yet.
     pub moving: bool,
-    /// Summaries on their way to the planner, by the time of their arrival and of the sample.
+    /// Summaries in transit to the planner, by the time of their arrival and of the sample.
     pub messages: VecDeque<(u64, u64, Message)>,
     pub senders: BTreeMap<ZoneKey, Sender>,
-    pub sums: BTreeMap<ZoneKey, f64>,
+    pub load_sums: BTreeMap<ZoneKey, f64>,
     pub summaries: Table,
     pub planner: Planner,
     pub sequence: u64,
-    pub sights: BTreeMap<ZoneKey, ZoneStatus>,
+    pub zone_statuses: BTreeMap<ZoneKey, ZoneStatus>,
     /// Zones whose summaries do not arrive.
-    pub muted: Vec<ZoneKey>,
-    /// Hosts that reported in zones where not all did.
+    pub silent_zones: Vec<ZoneKey>,
+    /// Number of hosts that reported, for zones where not all did.
     pub reported: BTreeMap<ZoneKey, u32>,
-    /// Whether the hosts never tell that they have reached a plan.
-    pub stuck: bool,
-    /// Share of the slots that is cold.
+    /// Whether the hosts never report that they have reached a plan.
+    pub never_settles: bool,
+    /// Fraction of the slots that are cold.
     pub cold: f32,
     pub lag: u64,
 }
 
-/// Time between plans and between summaries, in steps of 100 ms.
-pub const BEAT: u64 = 20;
+/// Interval of plans and of summaries, in steps of 100 ms.
+pub const PLAN_STEPS: u64 = 20;
 
 impl World {
     pub fn new(catalog: Catalog, causality: Causality, lag: u64) -> Self {
@@ -153,14 +153,14 @@
             moving: false,
             messages: VecDeque::new(),
             senders,
-            sums: BTreeMap::new(),
+            load_sums: BTreeMap::new(),
             summaries: Table::new(),
             planner: Planner::default().with_causality(causality),
             sequence: 0,
-            sights: BTreeMap::new(),
-            muted: Vec::new(),
+            zone_statuses: BTreeMap::new(),
+            silent_zones: Vec::new(),
             reported: BTreeMap::new(),
-            stuck: false,
+            never_settles: false,
             cold: 0.0,
             lag,
         }
@@ -182,56 +182,59 @@
         self.splits[&region].get(&zone).copied().unwrap_or(0.0)
     }
 
-    /// The part of the first locality that is away from home.
+    /// The share of the first locality that is away from home.
     pub fn away(&self) -> f64 {
         self.share(self.regions[0], self.zones[2]) + self.share(self.regions[0], self.zones[3])
     }
 
-    /// Moves the splits in force towards the plan, at the rate that the caps allow.
+    /// Moves the splits in force towards the plan at the rate that the caps allow.
     pub fn follow(&mut self) {
         while self.plans.front().is_some_and(|(at, _)| *at <= self.time) {
             if let Some((_, plan)) = self.plans.pop_front() {
                 self.plan = plan;
             }
         }
-        let lost = self.sights.values().any(|sight| *sight == ZoneStatus::Lost);
+        let lost = self
+            .zone_statuses
+            .values()
+            .any(|status| *status == ZoneStatus::Lost);
         let cap = if lost {
             self.catalog.limits().failover
         } else {
             self.catalog.service(self.service).shift
         };
-        let most = cap.share / (cap.window.as_secs_f64() * 10.0);
-        let mut done = true;
+        let max_step = cap.share / (cap.window.as_secs_f64() * 10.0);
+        let mut is_reached = true;
         for (region, shares) in &mut self.splits {
             if let Some(goal) = self.plan.splits.get(&(self.service, *region)) {
-                done &= approach(shares, goal, most);
+                is_reached &= move_towards(shares, goal, max_step);
             }
         }
-        self.moving = !done || self.stuck;
+        self.moving = !is_reached || self.never_settles;
     }
 
     pub fn sample(&mut self) {
         for zone in self.zones.clone() {
             let load = self.load(zone);
-            *self.sums.entry(zone).or_default() += load;
+            *self.load_sums.entry(zone).or_default() += load;
         }
-        if !self.time.is_multiple_of(BEAT) {
+        if !self.time.is_multiple_of(PLAN_STEPS) {
             return;
         }
-        let sums = std::mem::take(&mut self.sums);
-        for (zone, sum) in sums {
+        let load_sums = std::mem::take(&mut self.load_sums);
+        for (zone, sum) in load_sums {
             let sample = Sample {
                 age: Duration::ZERO,
                 applied: self.plan.stamp,
                 moving: self.moving.then_some(self.service).into_iter().collect(),
                 hosts: (2, self.reported.get(&zone).copied().unwrap_or(2)),
-                loads: BTreeMap::from([(self.service, load(sum / BEAT as f64, self.cold))]),
+                loads: BTreeMap::from([(self.service, load(sum / PLAN_STEPS as f64, self.cold))]),
                 ..Sample::default()
             };
             let now = self.now();
             let sender = self.senders.get_mut(&zone).expect("a sender");
             let message = sender.message(now, &sample, &self.catalog);
-            if !self.muted.contains(&zone) {
+            if !self.silent_zones.contains(&zone) {
                 let due = self.time + self.lag;
                 self.messages.push_back((due, self.time, message));
             }
@@ -248,8 +251,8 @@
         }
     }
 
-    /// Makes a plan, which reaches the hosts a second later.
-    pub fn make(&mut self) -> bool {
+    /// Makes a plan, which reaches the hosts a second later. Returns whether it changed.
+    pub fn make_plan(&mut self) -> bool {
         let stamp = Stamp {
             epoch: 1,
             sequence: self.sequence + 1,
@@ -258,7 +261,7 @@
         let view = View {
             catalog: &self.catalog,
             summaries: &self.summaries,
-            zone_statuses: &self.sights,
+            zone_statuses: &self.zone_statuses,
         };
         let (plan, changed) = self.planner.make_plan(now, stamp, &view);
         if changed {
@@ -273,8 +276,8 @@
         self.follow();
         self.sample();
         self.receive();
-        if self.time.is_multiple_of(BEAT) {
-            self.make();
+        if self.time.is_multiple_of(PLAN_STEPS) {
+            self.make_plan();
         }
     }
 
@@ -283,43 +286,47 @@
     }
 }
 
-/// Moves shares towards a goal by at most `most`. Returns whether the goal is reached.
-pub fn approach(shares: &mut Shares, goal: &Shares, most: f64) -> bool {
+/// Moves shares towards a goal by at most `max_step`. Returns whether the goal is reached.
+pub fn move_towards(shares: &mut Shares, goal: &Shares, max_step: f64) -> bool {
     let zones: Vec<ZoneKey> = shares.keys().chain(goal.keys()).copied().collect();
-    let want = |zone| goal.get(&zone).copied().unwrap_or(0.0);
+    let goal_share = |zone| goal.get(&zone).copied().unwrap_or(0.0);
     let gap: f64 = zones
         .iter()
-        .map(|&zone| (want(zone) - shares.get(&zone).copied().unwrap_or(0.0)).max(0.0))
+        .map(|&zone| (goal_share(zone) - shares.get(&zone).copied().unwrap_or(0.0)).max(0.0))
         .fold(0.0, f64::max);
     let total: f64 = goal
         .iter()
         .map(|(zone, share)| (share - shares.get(zone).copied().unwrap_or(0.0)).max(0.0))
         .sum();
-    let part = if total > most { most / total } else { 1.0 };
+    let fraction = if total > max_step {
+        max_step / total
+    } else {
+        1.0
+    };
     for zone in zones {
         let share = shares.entry(zone).or_default();
-        *share += part * (want(zone) - *share);
+        *share += fraction * (goal_share(zone) - *share);
     }
-    gap < 1e-9 || part >= 1.0
+    gap < 1e-9 || fraction >= 1.0
 }
 
-/// How a split went to its final value.
+/// How a split approached its final value.
 #[derive(Debug)]
 pub struct Course {
-    /// Most by which it went beyond it.
+    /// Largest amount by which it went beyond the final value.
     pub overshoot: f64,
-    /// How often it crossed it.
+    /// How often it crossed the final value.
     pub crossings: usize,
-    /// Seconds until it stayed within two hundredths of it.
+    /// Seconds until it stayed within two hundredths of the final value.
     pub settled: u64,
-    /// Seconds for which some zone was asked for more than its slots.
+    /// Seconds during which the load of some zone exceeded its slots.
     pub overload: u64,
-    /// Steps planned.
+    /// Number of planned steps.
     pub steps: u64,
 }
 
 impl Course {
-    /// Follows a world for some seconds.
+    /// Runs a world for some seconds and records its split.
     pub fn new(world: &mut World, seconds: u64) -> Self {
         let before = world.sequence;
         let mut away = Vec::new();
@@ -349,7 +356,7 @@
     }
 }
 
-/// A burst in one region that stays: four thirds of what its zones may hold.
+/// A world with a lasting burst in one region: four thirds of what its zones may hold.
 pub fn burst(cap: (f64, u32), causality: Causality, lag: u64, seconds: u64) -> (World, Course) {
     let mut world = World::new(catalog(cap.0, cap.1), causality, lag);
     world.run(60);
--- a/tests/presence.rs
+++ b/tests/presence.rs
@@ -1,4 +1,4 @@
-//! Which hosts are alive, and which of them watch the store.
+//! Tests of the tracking of live hosts and of the selection of the hosts that watch the store.
 
 #![allow(clippy::unwrap_used)]
 
@@ -20,8 +20,8 @@
         .into()
 }
 
-/// Where a host takes heartbeats: an address of its own by its name.
-fn place(host: &str) -> SocketAddr {
+/// The address that receives a host's heartbeats, derived from its name.
+fn address_of(host: &str) -> SocketAddr {
     let sum = host.bytes().fold(0u16, |sum, byte| {
         sum.wrapping_mul(31).wrapping_add(byte.into())
     });
@@ -32,8 +32,8 @@
     Record {
         host: host.into(),
         zone: zone.into(),
-        front: place(host),
-        peers: place(host),
+        front: address_of(host),
+        peers: address_of(host),
         feed: "127.0.0.1:3".parse().unwrap(),
         incarnation,
         strength: Strength {
@@ -43,11 +43,11 @@
     }
 }
 
-fn beat(record: Record, sight: StoreView) -> Heartbeat {
+fn heartbeat(record: Record, view: StoreView) -> Heartbeat {
     Heartbeat {
         record,
         leaving: false,
-        sight,
+        sight: view,
         rate: 0,
     }
 }
@@ -56,13 +56,13 @@
     records.map(|record| &*record.host).collect()
 }
 
-/// A host `h0` in zone `n-a` that has heard of others at a time of the test's own.
+/// A host `h0` in zone `n-a` that has heard the given other hosts.
 fn presence(now: Instant, others: &[(&str, &str)]) -> Presence {
     let mut presence = Presence::new(now, record("h0", "n-a", 1), regions());
     presence.set_store_view(StoreView::Store);
     presence.mark_listed();
     for (host, zone) in others {
-        presence.receive_heartbeat(now, beat(record(host, zone, 1), StoreView::Relayed));
+        presence.receive_heartbeat(now, heartbeat(record(host, zone, 1), StoreView::Relayed));
     }
     presence
 }
@@ -79,15 +79,15 @@
     assert_eq!(departed, [&"h1".into(), &Arc::<str>::from("h2")]);
 }
 
-/// The hosts that have departed after `silence` in the eyes of one that sees the store or not, beside
-/// another one that does and says so all the time.
-fn departed(sight: StoreView, silence: Duration, witness: Option<&str>) -> Vec<Arc<str>> {
+/// The hosts that should be removed after `silence`, from the view of a host with the given view of
+/// the store. The witness is another host that sees the store.
+fn departed(view: StoreView, silence: Duration, witness: Option<&str>) -> Vec<Arc<str>> {
     let start = Instant::now();
     let mut presence = presence(start, &[("h-silent", "n-b")]);
-    presence.set_store_view(sight);
+    presence.set_store_view(view);
     if let Some(witness) = witness {
         let record = record(witness, "n-a", 1);
-        presence.receive_heartbeat(start + silence, beat(record, StoreView::Store));
+        presence.receive_heartbeat(start + silence, heartbeat(record, StoreView::Store));
     }
     presence.removable_hosts(start + silence).cloned().collect()
 }
@@ -114,7 +114,7 @@
 fn a_host_that_leaves_is_not_named() {
     let now = Instant::now();
     let mut presence = presence(now, &[("h1", "n-b")]);
-    let mut last = beat(record("h1", "n-b", 1), StoreView::Store);
+    let mut last = heartbeat(record("h1", "n-b", 1), StoreView::Store);
     last.leaving = true;
     presence.receive_heartbeat(now, last);
     assert_eq!(names(presence.serving(now)), ["h0"]);
@@ -122,17 +122,18 @@
     assert!(names(presence.serving(now)).is_empty());
 }
 
-/// The hosts that a caller of zone `n-a` is told, by what `h0`, `h1` and `h2` of its zone know of the store.
-macro_rules! informed {
-    ($($name:ident: $naming:ident, $sights:expr => $expected:expr;)*) => {$(
+/// The hosts named to a caller of zone `n-a`, given the store views of `h0`, `h1` and `h2` in its
+/// zone.
+macro_rules! named_hosts {
+    ($($name:ident: $filter:ident, $views:expr => $expected:expr;)*) => {$(
         #[test]
         fn $name() {
             let now = Instant::now();
-            let [own, sights @ ..]: [StoreView; 3] = $sights;
-            let mut presence = presence(now, &[]).with_lookup_filter(LookupFilter::$naming);
+            let [own, views @ ..]: [StoreView; 3] = $views;
+            let mut presence = presence(now, &[]).with_lookup_filter(LookupFilter::$filter);
             presence.set_store_view(own);
-            for (host, sight) in ["h1", "h2"].into_iter().zip(sights) {
-                presence.receive_heartbeat(now, beat(record(host, "n-a", 1), sight));
+            for (host, view) in ["h1", "h2"].into_iter().zip(views) {
+                presence.receive_heartbeat(now, heartbeat(record(host, "n-a", 1), view));
             }
             let question = Question {
                 region: "n".into(),
@@ -141,12 +142,12 @@
             let caller = IpAddr::V4(Ipv4Addr::LOCALHOST);
             let named: BTreeSet<_> = presence.lookup_hosts(now, &question, caller).into_iter().collect();
             let expected: &[&str] = &$expected;
-            assert_eq!(named, expected.iter().map(|host| place(host)).collect());
+            assert_eq!(named, expected.iter().map(|host| address_of(host)).collect());
         }
     )*};
 }
 
-informed! {
+named_hosts! {
     hosts_that_lost_the_store_are_not_named_beside_others: Informed, [StoreView::Stale, StoreView::Relayed, StoreView::Store]
         => ["h1", "h2"];
     all_are_named_if_none_sees_the_store: Informed, [StoreView::Stale; 3] => ["h0", "h1", "h2"];
@@ -157,7 +158,7 @@
 fn a_host_without_a_configuration_is_alive_but_not_named() {
     let now = Instant::now();
     let mut presence = presence(now, &[]);
-    presence.receive_heartbeat(now, beat(record("h1", "n-b", 1), StoreView::Nothing));
+    presence.receive_heartbeat(now, heartbeat(record("h1", "n-b", 1), StoreView::Nothing));
     assert_eq!(names(presence.alive(now)), ["h0", "h1"]);
     assert_eq!(names(presence.serving(now)), ["h0"]);
 }
@@ -173,58 +174,60 @@
 }
 
 #[test]
-fn what_an_earlier_process_said_is_ignored() {
+fn heartbeats_of_an_earlier_process_are_ignored() {
     let now = Instant::now();
     let mut presence = presence(now, &[("h1", "n-b")]);
-    presence.receive_heartbeat(now, beat(record("h1", "n-b", 5), StoreView::Store));
-    let mut late = beat(record("h1", "n-b", 1), StoreView::Store);
+    presence.receive_heartbeat(now, heartbeat(record("h1", "n-b", 5), StoreView::Store));
+    let mut late = heartbeat(record("h1", "n-b", 1), StoreView::Store);
     late.leaving = true;
     presence.receive_heartbeat(now, late);
     assert_eq!(names(presence.serving(now)), ["h0", "h1"]);
 }
 
 #[test]
-fn a_restart_after_the_clock_went_back_is_taken() {
+fn a_restart_after_the_clock_was_set_back_is_accepted() {
     let now = Instant::now();
     let mut presence = presence(now, &[]);
-    presence.receive_heartbeat(now, beat(record("h1", "n-b", 5), StoreView::Store));
+    presence.receive_heartbeat(now, heartbeat(record("h1", "n-b", 5), StoreView::Store));
     let later = now + INTERVAL * 3;
-    assert!(presence.receive_heartbeat(later, beat(record("h1", "n-b", 2), StoreView::Store)));
+    assert!(presence.receive_heartbeat(later, heartbeat(record("h1", "n-b", 2), StoreView::Store)));
     assert_eq!(names(presence.serving(later + INTERVAL)), ["h0", "h1"]);
 }
 
 #[test]
-fn a_pause_of_this_process_kills_nobody() {
+fn a_pause_of_this_process_causes_no_death() {
     let start = Instant::now();
     let mut presence = presence(start, &[("h1", "n-b")]);
     let woken = start + Duration::from_secs(10);
     presence.tick(woken);
     assert_eq!(names(presence.serving(woken)), ["h0", "h1"]);
-    for beat in 1..=4 {
-        presence.tick(woken + INTERVAL * beat);
+    for heartbeat in 1..=4 {
+        presence.tick(woken + INTERVAL * heartbeat);
     }
     assert_eq!(names(presence.serving(woken + INTERVAL * 4)), ["h0"]);
 }
 
-/// Hosts of one region, each knowing of all others what `sights` says; which of them watch.
-fn watchers(now: Instant, sights: &[StoreView]) -> Vec<usize> {
+/// The hosts of one region that watch the store, if each has the given view of it and all know
+/// these views.
+fn watchers(now: Instant, views: &[StoreView]) -> Vec<usize> {
     let host = |index: usize| record(&format!("h{index}"), "n-a", 1);
-    (0..sights.len())
+    (0..views.len())
         .filter(|own| {
             let met = now.checked_sub(Duration::from_secs(10)).unwrap();
             let mut presence = Presence::new(met, host(*own), regions());
-            presence.set_store_view(sights[*own]);
-            for (index, sight) in sights.iter().enumerate() {
-                presence.receive_heartbeat(met, beat(host(index), *sight));
-                presence.receive_heartbeat(now, beat(host(index), *sight));
+            presence.set_store_view(views[*own]);
+            for (index, view) in views.iter().enumerate() {
+                presence.receive_heartbeat(met, heartbeat(host(index), *view));
+                presence.receive_heartbeat(now, heartbeat(host(index), *view));
             }
             presence.is_watcher(now)
         })
         .collect()
 }
 
-/// How many hosts of a region watch the store, by the number of its hosts; other regions have none.
-macro_rules! watching {
+/// The number of hosts of a region that watch the store, by the number of its hosts. Other regions
+/// have none.
+macro_rules! watcher_counts {
     ($($name:ident: $hosts:expr => $watchers:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -233,7 +236,7 @@
     )*};
 }
 
-watching! {
+watcher_counts! {
     three_hosts_of_a_small_system_watch_the_store: 20 => 3;
     three_hosts_of_a_larger_system_watch_the_store: 100 => 3;
     four_hosts_of_a_large_region_watch_the_store: 227 => 4;
@@ -250,13 +253,13 @@
         count,
         "a store that nobody sees is called by few"
     );
-    let mut sights = vec![StoreView::Relayed; hosts];
+    let mut views = vec![StoreView::Relayed; hosts];
     for index in &few {
-        sights[*index] = StoreView::Store;
+        views[*index] = StoreView::Store;
     }
-    assert_eq!(watchers(now, &sights), few);
-    sights[few[0]] = StoreView::Stale;
-    let others = watchers(now, &sights);
+    assert_eq!(watchers(now, &views), few);
+    views[few[0]] = StoreView::Stale;
+    let others = watchers(now, &views);
     assert_eq!(
         others.len(),
         count + 1,
@@ -264,35 +267,35 @@
     );
 }
 
-/// Hosts of three regions: one of each watches the store.
+/// With hosts in three regions, one of each watches the store.
 #[test]
-fn regions_share_the_watching() {
+fn each_region_has_one_watcher() {
     let now = Instant::now();
     let zones = ["n-a", "s-a", "e-a"];
     let host = |index: usize| record(&format!("h{index}"), zones[index % 3], 1);
-    let watching: Vec<_> = (0..12)
+    let watcher_counts: Vec<_> = (0..12)
         .filter(|own| {
             let mut presence = Presence::new(now, host(*own), regions());
             presence.set_store_view(StoreView::Store);
             for index in 0..12 {
-                presence.receive_heartbeat(now, beat(host(index), StoreView::Store));
+                presence.receive_heartbeat(now, heartbeat(host(index), StoreView::Store));
             }
             presence.is_watcher(now)
         })
         .map(|index| zones[index % 3])
         .collect();
-    let regions: BTreeSet<_> = watching.iter().collect();
-    assert_eq!((watching.len(), regions.len()), (3, 3));
+    let regions: BTreeSet<_> = watcher_counts.iter().collect();
+    assert_eq!((watcher_counts.len(), regions.len()), (3, 3));
 }
 
 #[test]
-fn a_host_that_sees_the_store_goes_on_beside_those_that_do_not() {
+fn a_host_that_sees_the_store_keeps_watching_beside_those_that_do_not() {
     let now = Instant::now();
-    let mut sights = [StoreView::Relayed; 20];
+    let mut views = [StoreView::Relayed; 20];
     let first = watchers(now, &[StoreView::Store; 20]);
     let last = (0..20).find(|index| !first.contains(index)).unwrap();
-    sights[last] = StoreView::Store;
-    assert!(watchers(now, &sights).contains(&last));
+    views[last] = StoreView::Store;
+    assert!(watchers(now, &views).contains(&last));
 }
 
 #[test]
@@ -302,7 +305,7 @@
     let count = (0..20).filter(|own| {
         let mut presence = Presence::new(now, host(*own), regions());
         for index in 0..20 {
-            presence.receive_heartbeat(now, beat(host(index), StoreView::Nothing));
+            presence.receive_heartbeat(now, heartbeat(host(index), StoreView::Nothing));
         }
         presence.is_watcher(now)
     });
@@ -315,9 +318,9 @@
     let mut presence = presence(now, &[("h1", "n-b")]);
     presence.set_store_view(StoreView::Nothing);
     assert_eq!(&*presence.feed_source(now, |_| false).unwrap().0.host, "h1");
-    presence.receive_heartbeat(now, beat(record("h2", "s-a", 1), StoreView::Store));
+    presence.receive_heartbeat(now, heartbeat(record("h2", "s-a", 1), StoreView::Store));
     assert_eq!(&*presence.feed_source(now, |_| false).unwrap().0.host, "h2");
-    presence.receive_heartbeat(now, beat(record("h3", "n-b", 1), StoreView::Store));
+    presence.receive_heartbeat(now, heartbeat(record("h3", "n-b", 1), StoreView::Store));
     assert_eq!(&*presence.feed_source(now, |_| false).unwrap().0.host, "h3");
 }
 
@@ -327,7 +330,7 @@
     for zone in ["n-a", "n-b"] {
         let mut presence = Presence::new(now, record("own", zone, 1), regions());
         for (host, zone) in [("h1", "n-a"), ("h2", "n-b"), ("h3", "s-a")] {
-            presence.receive_heartbeat(now, beat(record(host, zone, 1), StoreView::Store));
+            presence.receive_heartbeat(now, heartbeat(record(host, zone, 1), StoreView::Store));
         }
         let (source, _) = presence.feed_source(now, |_| false).unwrap();
         assert_eq!(&*source.zone, zone);
@@ -339,7 +342,7 @@
     let now = Instant::now();
     let mut presence = presence(now, &[]);
     presence.set_store_view(StoreView::Stale);
-    presence.receive_heartbeat(now, beat(record("h1", "n-b", 1), StoreView::Stale));
+    presence.receive_heartbeat(now, heartbeat(record("h1", "n-b", 1), StoreView::Stale));
     assert!(presence.feed_source(now, |_| false).is_none());
     presence.set_store_view(StoreView::Nothing);
     assert!(
@@ -349,17 +352,18 @@
 }
 
 #[test]
-fn any_host_that_lost_the_store_raises_doubt() {
+fn a_host_that_lost_the_store_makes_it_doubtful() {
     let now = Instant::now();
     let mut presence = presence(now, &[("h1", "n-b")]);
     assert!(!presence.is_store_doubtful(now));
-    presence.receive_heartbeat(now, beat(record("h1", "n-b", 1), StoreView::Stale));
+    presence.receive_heartbeat(now, heartbeat(record("h1", "n-b", 1), StoreView::Stale));
     assert!(presence.is_store_doubtful(now));
 }
 
-/// A store that is back does not tell yet which targets have turned cold meanwhile.
+/// A store that has just returned may still hold old data: it does not show yet which targets
+/// turned cold meanwhile.
 #[test]
-fn a_store_is_in_doubt_until_targets_had_time_to_tell_it_their_news() {
+fn a_store_stays_doubtful_until_targets_had_time_to_report() {
     let now = Instant::now();
     let mut presence = presence(now, &[("h1", "n-b")]);
     presence.set_store_view(StoreView::Stale);
@@ -370,12 +374,13 @@
     assert!(presence.is_store_doubtful(back + Duration::from_secs(2)));
     presence.receive_heartbeat(
         back + Duration::from_secs(3),
-        beat(record("h1", "n-b", 1), StoreView::Relayed),
+        heartbeat(record("h1", "n-b", 1), StoreView::Relayed),
     );
     assert!(!presence.is_store_doubtful(back + Duration::from_secs(3)));
 }
 
-/// What a host takes for an outage, looked at each 0.1 s, when no host sees the store for so many milliseconds.
+/// The outage that a host detects, checking each 0.1 s, when no host sees the store for this number
+/// of milliseconds.
 fn outage_after(unseen: u64) -> Outage {
     let start = Instant::now();
     let mut presence = presence(start, &[]);
@@ -399,20 +404,20 @@
 }
 
 outages! {
-    a_store_that_was_lost_for_a_moment_was_hardly_away: 100 => Outage::Brief;
-    a_store_that_was_lost_until_others_took_over_was_hardly_away: 1000 => Outage::Brief;
-    a_store_that_nobody_saw_for_two_heartbeats_less_what_noticing_takes_was_away: 1900 => Outage::Long;
+    a_store_lost_for_a_moment_is_a_brief_outage: 100 => Outage::Brief;
+    a_store_lost_until_others_take_over_is_a_brief_outage: 1000 => Outage::Brief;
+    a_store_unseen_for_two_heartbeats_minus_detection_time_is_a_long_outage: 1900 => Outage::Long;
 }
 
 #[test]
 fn the_store_was_away_only_if_no_host_saw_it() {
     let now = Instant::now();
     let mut presence = presence(now, &[]);
-    presence.receive_heartbeat(now, beat(record("h1", "n-b", 1), StoreView::Store));
+    presence.receive_heartbeat(now, heartbeat(record("h1", "n-b", 1), StoreView::Store));
     presence.set_store_view(StoreView::Stale);
     presence.track_outage(now);
     assert_eq!(presence.outage(now), Outage::None, "another host saw it");
-    presence.receive_heartbeat(now, beat(record("h1", "n-b", 1), StoreView::Stale));
+    presence.receive_heartbeat(now, heartbeat(record("h1", "n-b", 1), StoreView::Stale));
     presence.track_outage(now);
     let end = now + Duration::from_secs(2);
     presence.track_outage(end);
@@ -434,22 +439,22 @@
     let mut presence = presence(now, &[]);
     presence.set_store_view(StoreView::Relayed);
     let other = record("h1", "n-b", 1);
-    presence.receive_heartbeat(now, beat(other.clone(), StoreView::Store));
+    presence.receive_heartbeat(now, heartbeat(other.clone(), StoreView::Store));
     assert!(presence.is_store_seen(now));
     presence.forget_store_view(other.feed);
     assert!(!presence.is_store_seen(now));
     assert!(presence.feed_source(now, |_| false).is_none());
-    presence.receive_heartbeat(now + INTERVAL, beat(other, StoreView::Store));
+    presence.receive_heartbeat(now + INTERVAL, heartbeat(other, StoreView::Store));
     assert!(presence.is_store_seen(now + INTERVAL));
 }
 
 #[test]
-fn a_host_whose_feed_failed_is_passed_over() {
+fn a_host_whose_feed_failed_is_skipped() {
     let now = Instant::now();
     let mut presence = presence(now, &[]);
     presence.set_store_view(StoreView::Stale);
-    presence.receive_heartbeat(now, beat(record("h1", "n-b", 1), StoreView::Store));
-    presence.receive_heartbeat(now, beat(record("h2", "s-a", 1), StoreView::Store));
+    presence.receive_heartbeat(now, heartbeat(record("h1", "n-b", 1), StoreView::Store));
+    presence.receive_heartbeat(now, heartbeat(record("h2", "s-a", 1), StoreView::Store));
     let source = presence.feed_source(now, |record| &*record.host == "h1");
     assert_eq!(&*source.unwrap().0.host, "h2");
 }
@@ -466,62 +471,67 @@
         let mut presence = Presence::new(now, own, regions());
         for other in 3..6 {
             let wide = record(&format!("h{other}"), "n-a", 1);
-            presence.receive_heartbeat(now, beat(wide, StoreView::Store));
+            presence.receive_heartbeat(now, heartbeat(wide, StoreView::Store));
         }
         assert!(!presence.is_watcher(now));
     }
 }
 
 #[test]
-fn pulses_keep_a_known_host_alive_and_tell_its_news() {
+fn pulses_keep_a_known_host_alive_and_update_its_state() {
     let start = Instant::now();
     let mut presence = presence(start, &[("h1", "n-b")]);
     let now = start + INTERVAL * 3;
-    assert!(presence.receive_pulse(now, place("h1"), Pulse(1, StoreView::Store, false, 7)));
+    assert!(presence.receive_pulse(now, address_of("h1"), Pulse(1, StoreView::Store, false, 7)));
     let later = now + INTERVAL * 3;
     assert_eq!(names(presence.serving(later)), ["h0", "h1"]);
-    assert!(presence.receive_pulse(later, place("h1"), Pulse(1, StoreView::Store, true, 7)));
+    assert!(presence.receive_pulse(later, address_of("h1"), Pulse(1, StoreView::Store, true, 7)));
     assert_eq!(names(presence.serving(later)), ["h0"]);
 }
 
-/// Pulses of senders that are not known: another place, or another process at the place.
-macro_rules! strangers {
-    ($($name:ident: $place:expr, $incarnation:expr;)*) => {$(
+/// Pulses of unknown senders: from another address, or from another process at the same address.
+macro_rules! unknown_senders {
+    ($($name:ident: $sender:expr, $incarnation:expr;)*) => {$(
         #[test]
         fn $name() {
             let start = Instant::now();
             let mut presence = presence(start, &[("h1", "n-b")]);
             let now = start + INTERVAL * 3;
-            assert!(!presence.receive_pulse(now, place($place), Pulse($incarnation, StoreView::Store, false, 7)));
+            assert!(!presence.receive_pulse(now, address_of($sender), Pulse($incarnation, StoreView::Store, false, 7)));
             assert_eq!(names(presence.serving(start + INTERVAL * 4)), ["h0"]);
         }
     )*};
 }
 
-strangers! {
-    a_pulse_from_elsewhere_tells_nothing: "h2", 1;
-    a_pulse_of_a_later_process_tells_nothing: "h1", 2;
-    a_pulse_of_an_earlier_process_tells_nothing: "h1", 0;
+unknown_senders! {
+    a_pulse_from_another_address_is_ignored: "h2", 1;
+    a_pulse_of_a_later_process_is_ignored: "h1", 2;
+    a_pulse_of_an_earlier_process_is_ignored: "h1", 0;
 }
 
 #[test]
-fn a_host_that_left_is_not_known_by_its_place() {
+fn a_host_that_left_is_not_known_by_its_address() {
     let start = Instant::now();
     let mut presence = presence(start, &[("h1", "n-b")]);
     let later = start + INTERVAL * 5;
     presence.unregister(later, "h1");
-    assert!(!presence.receive_pulse(later, place("h1"), Pulse(1, StoreView::Store, false, 7)));
+    assert!(!presence.receive_pulse(
+        later,
+        address_of("h1"),
+        Pulse(1, StoreView::Store, false, 7)
+    ));
 }
 
 #[test]
-fn followers_share_the_hosts_that_watch_the_store() {
+fn followers_spread_over_the_hosts_that_watch_the_store() {
     let now = Instant::now();
     let chosen: BTreeSet<_> = (0..40)
         .map(|number| {
             let name = format!("follower-{number}");
             let mut presence = Presence::new(now, record(&name, "n-a", 1), regions());
             for watcher in ["h1", "h2"] {
-                presence.receive_heartbeat(now, beat(record(watcher, "n-b", 1), StoreView::Store));
+                presence
+                    .receive_heartbeat(now, heartbeat(record(watcher, "n-b", 1), StoreView::Store));
             }
             let (source, _) = presence.feed_source(now, |_| false).unwrap();
             source.host.clone()
@@ -530,7 +540,8 @@
     assert_eq!(chosen.len(), 2);
 }
 
-/// Heartbeats of one of 682 hosts in three regions: the number that goes out bounds what each one pays.
+/// The cost of heartbeats for one of 682 hosts in three regions is bounded by the number that it
+/// sends.
 #[test]
 fn heartbeats_stay_few_among_hundreds_of_hosts() {
     let now = Instant::now();
@@ -552,63 +563,64 @@
     Ipv4Addr::from(0x0a00_0000 + number as u32).into()
 }
 
-fn ask(region: &str, zone: &str) -> Question {
+fn question_of(region: &str, zone: &str) -> Question {
     Question {
         region: region.into(),
         zone: zone.into(),
     }
 }
 
-/// How often each host of a zone is named to some callers, with the given parts of a core.
-fn named(cores: &[f64], callers: usize) -> Vec<usize> {
+/// How often each host of a zone is named to callers, given the hosts' cores.
+fn naming_counts(cores: &[f64], callers: usize) -> Vec<usize> {
     let now = Instant::now();
     let presence = zone(now, cores);
-    let question = ask("n", "n-a");
+    let question = question_of("n", "n-a");
     let mut counts = vec![0; cores.len()];
     for number in 0..callers {
         let answer = presence.lookup_hosts(now, &question, caller(number));
         assert_eq!(answer.len(), 3);
         for (index, count) in counts.iter_mut().enumerate() {
-            *count += usize::from(answer.contains(&place(&format!("h{index}"))));
+            *count += usize::from(answer.contains(&address_of(&format!("h{index}"))));
         }
     }
     counts
 }
 
-/// A host elsewhere that has heard of hosts `h0` and on in one zone, which get so much that all of them are needed.
+/// A host in another region that has heard the hosts `h0` and up of one zone, whose load is so high
+/// that all of them are needed.
 fn zone(now: Instant, cores: &[f64]) -> Presence {
-    zone_with_rate(now, cores, 10_000)
+    presence_with_rate(now, cores, 10_000)
 }
 
-/// The same where each of the hosts gets `rate` requests a second.
-fn zone_with_rate(now: Instant, cores: &[f64], rate: u32) -> Presence {
+/// The same with `rate` requests a second at each of the hosts.
+fn presence_with_rate(now: Instant, cores: &[f64], rate: u32) -> Presence {
     let mut presence = Presence::new(now, record("own", "s-a", 1), regions());
     presence.mark_listed();
     for (index, cores) in cores.iter().enumerate() {
         let mut record = record(&format!("h{index}"), "n-a", 1);
         record.strength.cores = *cores;
-        let beat = Heartbeat {
+        let heartbeat = Heartbeat {
             rate,
-            ..beat(record, StoreView::Store)
+            ..heartbeat(record, StoreView::Store)
         };
-        presence.receive_heartbeat(now, beat);
+        presence.receive_heartbeat(now, heartbeat);
     }
     presence
 }
 
 #[test]
-fn of_many_hosts_look_ups_name_all_alike() {
-    let counts = named(&[0.2; 50], 5000);
+fn equal_hosts_are_named_equally_often() {
+    let counts = naming_counts(&[0.2; 50], 5000);
     let (least, most) = (counts.iter().min().unwrap(), counts.iter().max().unwrap());
     assert!(*least > 240 && *most < 360, "{counts:?}");
 }
 
 #[test]
-fn of_many_hosts_look_ups_name_weak_ones_by_their_strength() {
+fn weak_hosts_are_named_in_proportion_to_their_strength() {
     let cores: Vec<f64> = (0..50)
         .map(|index| if index < 10 { 0.1 } else { 0.2 })
         .collect();
-    let counts = named(&cores, 5000);
+    let counts = naming_counts(&cores, 5000);
     let mean = |counts: &[usize]| counts.iter().sum::<usize>() as f64 / counts.len() as f64;
     let (weak, strong) = (mean(&counts[..10]), mean(&counts[10..]));
     assert!(
@@ -617,22 +629,23 @@
     );
 }
 
-/// The part of the callers' connections that each host of a zone gets, when they use all that they are told of alike.
-fn parts(hosts: &[Strength], callers: usize) -> Vec<f64> {
+/// The fraction of the callers' connections that each host of a zone receives, if callers use all
+/// named hosts equally.
+fn connection_shares(hosts: &[Strength], callers: usize) -> Vec<f64> {
     let now = Instant::now();
     let mut presence = Presence::new(now, record("own", "s-a", 1), regions());
     presence.mark_listed();
     for (index, strength) in hosts.iter().enumerate() {
         let mut record = record(&format!("h{index}"), "n-a", 1);
         record.strength = *strength;
-        presence.receive_heartbeat(now, beat(record, StoreView::Store));
+        presence.receive_heartbeat(now, heartbeat(record, StoreView::Store));
     }
     let mut parts = vec![0.0; hosts.len()];
     for number in 0..callers {
-        let answer = presence.lookup_hosts(now, &ask("n", "n-a"), caller(number));
+        let answer = presence.lookup_hosts(now, &question_of("n", "n-a"), caller(number));
         assert!(answer.len() >= 2, "a second host should the first fail");
         for (index, part) in parts.iter_mut().enumerate() {
-            let is_named = answer.contains(&place(&format!("h{index}")));
+            let is_named = answer.contains(&address_of(&format!("h{index}")));
             *part += f64::from(u8::from(is_named)) / answer.len() as f64;
         }
     }
@@ -649,23 +662,23 @@
         cores: 0.1,
         megabits: 10.0,
     };
-    let parts = parts(&[strong, strong, weak], 3000);
+    let parts = connection_shares(&[strong, strong, weak], 3000);
     assert!(parts[2] < 0.1, "{parts:?}");
     assert!((parts[0] - parts[1]).abs() < 0.05, "{parts:?}");
 }
 
 #[test]
-fn a_caller_is_told_the_same_hosts_while_they_last() {
+fn a_caller_gets_the_same_hosts_while_they_live() {
     let now = Instant::now();
     let whole = zone(now, &[0.2; 20]);
     let fewer = zone(now, &[0.2; 19]);
-    let question = ask("n", "n-a");
+    let question = question_of("n", "n-a");
     for number in 0..200 {
         let before = whole.lookup_hosts(now, &question, caller(number));
         assert_eq!(before, whole.lookup_hosts(now, &question, caller(number)));
         let after = fewer.lookup_hosts(now, &question, caller(number));
         let kept = before.iter().filter(|host| after.contains(host)).count();
-        let lost = usize::from(before.contains(&place("h19")));
+        let lost = usize::from(before.contains(&address_of("h19")));
         assert_eq!(kept + lost, 3);
     }
 }
@@ -674,33 +687,34 @@
 fn callers_of_a_zone_without_hosts_are_sent_to_their_region() {
     let now = Instant::now();
     let presence = presence(now, &[("h1", "n-b"), ("h2", "s-a")]);
-    let mut found = presence.lookup_hosts(now, &ask("n", "n-c"), caller(1));
+    let mut found = presence.lookup_hosts(now, &question_of("n", "n-c"), caller(1));
     found.sort();
-    let mut expected = vec![place("h0"), place("h1")];
+    let mut expected = vec![address_of("h0"), address_of("h1")];
     expected.sort();
     assert_eq!(found, expected);
     assert_eq!(
         presence
-            .lookup_hosts(now, &ask("e", "e-a"), caller(1))
+            .lookup_hosts(now, &question_of("e", "e-a"), caller(1))
             .len(),
         3
     );
 }
 
-/// Hosts that one names which has just started and knows eight others, of which some serve.
+/// The number of hosts named by a host that has just started and knows eight others, `serving` of
+/// which serve.
 fn named_after(start: Duration, serving: usize) -> usize {
     let now = Instant::now();
     let mut presence = presence(now, &[]);
     for number in 0..8 {
         let record = record(&format!("h-{number}"), "n-a", 1);
-        let sight = if number < serving {
+        let view = if number < serving {
             StoreView::Store
         } else {
             StoreView::Nothing
         };
-        presence.receive_heartbeat(now + start, beat(record, sight));
+        presence.receive_heartbeat(now + start, heartbeat(record, view));
     }
-    let question = ask("n", "n-a");
+    let question = question_of("n", "n-a");
     presence
         .lookup_hosts(now + start, &question, caller(1))
         .len()
@@ -716,11 +730,11 @@
 }
 
 #[test]
-fn a_host_that_has_not_read_who_else_there_is_names_none_at_first() {
+fn a_host_that_has_not_read_the_registrations_names_none_at_first() {
     let now = Instant::now();
     let mut presence = Presence::new(now, record("h0", "n-a", 1), regions());
     presence.set_store_view(StoreView::Store);
-    let question = ask("n", "n-a");
+    let question = question_of("n", "n-a");
     let count = |presence: &Presence, at| presence.lookup_hosts(at, &question, caller(1)).len();
     assert_eq!(count(&presence, now), 0);
     assert_eq!(count(&presence, now + Duration::from_millis(2500)), 1);
@@ -729,7 +743,7 @@
 }
 
 #[test]
-fn the_others_are_known_once_their_registrations_were_read_or_have_long_not_been() {
+fn the_others_are_known_once_their_registrations_were_read_or_could_long_not_be() {
     let now = Instant::now();
     let mut presence = Presence::new(now, record("h0", "n-a", 1), regions());
     assert!(!presence.knows_others(now));
@@ -738,8 +752,8 @@
     assert!(presence.knows_others(now));
 }
 
-/// How often a store that nobody sees is looked at, a second, by so many hosts together.
-fn looks(hosts: usize) -> f64 {
+/// The total rate, per second, at which this number of hosts probes a store that no host sees.
+fn probes_per_second(hosts: usize) -> f64 {
     let now = Instant::now();
     let mut presence = Presence::new(now, record("h0", "n-a", 1), regions());
     for number in 1..hosts {
@@ -749,16 +763,19 @@
 }
 
 #[test]
-fn a_lost_store_is_looked_at_as_often_whatever_the_number_of_hosts() {
+fn a_lost_store_is_probed_at_the_same_rate_for_any_number_of_hosts() {
     for hosts in [20, 59, 295, 682] {
-        let looks = looks(hosts);
-        assert!((9.9..10.1).contains(&looks), "{hosts} hosts: {looks}");
+        let probes_per_second = probes_per_second(hosts);
+        assert!(
+            (9.9..10.1).contains(&probes_per_second),
+            "{hosts} hosts: {probes_per_second}"
+        );
     }
-    assert!((0.5..10.0).contains(&looks(11)));
+    assert!((0.5..10.0).contains(&probes_per_second(11)));
 }
 
 #[test]
-fn one_host_of_each_zone_counts_what_belongs_to_a_key() {
+fn one_host_of_each_zone_keeps_the_counts_of_a_key() {
     let start = Instant::now();
     let others: Vec<(String, &str)> = (1..60)
         .map(|number| (format!("h{number}"), ["n-a", "n-b", "s-a"][number % 3]))
@@ -766,7 +783,9 @@
     let others: Vec<(&str, &str)> = others.iter().map(|(host, zone)| (&**host, *zone)).collect();
     let presence = presence(start, &others);
     let zone = |place: &SocketAddr| {
-        let other = others.iter().find(|(host, _)| self::place(host) == *place);
+        let other = others
+            .iter()
+            .find(|(host, _)| self::address_of(host) == *place);
         other.unwrap().1
     };
     let mut all = BTreeSet::new();
@@ -774,7 +793,7 @@
         let counters = presence.counting_hosts(start, key);
         let zones: BTreeSet<&str> = counters.iter().map(zone).collect();
         assert_eq!(zones.len(), counters.len());
-        // The own zone's may be this host itself.
+        // The counting host of the own zone may be this host itself.
         assert!(zones.contains("n-b") && zones.contains("s-a"));
         assert_eq!(counters, presence.counting_hosts(start, key));
         all.extend(counters);
@@ -787,20 +806,22 @@
     megabits: 20.0,
 };
 
-/// A weak host that has just started in zone `n-a`, and has heard of a strong one with each of these sights.
+/// A weak host that has just started in zone `n-a` and has heard a strong host in each of these
+/// zones with this store view.
 fn newcomer(now: Instant, others: &[(&str, StoreView)]) -> Presence {
     let own = Record {
         strength: WEAK,
         ..record("own", "n-a", 1)
     };
     let mut presence = Presence::new(now, own, regions());
-    for (index, (zone, sight)) in others.iter().enumerate() {
-        presence.receive_heartbeat(now, beat(record(&format!("h{index}"), zone, 1), *sight));
+    for (index, (zone, view)) in others.iter().enumerate() {
+        presence.receive_heartbeat(now, heartbeat(record(&format!("h{index}"), zone, 1), *view));
     }
     presence
 }
 
-/// The host that a weak one follows for its first copy some time after its start, and whether it still waits for one.
+/// The host that a weak host follows for its first copy some time after its start, and whether it
+/// still waits for one.
 macro_rules! first_copies {
     ($($name:ident: $others:expr, $seconds:expr => $followed:expr, $waits:expr;)*) => {$(
         #[test]
@@ -819,29 +840,30 @@
 
 first_copies! {
     a_copy_comes_from_the_own_region: [("s-a", StoreView::Store), ("n-b", StoreView::Relayed)], 0 => Some("h1"), true;
-    another_region_has_it_first: [("s-a", StoreView::Store), ("n-b", StoreView::Nothing)], 0 => None, true;
-    the_own_region_takes_too_long: [("s-a", StoreView::Store), ("n-b", StoreView::Nothing)], 4 => Some("h0"), false;
-    the_own_region_has_no_strong_host: [("s-a", StoreView::Store)], 0 => Some("h0"), false;
+    a_copy_in_another_region_is_not_taken_at_first: [("s-a", StoreView::Store), ("n-b", StoreView::Nothing)], 0 => None, true;
+    another_region_is_followed_if_the_own_takes_too_long: [("s-a", StoreView::Store), ("n-b", StoreView::Nothing)], 4 => Some("h0"), false;
+    another_region_is_followed_if_the_own_has_no_strong_host: [("s-a", StoreView::Store)], 0 => Some("h0"), false;
 }
 
 #[test]
-fn weak_hosts_leave_the_watching_to_strong_ones_that_take_long() {
+fn weak_hosts_wait_for_strong_ones_before_they_watch() {
     let start = Instant::now();
     for (seconds, watches) in [(3, false), (5, true)] {
         let now = start + Duration::from_secs(seconds);
         let mut presence = newcomer(start, &[("n-b", StoreView::Nothing)]);
-        presence.receive_heartbeat(now, beat(record("h0", "n-b", 1), StoreView::Nothing));
+        presence.receive_heartbeat(now, heartbeat(record("h0", "n-b", 1), StoreView::Nothing));
         assert_eq!(presence.is_watcher(now), watches, "after {seconds} s");
     }
 }
 
-/// Where hosts of two regions, `hosts` in each, tell that they follow another one now, all together.
-fn told_of_followers(hosts: usize) -> usize {
+/// The total number of announcements when hosts of two regions, `hosts` in each, all become
+/// followers.
+fn announcements_of_followers(hosts: usize) -> usize {
     let now = Instant::now();
     let zones = ["n-a", "s-a"];
     let host = |index: usize| record(&format!("h{index}"), zones[index % 2], 1);
     let all = 0..2 * hosts;
-    let told = all.clone().map(|own| {
+    let announced = all.clone().map(|own| {
         let mut presence = Presence::new(now, host(own), regions());
         for index in all.clone() {
             presence.register(now, host(index));
@@ -849,17 +871,17 @@
         presence.set_store_view(StoreView::Relayed);
         presence.store_view_recipients(StoreView::Nothing).len()
     });
-    told.sum()
+    announced.sum()
 }
 
 #[test]
-fn followers_tell_no_other_region_of_it() {
-    let told = [15, 60].map(told_of_followers);
+fn followers_announce_nothing_to_other_regions() {
+    let told = [15, 60].map(announcements_of_followers);
     assert_eq!(told, [15, 60].map(|hosts| 2 * hosts * (hosts - 1)));
 }
 
 #[test]
-fn all_are_told_of_a_watcher() {
+fn a_watcher_is_announced_to_all_hosts() {
     let now = Instant::now();
     let mut presence = presence(now, &[("h1", "n-b"), ("h2", "s-a")]);
     assert_eq!(presence.store_view_recipients(StoreView::Relayed).len(), 2);
@@ -868,8 +890,9 @@
     assert_eq!(presence.store_view_recipients(StoreView::Relayed).len(), 1);
 }
 
-/// Heartbeats that all hosts of a region of two availability zones send to the other zone in `ROUNDS` rounds.
-fn beats_across(hosts: usize) -> usize {
+/// The heartbeats that all hosts of a region with two availability zones send to the other zone in
+/// `ROUNDS` rounds.
+fn heartbeats_between_zones(hosts: usize) -> usize {
     const ROUNDS: usize = 12;
     let now = Instant::now();
     let zones = ["n-a", "n-b"];
@@ -895,13 +918,14 @@
 
 #[test]
 fn heartbeats_between_zones_grow_with_hosts_and_not_with_their_square() {
-    let [few, many] = [200, 800].map(beats_across);
+    let [few, many] = [200, 800].map(heartbeats_between_zones);
     let growth = many as f64 / few as f64;
     assert!(growth < 4.0 * 1.5, "{growth} times as many");
 }
 
-/// The hosts that are up, of those of another zone of a large region, when some of that zone went silent at once.
-fn up_after(silent: usize, silence: Duration) -> usize {
+/// The number of live hosts of another zone in a large region, after some of that zone became
+/// silent at once.
+fn live_hosts_after(silent: usize, silence: Duration) -> usize {
     const OTHERS: usize = 200;
     let start = Instant::now();
     let mut presence = presence(start, &[]);
@@ -909,24 +933,27 @@
         .map(|index| record(&format!("o{index:03}"), "n-b", 1))
         .collect();
     for other in &others {
-        presence.receive_heartbeat(start, beat(other.clone(), StoreView::Relayed));
+        presence.receive_heartbeat(start, heartbeat(other.clone(), StoreView::Relayed));
     }
     for other in &others[silent..] {
-        presence.receive_heartbeat(start + silence, beat(other.clone(), StoreView::Relayed));
+        presence.receive_heartbeat(
+            start + silence,
+            heartbeat(other.clone(), StoreView::Relayed),
+        );
     }
     presence.alive(start + silence).count() - 1
 }
 
 #[test]
 fn a_large_zone_that_falls_silent_is_lost_in_time() {
-    assert_eq!(up_after(200, INTERVAL * 3), 200);
-    assert_eq!(up_after(200, INTERVAL * 4), 0);
+    assert_eq!(live_hosts_after(200, INTERVAL * 3), 200);
+    assert_eq!(live_hosts_after(200, INTERVAL * 4), 0);
 }
 
 #[test]
 fn hosts_of_another_large_zone_may_be_heard_seldom() {
-    assert_eq!(up_after(100, INTERVAL * 4), 200);
-    assert_eq!(up_after(100, INTERVAL * 12), 100);
+    assert_eq!(live_hosts_after(100, INTERVAL * 4), 200);
+    assert_eq!(live_hosts_after(100, INTERVAL * 12), 100);
 }
 
 #[test]
@@ -949,7 +976,7 @@
 #[test]
 fn a_host_follows_another_region_before_it_watches_the_store() {
     let now = Instant::now();
-    // To connect, to open a feed, to tell what is known and to be told what is new.
+    // To connect, open a feed, send the known revisions and receive the changes.
     let to_follow = Duration::from_millis(110) * 4;
     let mut presence = presence(now, &[("h1", "s-a")]);
     presence.set_store_view(StoreView::Stale);
@@ -957,6 +984,6 @@
         presence.watch_delay(now) < to_follow,
         "nobody sees the store"
     );
-    presence.receive_heartbeat(now, beat(record("h1", "s-a", 1), StoreView::Store));
+    presence.receive_heartbeat(now, heartbeat(record("h1", "s-a", 1), StoreView::Store));
     assert!(presence.watch_delay(now) >= to_follow * 2);
 }
--- a/tests/proof.rs
+++ b/tests/proof.rs
@@ -1,4 +1,5 @@
-//! A withdrawn key is used at no host after its time, whatever that host hears; replayed in virtual time.
+//! No host may use a withdrawn key after its term, whatever messages it receives. Simulated in
+//! virtual time.
 
 #![allow(clippy::unwrap_used)]
 
@@ -14,34 +15,34 @@
     Duration::from_millis(count)
 }
 
-/// A host's clocks: the steady one stands still while the machine sleeps.
+/// A host's clocks. The steady clock stands still while the machine sleeps.
 #[derive(Clone, Copy)]
 struct Clock {
     steady: Instant,
-    awake: Duration,
+    since_boot: Duration,
 }
 
 impl Clock {
     fn moment(self) -> Moment {
-        Moment::new(self.steady, self.awake)
+        Moment::new(self.steady, self.since_boot)
     }
 
-    fn pass(&mut self, span: Duration, sleeps: bool) {
-        self.awake += span;
+    fn advance(&mut self, span: Duration, sleeps: bool) {
+        self.since_boot += span;
         if !sleeps {
             self.steady += span;
         }
     }
 }
 
-/// A question on its way.
-struct Question {
+/// A request in transit.
+struct Request {
     from: usize,
-    /// To whom: another host, or the store.
+    /// The receiver: another host, or the store if none.
     to: Option<usize>,
     asked: Moment,
     arrives: u64,
-    /// Once answered: when that arrives, its age and the version that it tells.
+    /// Once answered: when the answer arrives, its age and the version that it reports.
     answer: Option<(u64, Duration, u64)>,
 }
 
@@ -51,28 +52,30 @@
     version: u64,
     asleep_until: u64,
     cut_until: u64,
-    asks: bool,
+    is_waiting: bool,
 }
 
-/// How a host takes in what another one tells.
+/// How a host processes the age that another host reports.
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
-    /// The age counts from the own question, and only with the version that it is of.
-    Asked,
-    /// It counts from the answer's arrival.
-    Arrived,
-    /// The version is not looked at.
+enum AgeRule {
+    /// Correct: the age counts from the host's own request, and is used only if the host has that
+    /// version.
+    SinceAsked,
+    /// Faulty: the age counts from the arrival of the answer.
+    SinceArrival,
+    /// Faulty: the version is not checked.
     AnyVersion,
 }
 
-/// Plays random cuts, sleeps and changes; gives how many requests ran by an old version later than they may.
-fn late(seed: u64, way: Way) -> u32 {
+/// Simulates random cuts, sleeps and changes. Returns how many requests ran with an old version
+/// after its term.
+fn late_requests(seed: u64, rule: AgeRule) -> u32 {
     const STEP: u64 = 20;
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let count = rng.random_range(3..12);
     let clock = Clock {
         steady: Instant::now(),
-        awake: Duration::ZERO,
+        since_boot: Duration::ZERO,
     };
     let mut hosts: Vec<Host> = (0..count)
         .map(|_| Host {
@@ -81,12 +84,12 @@
             version: 0,
             asleep_until: 0,
             cut_until: 0,
-            asks: false,
+            is_waiting: false,
         })
         .collect();
     let mut changes = vec![0];
-    let mut questions: Vec<Question> = Vec::new();
-    let mut late = 0;
+    let mut requests: Vec<Request> = Vec::new();
+    let mut late_requests = 0;
     for now in (0..20_000).step_by(STEP as usize) {
         if rng.random_bool(0.01) {
             changes.push(now);
@@ -94,7 +97,7 @@
         let newest = changes.len() as u64 - 1;
         for host in &mut hosts {
             let sleeps = host.asleep_until > now;
-            host.clock.pass(ms(STEP), sleeps);
+            host.clock.advance(ms(STEP), sleeps);
             if rng.random_bool(0.002) {
                 host.asleep_until = now + rng.random_range(500..8_000);
             }
@@ -102,7 +105,8 @@
                 host.cut_until = now + rng.random_range(500..9_000);
             }
         }
-        // The first two hosts ask the store, the others one of these; a watch's news comes some time.
+        // The first two hosts send requests to the store, the others to one of these two. News from
+        // a watch arrives after some time.
         for (from, host) in hosts.iter_mut().enumerate() {
             if host.asleep_until > now || host.cut_until > now {
                 continue;
@@ -110,10 +114,10 @@
             if from < 2 && rng.random_bool(0.1) {
                 host.version = newest;
             }
-            if !host.asks && rng.random_bool(0.02) {
-                host.asks = true;
+            if !host.is_waiting && rng.random_bool(0.02) {
+                host.is_waiting = true;
                 let to = (from >= 2).then(|| rng.random_range(0..2));
-                questions.push(Question {
+                requests.push(Request {
                     from,
                     to,
                     asked: host.clock.moment(),
@@ -122,82 +126,85 @@
                 });
             }
         }
-        for question in &mut questions {
+        for request in &mut requests {
             let back = now + rng.random_range(1..3_000);
-            match question.to {
-                _ if question.answer.is_some() || question.arrives > now => {}
-                None => question.answer = Some((back, Duration::ZERO, newest)),
+            match request.to {
+                _ if request.answer.is_some() || request.arrives > now => {}
+                None => request.answer = Some((back, Duration::ZERO, newest)),
                 Some(to) if hosts[to].asleep_until <= now => {
                     let age = hosts[to].proof.age(hosts[to].clock.moment());
-                    question.answer = age.map(|age| (back, age, hosts[to].version));
-                    if question.answer.is_none() {
-                        question.answer = Some((back, TERM * 9, 0));
+                    request.answer = age.map(|age| (back, age, hosts[to].version));
+                    if request.answer.is_none() {
+                        request.answer = Some((back, TERM * 9, 0));
                     }
                 }
                 Some(_) => {}
             }
         }
-        questions.retain(|question| {
-            let Some((_, age, version)) = question.answer.filter(|(at, ..)| *at <= now) else {
+        requests.retain(|request| {
+            let Some((_, age, version)) = request.answer.filter(|(at, ..)| *at <= now) else {
                 return true;
             };
-            let host = &mut hosts[question.from];
+            let host = &mut hosts[request.from];
             if host.asleep_until > now || host.cut_until > now {
                 return true;
             }
-            host.asks = false;
-            if question.to.is_none() {
+            host.is_waiting = false;
+            if request.to.is_none() {
                 host.version = host.version.max(version);
             } else if rng.random_bool(0.7) {
-                // Updates mostly come before.
+                // Updates mostly arrive before the answer.
                 host.version = host.version.max(version);
             }
             let now = host.clock.moment();
-            let asked = if way == Way::Arrived {
+            let asked = if rule == AgeRule::SinceArrival {
                 now
             } else {
-                question.asked
+                request.asked
             };
-            if host.version >= version || way == Way::AnyVersion {
+            if host.version >= version || rule == AgeRule::AnyVersion {
                 host.proof.record(now, asked, age);
             }
             false
         });
-        // A caller sends now, with a key that the version after the host's own withdrew.
+        // A caller sends a request now, with a key that the version following the host's own has
+        // withdrawn.
         for host in &hosts {
             let runs =
                 host.asleep_until <= now && host.proof.is_younger_than(host.clock.moment(), TERM);
             let withdrawn = changes.get(host.version as usize + 1);
-            late +=
+            late_requests +=
                 u32::from(runs && withdrawn.is_some_and(|at| now > at + TERM.as_millis() as u64));
         }
     }
-    late
+    late_requests
 }
 
 const HISTORIES: std::ops::Range<u64> = 0..1000;
 
 #[test]
-fn no_history_uses_a_key_too_late() {
+fn no_withdrawn_key_is_used_too_late() {
     for seed in HISTORIES {
-        assert_eq!(late(seed, Way::Asked), 0, "seed {seed}");
+        assert_eq!(late_requests(seed, AgeRule::SinceAsked), 0, "seed {seed}");
     }
 }
 
 #[test]
-fn an_age_counted_from_its_arrival_is_found_out() {
-    assert!(HISTORIES.clone().any(|seed| late(seed, Way::Arrived) > 0));
+fn counting_an_age_from_its_arrival_uses_keys_too_late() {
+    assert!(HISTORIES
+        .clone()
+        .any(|seed| late_requests(seed, AgeRule::SinceArrival) > 0));
 }
 
 #[test]
-fn a_proof_of_another_version_is_found_out() {
+fn a_proof_of_another_version_uses_keys_too_late() {
     assert!(HISTORIES
         .clone()
-        .any(|seed| late(seed, Way::AnyVersion) > 0));
+        .any(|seed| late_requests(seed, AgeRule::AnyVersion) > 0));
 }
 
 #[test]
-fn sleep_counts() {
+fn time_asleep_counts() {
     let steady = Instant::now();
     let before = Moment::new(steady, ms(1_000));
     let mut proof = Proof::new();
