--- a/tests/replica.rs
+++ b/tests/replica.rs
@@ -1,4 +1,4 @@
-//! A host's copy of the store.
+//! Tests of a host's copy of the store.
 
 #![allow(clippy::unwrap_used)]
 
@@ -44,8 +44,8 @@
     }
 }
 
-/// Names that changed, with a minus before those that were removed; "old" or "gap" else.
-fn told(effect: &Effect) -> String {
+/// The changed names, with a minus in front of removed ones, or "old" or "gap".
+fn summary(effect: &Effect) -> String {
     match effect {
         Effect::Old => "old".into(),
         Effect::Gap => "gap".into(),
@@ -59,22 +59,22 @@
     }
 }
 
-/// A copy that holds `a` and `b` at revision 10 takes one more update.
-macro_rules! takes {
-    ($($name:ident: $update:expr => $told:expr, $revision:expr;)*) => {$(
+/// A copy that contains `a` and `b` at revision 10 receives one more update.
+macro_rules! applies {
+    ($($name:ident: $update:expr => $summary:expr, $revision:expr;)*) => {$(
         #[test]
         fn $name() {
             let now = Instant::now();
             let mut replica = Replica::new();
             let first = update(None, 10, vec![target("a", 3, 0), target("b", 9, 0)]);
-            assert_eq!(told(&replica.apply(now, first)), "a b");
-            assert_eq!(told(&replica.apply(now, $update)), $told);
+            assert_eq!(summary(&replica.apply(now, first)), "a b");
+            assert_eq!(summary(&replica.apply(now, $update)), $summary);
             assert_eq!(replica.revision(Kind::Targets), Some($revision));
         }
     )*};
 }
 
-takes! {
+applies! {
     a_change: update(Some(10), 12, vec![target("a", 12, 0)]) => "a", 12;
     a_removal: update(Some(10), 12, vec![gone("a", 12)]) => "-a", 12;
     a_removal_of_what_is_unknown: update(Some(10), 12, vec![gone("x", 12)]) => "", 12;
@@ -82,10 +82,10 @@
     a_gap: update(Some(11), 12, vec![target("a", 12, 0)]) => "gap", 10;
     an_old_change: update(Some(4), 9, vec![target("a", 8, 0)]) => "old", 10;
     a_change_that_overlaps: update(Some(4), 12, vec![target("a", 2, 0), target("c", 12, 0)]) => "c", 12;
-    an_old_whole: update(None, 9, vec![]) => "old", 10;
-    a_whole_with_less: update(None, 12, vec![target("b", 9, 0)]) => "-a", 12;
-    a_whole_with_more: update(None, 12, vec![target("a", 3, 0), target("b", 9, 0), target("c", 11, 0)]) => "c", 12;
-    the_same_whole_again: update(None, 10, vec![target("a", 3, 0), target("b", 9, 0)]) => "old", 10;
+    an_old_snapshot: update(None, 9, vec![]) => "old", 10;
+    a_snapshot_with_less: update(None, 12, vec![target("b", 9, 0)]) => "-a", 12;
+    a_snapshot_with_more: update(None, 12, vec![target("a", 3, 0), target("b", 9, 0), target("c", 11, 0)]) => "c", 12;
+    the_same_snapshot_again: update(None, 10, vec![target("a", 3, 0), target("b", 9, 0)]) => "old", 10;
 }
 
 #[test]
@@ -96,31 +96,31 @@
 }
 
 #[test]
-fn a_copy_is_passed_on_with_the_time_that_is_left() {
+fn a_snapshot_contains_the_remaining_cold_time() {
     let now = Instant::now();
     let mut replica = Replica::new();
     replica.apply(now, update(None, 10, vec![target("a", 3, 2500)]));
     let later = now + Duration::from_secs(1);
-    let whole = replica
+    let snapshot = replica
         .snapshot(later, Kind::Targets, Outage::None)
         .unwrap();
-    assert_eq!(whole.entries, vec![target("a", 3, 1500)]);
-    assert_eq!(whole.from, None);
-    assert_eq!(whole.to, 10);
+    assert_eq!(snapshot.entries, vec![target("a", 3, 1500)]);
+    assert_eq!(snapshot.from, None);
+    assert_eq!(snapshot.to, 10);
     let mut other = Replica::new();
-    assert_eq!(told(&other.apply(later, whole)), "a");
+    assert_eq!(summary(&other.apply(later, snapshot)), "a");
 }
 
 #[test]
-fn hosts_that_follow_each_other_fall_silent() {
+fn hosts_that_follow_each_other_stop_sending_updates() {
     let now = Instant::now();
     let (mut one, mut other) = (Replica::new(), Replica::new());
     one.apply(now, update(None, 10, vec![target("a", 3, 0)]));
-    let mut told = 0;
+    let mut sent = 0;
     let mut next = one.snapshot(now, Kind::Targets, Outage::None);
     while let Some(update) = next.take() {
-        told += 1;
-        assert!(told < 5, "they go on for ever");
+        sent += 1;
+        assert!(sent < 5, "they go on for ever");
         std::mem::swap(&mut one, &mut other);
         if let Effect::Changed(_) = one.apply(now, update) {
             next = one.snapshot(now, Kind::Targets, Outage::None);
@@ -139,8 +139,8 @@
     replica
 }
 
-/// What a follower is told that missed ten changes and two removals, by the number of targets.
-fn told_after_absence(count: usize) -> usize {
+/// The number of entries sent to a follower that missed ten changes and two removals.
+fn entries_after_absence(count: usize) -> usize {
     let now = Instant::now();
     let revision = count as u64;
     let (mut watcher, mut follower) = (copy(count), copy(count));
@@ -154,23 +154,23 @@
     let difference = watcher
         .changes_since(now, Kind::Targets, revision, Outage::None)
         .unwrap();
-    let told = difference.entries.len();
+    let count_sent = difference.entries.len();
     follower.apply(now, difference);
     assert_eq!(
         follower.digest(Kind::Targets),
         watcher.digest(Kind::Targets)
     );
     assert_eq!(follower.revision(Kind::Targets), Some(revision + 12));
-    told
+    count_sent
 }
 
 #[test]
-fn a_follower_is_told_what_it_missed_however_many_targets_there_are() {
-    assert_eq!([500, 2000].map(told_after_absence), [12, 12]);
+fn a_follower_receives_only_missed_changes_for_any_number_of_targets() {
+    assert_eq!([500, 2000].map(entries_after_absence), [12, 12]);
 }
 
 #[test]
-fn a_target_that_was_removed_and_came_back_is_there() {
+fn a_target_that_was_removed_and_created_again_is_kept() {
     let now = Instant::now();
     let (mut watcher, mut follower) = (copy(3), copy(3));
     watcher.apply(now, update(Some(3), 4, vec![gone("t00001", 4)]));
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_removal_that_nobody_knows_of_shows_in_the_digest() {
+fn a_removal_that_is_no_longer_kept_shows_in_the_digest() {
     let now = Instant::now();
     let mut watcher = Replica::new();
     watcher.apply(now, update(None, 9, vec![target("a", 3, 0)]));
@@ -217,10 +217,11 @@
     );
 }
 
-/// How an update tells of an outage: as hosts of earlier versions do, which know a truth value alone.
+/// Hosts of earlier versions read only a boolean, so each outage must be encoded as an optional
+/// boolean.
 #[test]
-fn outages_are_told_as_earlier_versions_do() {
-    for (outage, told) in [
+fn outages_are_encoded_as_in_earlier_versions() {
+    for (outage, encoded) in [
         (Outage::None, Some(false)),
         (Outage::Long, Some(true)),
         (Outage::Brief, None::<bool>),
@@ -228,7 +229,7 @@
         let mut bytes = Vec::new();
         ciborium::into_writer(&outage, &mut bytes).unwrap();
         let read: Option<bool> = ciborium::from_reader(&bytes[..]).unwrap();
-        assert_eq!(read, told);
+        assert_eq!(read, encoded);
         let back: Outage = ciborium::from_reader(&bytes[..]).unwrap();
         assert_eq!(back, outage);
     }
--- a/tests/working.rs
+++ b/tests/working.rs
@@ -1,4 +1,5 @@
-//! How many hosts of an availability zone get its callers, and by how much each.
+//! Tests of the selection of active hosts: how many hosts of an availability zone receive its
+//! callers.
 
 #![allow(clippy::unwrap_used)]
 
@@ -17,7 +18,7 @@
     megabits: 20.0,
 };
 
-/// Some strong and some weak hosts that together get `load` requests a second.
+/// Strong and weak hosts that together receive `load` requests a second.
 fn candidates(strong: usize, weak: usize, load: f64) -> Vec<Candidate> {
     let all = strong + weak;
     let one = |index: usize| Candidate {
@@ -29,7 +30,7 @@
     (0..all).map(one).collect()
 }
 
-/// How many strong and how many weak hosts are in use.
+/// Checks how many strong and how many weak hosts are active.
 macro_rules! used {
     ($($name:ident: $strong:expr, $weak:expr, $load:expr => $used_strong:expr, $used_weak:expr;)*) => {$(
         #[test]
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn those_in_use_carry_the_load_with_ease() {
+fn active_hosts_carry_the_load_comfortably() {
     for load in [100.0, 540.0, 900.0, 1_500.0, 2_500.0] {
         let used = active_hosts(candidates(3, 30, load));
         let carried: f64 = used.iter().map(|one| comfortable_rate(one.strength)).sum();
