--- a/src/host/answer.rs
+++ b/src/host/answer.rs
@@ -44,7 +44,7 @@
     retry_after: Duration,
 ) -> Response<Body> {
     let mut response = plain_text(status, text);
-    (host.platform.wire.come_back)(response.headers_mut(), retry_after);
+    (host.platform.wire.add_retry_after)(response.headers_mut(), retry_after);
     response
 }
 
--- a/src/host/core.rs
+++ b/src/host/core.rs
@@ -10,8 +10,8 @@
 
 use super::log::{self, Event};
 use crate::account::ConfigFreshness;
-use crate::control::presence::{self, Naming, Presence, Record, Sight};
-use crate::control::proof::{Moment, Proof, CAUTION};
+use crate::control::presence::{self, LookupFilter, Presence, Record, StoreView};
+use crate::control::proof::{Moment, Proof, RENEWAL_FRACTION};
 use crate::control::replica::{Effect, Outage, Replica, Update};
 use crate::inventory::{Config, Registration, Route, RouteTable, State};
 use crate::port::{Bounds, Entry, Kind, Settings, Value};
@@ -25,7 +25,7 @@
 
 /// Silence after which another host certainly serves no callers any more, if no withdrawal time is
 /// configured after which it refuses keys: its registration is removed by then.
-const DEFAULT_GONE_AFTER: Duration = presence::FORGET;
+const DEFAULT_GONE_AFTER: Duration = presence::REMOVAL_SILENCE;
 
 /// The state of a host.
 pub(crate) struct Core {
@@ -98,10 +98,10 @@
                 .with_heartbeat(settings.bounds.heartbeat)
                 .with_few_watchers(settings.switches.few_watchers)
                 .with_few_hosts(settings.switches.few_hosts)
-                .with_naming(if max_proof_age.is_some() {
-                    Naming::Informed
+                .with_lookup_filter(if max_proof_age.is_some() {
+                    LookupFilter::Informed
                 } else {
-                    Naming::All
+                    LookupFilter::All
                 }),
             rng: Pcg64Mcg::seed_from_u64(seed),
             registered_version: None,
@@ -184,15 +184,18 @@
         let Some(max_age) = self.max_proof_age else {
             return true;
         };
-        self.proof.holds(moment, max_age.mul_f64(CAUTION))
+        self.proof
+            .is_younger_than(moment, max_age.mul_f64(RENEWAL_FRACTION))
     }
 
     /// How current the configuration is known to be.
     pub(crate) fn knowledge(&self, moment: Moment) -> ConfigFreshness {
         match self.max_proof_age {
-            Some(max_age) if self.proof.holds(moment, max_age) => ConfigFreshness::Current,
+            Some(max_age) if self.proof.is_younger_than(moment, max_age) => {
+                ConfigFreshness::Current
+            }
             Some(_) => ConfigFreshness::Expired,
-            None if self.presence.sight() >= Sight::Relayed => ConfigFreshness::Current,
+            None if self.presence.store_view() >= StoreView::Relayed => ConfigFreshness::Current,
             None => ConfigFreshness::Stale,
         }
     }
@@ -248,14 +251,14 @@
             .map(|peer| peer.host.clone())
             .collect();
         for peer in missing {
-            self.presence.withdraw(now, &peer);
+            self.presence.unregister(now, &peer);
         }
         for entry in entries {
             if let Some(Value::Host(record)) = entry.value {
                 self.presence.register(now, *record);
             }
         }
-        self.presence.list();
+        self.presence.mark_listed();
         self.update_host_counts(now);
     }
 
@@ -264,7 +267,7 @@
         for record in records {
             self.presence.register(now, record);
         }
-        self.presence.list();
+        self.presence.mark_listed();
         self.update_host_counts(now);
     }
 
@@ -285,7 +288,7 @@
             (record.host.clone(), region.clone())
         });
         self.fleet.set_live_hosts(hosts.collect());
-        self.fleet.set_caller_share(self.presence.share(now));
+        self.fleet.set_caller_share(self.presence.caller_share(now));
         if let Some(ledger) = &mut self.ledger {
             let peers = self.presence.peers();
             let same_region = peers.filter(|peer| self.presence.is_near(peer));
--- a/src/host/datagram.rs
+++ b/src/host/datagram.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
 
-use crate::control::presence::{Beat, Pulse, Sight, INTERVAL};
+use crate::control::presence::{Heartbeat, Pulse, StoreView, INTERVAL};
 use crate::steer::allowance::{AccountUsage, Reporter};
 use crate::steer::quarantine::Notice;
 use crate::steer::throttle::{Claim, Grant, RateUpdate};
@@ -35,7 +35,7 @@
 enum Datagram {
     /// A heartbeat with the sender's record.
     #[serde(rename = "b")]
-    Beat(Beat),
+    Beat(Heartbeat),
     /// A heartbeat without the sender's record.
     #[serde(rename = "p")]
     Pulse(Pulse),
@@ -118,7 +118,10 @@
         let (peers, pulse) = {
             let mut core = host.core.borrow_mut();
             core.tick(now());
-            (core.presence.next_beat(now()), core.presence.pulse(now()))
+            (
+                core.presence.next_heartbeat_recipients(now()),
+                core.presence.pulse(now()),
+            )
         };
         send(&host, &Datagram::Pulse(pulse), &peers).await;
     }
@@ -177,7 +180,7 @@
 fn apply_tallies(host: &Host, sender: SocketAddr, batch: &Tallies) {
     let Tallies(incarnation, age_ms, to_all, tallies) = batch;
     let core = &mut *host.core.borrow_mut();
-    let (Some(ledger), Some(peer)) = (&mut core.ledger, core.presence.at(sender)) else {
+    let (Some(ledger), Some(peer)) = (&mut core.ledger, core.presence.peer_at(sender)) else {
         return;
     };
     let teller = Reporter {
@@ -197,10 +200,13 @@
 
 /// Sends this host's changed view of the store, which was `before` until now, to the hosts that
 /// depend on it.
-pub(crate) async fn send_sight(host: &Host, before: Sight) {
+pub(crate) async fn send_sight(host: &Host, before: StoreView) {
     let (peers, pulse) = {
         let presence = &mut host.core.borrow_mut().presence;
-        (presence.concerned(before), presence.pulse(now()))
+        (
+            presence.store_view_recipients(before),
+            presence.pulse(now()),
+        )
     };
     send(host, &Datagram::Pulse(pulse), &peers).await;
 }
@@ -251,7 +257,7 @@
 }
 
 async fn send_beat(host: &Host, peers: &[SocketAddr]) {
-    let beat = host.core.borrow_mut().presence.beat(now());
+    let beat = host.core.borrow_mut().presence.heartbeat(now());
     send(host, &Datagram::Beat(beat), peers).await;
 }
 
@@ -284,7 +290,11 @@
         match ciborium::from_reader(&bytes[..length]) {
             Ok(Datagram::Beat(beat)) => receive_beat(&host, beat).await,
             Ok(Datagram::Pulse(pulse)) => {
-                let is_known = host.core.borrow_mut().presence.feel(now(), sender, pulse);
+                let is_known = host
+                    .core
+                    .borrow_mut()
+                    .presence
+                    .receive_pulse(now(), sender, pulse);
                 if !is_known {
                     send(&host, &Datagram::Ask, &[sender]).await;
                 }
@@ -306,9 +316,13 @@
     }
 }
 
-async fn receive_beat(host: &Host, received: Beat) {
+async fn receive_beat(host: &Host, received: Heartbeat) {
     let peer = received.record.peers;
-    let is_new = host.core.borrow_mut().presence.hear(now(), received);
+    let is_new = host
+        .core
+        .borrow_mut()
+        .presence
+        .receive_heartbeat(now(), received);
     if is_new {
         // A newly started host waits for heartbeats from the others.
         send_beat(host, &[peer]).await;
--- a/src/host/feed.rs
+++ b/src/host/feed.rs
@@ -15,10 +15,19 @@
 use tokio_tungstenite::tungstenite::{self, Bytes, Message as Packet};
 use tokio_tungstenite::WebSocketStream;
 
+use super::client;
+use super::datagram;
 use super::log::Event;
-use super::snapshot::{self, FullCopy};
-use super::{client, datagram, now, proof, serve, Error, Gap, Host};
-use crate::control::presence::{Record, Sight};
+use super::now;
+use super::proof;
+use super::serve;
+use super::snapshot;
+use super::snapshot::FullCopy;
+use super::Error;
+use super::Gap;
+use super::Host;
+use crate::control::presence::Record;
+use crate::control::presence::StoreView;
 use crate::control::replica::Update;
 use crate::port::{Entry, Kind};
 
@@ -47,7 +56,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum Message {
     /// The sender's view of the store.
-    Sight(Sight),
+    Sight(StoreView),
     /// The first message of a follower: the revision that it has of each kind.
     Known(Vec<(Kind, u64)>),
     /// Objects that belong to the update that follows.
@@ -152,7 +161,7 @@
 
 /// Sends this host's view of the store to all followers.
 pub(crate) fn publish_sight(host: &Host) {
-    let sight = host.core.borrow().presence.sight();
+    let sight = host.core.borrow().presence.store_view();
     host.followers.borrow_mut().send(&Message::Sight(sight));
 }
 
@@ -211,7 +220,7 @@
             socket.send(Packet::Binary(bytes.clone())).await?;
         }
     }
-    let sight = host.core.borrow().presence.sight();
+    let sight = host.core.borrow().presence.store_view();
     let bytes = encode(&Message::Sight(sight));
     socket.send(Packet::Binary(bytes)).await?;
     loop {
@@ -331,7 +340,7 @@
         match ciborium::from_reader(&bytes[..])? {
             Message::Sight(sight) => {
                 host.source_sight.set(Some(sight));
-                if sight == Sight::Store {
+                if sight == StoreView::Store {
                     // Any earlier change would have arrived before this message.
                     let confirmed_at = &mut host.core.borrow_mut().confirmed_at;
                     confirmed_at.extend(SYNCED_KINDS.map(|kind| (kind, now())));
--- a/src/host/front.rs
+++ b/src/host/front.rs
@@ -34,7 +34,7 @@
 
 async fn handle_request(host: &Rc<Host>, request: Request<Incoming>) -> Response<Body> {
     let started_at = now();
-    host.core.borrow_mut().presence.count(started_at);
+    host.core.borrow_mut().presence.count_request(started_at);
     let (parts, incoming) = request.into_parts();
     startup::wait_for_copy(host).await;
     let limits = host.core.borrow().table.limits();
--- a/src/host/lookup.rs
+++ b/src/host/lookup.rs
@@ -8,7 +8,7 @@
 
 use super::body::{full, Body};
 use super::{answer, now, serve, Error, Host};
-use crate::control::presence::Sight;
+use crate::control::presence::StoreView;
 
 /// Time-to-live of a look-up answer. Some callers keep it three times as long, and a host that is
 /// shutting down serves requests until then, so it must be well under a third of the shutdown grace
@@ -33,7 +33,7 @@
     match (lookup.question)(request.uri()) {
         Some(question) => {
             let core = host.core.borrow();
-            let hosts = core.presence.named(
+            let hosts = core.presence.lookup_hosts(
                 now(),
                 &question,
                 serve::caller_address(request.extensions()),
@@ -47,7 +47,7 @@
 
 fn readiness(host: &Host) -> Response<Body> {
     // Requires targets and evacuations as well: without them the host could only refuse requests.
-    let has_view = host.core.borrow().presence.sight() > Sight::Nothing;
+    let has_view = host.core.borrow().presence.store_view() > StoreView::Nothing;
     if has_view && !host.shutdown.is_leaving() {
         answer::plain_text(StatusCode::OK, "ready\n")
     } else {
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -47,7 +47,7 @@
 use tokio::net::UdpSocket;
 use tokio::task::LocalSet;
 
-use crate::control::presence::Sight;
+use crate::control::presence::StoreView;
 use crate::control::replica::{Effect, Update};
 use crate::entry::metrics::Metrics;
 use crate::port::{Platform, Settings};
@@ -69,7 +69,7 @@
     peer_socket: RefCell<Option<Rc<UdpSocket>>>,
     followers: RefCell<feed::Followers>,
     /// Sight of the store of the host that this one follows.
-    source_sight: Cell<Option<Sight>>,
+    source_sight: Cell<Option<StoreView>>,
     watch_state: watcher::WatchState,
     startup: startup::Startup,
     /// Whether the host has registered, or has tried to.
--- a/src/host/proof.rs
+++ b/src/host/proof.rs
@@ -12,7 +12,7 @@
 
 use super::store::{Client, Error};
 use super::{now, refresh, Host};
-use crate::control::proof::{Moment, CAUTION};
+use crate::control::proof::{Moment, RENEWAL_FRACTION};
 use crate::port::Kind;
 
 /// Interval at which a follower asks for the proof's age.
@@ -51,7 +51,7 @@
     host.core
         .borrow_mut()
         .proof
-        .take(moment(), asked_at, Duration::ZERO);
+        .record(moment(), asked_at, Duration::ZERO);
 }
 
 /// The report for followers; `None` without a proof.
@@ -70,7 +70,7 @@
     // A newer configuration may still be in transit.
     if core.table.version() >= Some(report.version) {
         let age = Duration::from_millis(report.age_ms);
-        core.proof.take(moment(), asked_at, age);
+        core.proof.record(moment(), asked_at, age);
     }
 }
 
@@ -81,12 +81,12 @@
         return;
     };
     let mut client = Client::new(&host);
-    let renewal_age = max_age.mul_f64(CAUTION);
+    let renewal_age = max_age.mul_f64(RENEWAL_FRACTION);
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
         let is_due = {
             let core = host.core.borrow();
-            let is_old = !core.proof.holds(moment(), renewal_age);
+            let is_old = !core.proof.is_younger_than(moment(), renewal_age);
             is_old && host.has_joined.get() && core.presence.is_store_seen(now())
         };
         if is_due {
--- a/src/host/quarantine.rs
+++ b/src/host/quarantine.rs
@@ -72,7 +72,7 @@
     if let Some(note) = updates.to_counters {
         let counters = {
             let core = host.core.borrow();
-            core.presence.counters(now(), fingerprint.0)
+            core.presence.counting_hosts(now(), fingerprint.0)
         };
         spawn_send(host, note, counters);
     }
--- a/src/host/refresh.rs
+++ b/src/host/refresh.rs
@@ -14,7 +14,7 @@
 use super::sync::{self, WatchResult};
 use super::watcher::WATCHED_KINDS;
 use super::{proof, Host};
-use crate::control::freshness::{INTERVAL, PATIENCE};
+use crate::control::freshness::{ANSWER_TIMEOUT, INTERVAL};
 use crate::control::proof::Moment;
 use crate::port::{Age, Kind};
 
@@ -59,7 +59,7 @@
 }
 
 async fn with_timeout<T>(call: impl Future<Output = Result<T, Error>>) -> Result<T, Error> {
-    let result = tokio::time::timeout(PATIENCE, call).await;
+    let result = tokio::time::timeout(ANSWER_TIMEOUT, call).await;
     result.unwrap_or(Err(Error::Timeout))
 }
 
@@ -90,11 +90,12 @@
 
 /// Records that the copy of a kind lacks nothing that was acknowledged before `asked_at`.
 fn mark_current(host: &Host, kind: Kind, asked_at: Moment) {
-    host.watch_state.mark_current(kind, asked_at.steady());
+    host.watch_state
+        .mark_current(kind, asked_at.runtime_clock());
     host.core
         .borrow_mut()
         .confirmed_at
-        .insert(kind, asked_at.steady());
+        .insert(kind, asked_at.runtime_clock());
     if kind == Kind::Config && !host.watch_state.is_config_unreadable.get() {
         proof::note_query(host, asked_at);
     }
--- a/src/host/sync.rs
+++ b/src/host/sync.rs
@@ -15,7 +15,7 @@
 use super::store::{Client, Error};
 use super::watcher::{Debounce, StoreProbe, WATCHED_KINDS};
 use super::{datagram, join, now, proof, Host};
-use crate::control::presence::{Record, Sight};
+use crate::control::presence::{Record, StoreView};
 use crate::control::replica::Update;
 use crate::port::{Age, Call, Entry, Kind, Reply};
 
@@ -79,7 +79,7 @@
             () = host.watch_state.reached.notified() => {}
         }
         let now = now();
-        host.core.borrow_mut().presence.watch_store(now);
+        host.core.borrow_mut().presence.track_outage(now);
         let is_watcher = host.core.borrow().presence.is_watcher(now);
         let should_watch = host.has_joined.get() && (is_watcher || store_probe.has_reached(now));
         if host.has_joined.get() && !should_watch {
@@ -146,12 +146,12 @@
     let skip_host = |record: &Record| {
         has_failed(record.feed) || (only_same_region && !core.presence.is_near(record))
     };
-    if let Some((record, _)) = core.presence.source(now, skip_host) {
+    if let Some((record, _)) = core.presence.feed_source(now, skip_host) {
         return Some(record.feed);
     }
     if !core.presence.is_alone(now)
         || !host.has_joined.get()
-        || core.presence.sight() > Sight::Nothing
+        || core.presence.store_view() > StoreView::Nothing
     {
         return None;
     }
@@ -174,7 +174,7 @@
         failed_feeds.insert(address, now);
     }
     if is_timeout {
-        host.core.borrow_mut().presence.doubt(address);
+        host.core.borrow_mut().presence.forget_store_view(address);
         // Without a copy this would read all targets.
         if host.has_full_copy() {
             tokio::task::spawn_local(refresh_once(host));
@@ -194,18 +194,19 @@
 pub(super) async fn update_sight(host: &Rc<Host>) {
     let has_copy = host.has_full_copy();
     let is_current = host.watch_state.is_current(now());
-    let is_relayed = host.source_sight.get() == Some(Sight::Store) || host.startup.is_fresh(now());
+    let is_relayed =
+        host.source_sight.get() == Some(StoreView::Store) || host.startup.is_fresh(now());
     let changed_from = {
         let core = &mut *host.core.borrow_mut();
         let is_proved = core.is_proved(proof::moment());
         let sight = match (has_copy, is_current && is_proved, is_relayed && is_proved) {
-            (false, ..) => Sight::Nothing,
-            (true, true, _) => Sight::Store,
-            (true, false, true) => Sight::Relayed,
-            (true, false, false) => Sight::Stale,
+            (false, ..) => StoreView::Nothing,
+            (true, true, _) => StoreView::Store,
+            (true, false, true) => StoreView::Relayed,
+            (true, false, false) => StoreView::Stale,
         };
-        let before = core.presence.sight();
-        let changed_from = core.presence.see(sight).then_some(before);
+        let before = core.presence.store_view();
+        let changed_from = core.presence.set_store_view(sight).then_some(before);
         if changed_from.is_some() {
             spdlog::info!("sync: the view of the store has changed", kv: {
                 event = Event::Sight.as_str(),
--- a/src/host/throttle.rs
+++ b/src/host/throttle.rs
@@ -62,7 +62,7 @@
 async fn send_claim(host: &Host, keeper: &Arc<str>, claim: Claim) {
     let keeper_peer = {
         let core = host.core.borrow();
-        let record = core.presence.known(keeper);
+        let record = core.presence.peer(keeper);
         record.map(|record| (record.peers, core.presence.is_near(record)))
     };
     let Some((address, is_near)) = keeper_peer else {
@@ -99,7 +99,7 @@
 /// Applies a keeper's answer, even a late one.
 pub(crate) fn apply_grant(host: &Host, sender: SocketAddr, grant: &Grant) {
     let core = &mut *host.core.borrow_mut();
-    let Some(keeper) = core.presence.at(sender) else {
+    let Some(keeper) = core.presence.peer_at(sender) else {
         return;
     };
     core.fleet.record_grant(now(), &keeper.host, grant);
--- a/src/host/watcher.rs
+++ b/src/host/watcher.rs
@@ -13,7 +13,7 @@
 use super::feed::SYNCED_KINDS;
 use super::refresh::{Refresher, CURRENT_FOR};
 use super::{log, Host};
-use crate::control::freshness::Evidence;
+use crate::control::freshness::FreshnessTracker;
 use crate::port::Kind;
 
 /// How long a host must not be a designated watcher before it stops watching.
@@ -32,7 +32,7 @@
 #[derive(Default)]
 pub(crate) struct WatchState {
     is_active: Cell<bool>,
-    evidence: RefCell<Evidence>,
+    evidence: RefCell<FreshnessTracker>,
     /// Whether the store responded to the last poll.
     pub(super) is_answering: Cell<bool>,
     /// Signals that a probe of the store succeeded.
@@ -70,7 +70,7 @@
 
     /// Records that the copy of a kind is as recent as the store was at `asked_at`.
     pub(super) fn mark_current(&self, kind: Kind, asked_at: Instant) {
-        self.evidence.borrow_mut().show(kind, asked_at);
+        self.evidence.borrow_mut().record(kind, asked_at);
     }
 
     /// Discards the evidence, as the store did not respond.
@@ -85,7 +85,7 @@
             && self
                 .evidence
                 .borrow()
-                .holds(now, &SYNCED_KINDS, CURRENT_FOR)
+                .are_fresh(now, &SYNCED_KINDS, CURRENT_FOR)
     }
 
     /// Locks a kind for an update; `None` for a kind that is not watched.
@@ -141,7 +141,7 @@
             self.next_probe.set(None);
             return;
         }
-        let interval = core.presence.look_interval();
+        let interval = core.presence.probe_interval();
         // All hosts lose the store at once and must not probe it at the same moment. But the former
         // watchers may be the only ones cut off from it, and no host receives changes until another
         // one has probed.
--- a/tests/working.rs
+++ b/tests/working.rs
@@ -1,12 +1,13 @@
-//! How many hosts of an availability zone get its callers, and by how much each.
+//! Tests of the selection of active hosts: how many hosts of an availability zone receive its
+//! callers.
 
 #![allow(clippy::unwrap_used)]
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
+use ragwortfold::control::active_hosts::{active_hosts, comfortable_rate, Candidate, Rate};
 use ragwortfold::control::presence::Strength;
-use ragwortfold::control::working::{ease, in_use, Candidate, Rate};
 
 const STRONG: Strength = Strength {
     cores: 0.5,
@@ -17,7 +18,7 @@
     megabits: 20.0,
 };
 
-/// Some strong and some weak hosts that together get `load` requests a second.
+/// Strong and weak hosts that together receive `load` requests a second.
 fn candidates(strong: usize, weak: usize, load: f64) -> Vec<Candidate> {
     let all = strong + weak;
     let one = |index: usize| Candidate {
@@ -29,12 +30,12 @@
     (0..all).map(one).collect()
 }
 
-/// How many strong and how many weak hosts are in use.
+/// Checks how many strong and how many weak hosts are active.
 macro_rules! used {
     ($($name:ident: $strong:expr, $weak:expr, $load:expr => $used_strong:expr, $used_weak:expr;)*) => {$(
         #[test]
         fn $name() {
-            let used = in_use(candidates($strong, $weak, $load));
+            let used = active_hosts(candidates($strong, $weak, $load));
             let strong = used.iter().filter(|one| one.strength == STRONG).count();
             assert_eq!((strong, used.len() - strong), ($used_strong, $used_weak));
         }
@@ -54,21 +55,21 @@
 }
 
 #[test]
-fn those_in_use_carry_the_load_with_ease() {
+fn active_hosts_carry_the_load_comfortably() {
     for load in [100.0, 540.0, 900.0, 1_500.0, 2_500.0] {
-        let used = in_use(candidates(3, 30, load));
-        let carried: f64 = used.iter().map(|one| ease(one.strength)).sum();
+        let used = active_hosts(candidates(3, 30, load));
+        let carried: f64 = used.iter().map(|one| comfortable_rate(one.strength)).sum();
         assert!(carried >= load, "{load}: {carried}");
     }
 }
 
 #[test]
 fn one_host_more_or_less_changes_little() {
-    let whole = in_use(candidates(3, 30, 1_800.0));
+    let whole = active_hosts(candidates(3, 30, 1_800.0));
     for lost in &whole {
         let rest = candidates(3, 30, 1_800.0);
         let rest = rest.into_iter().filter(|one| one.front != lost.front);
-        let now = in_use(rest.collect());
+        let now = active_hosts(rest.collect());
         let kept = whole
             .iter()
             .filter(|one| now.iter().any(|other| other.front == one.front));
@@ -82,11 +83,11 @@
     let mut rate = Rate::new(start);
     let at = |ms: u64| start + Duration::from_millis(ms);
     for ms in 0..1000 {
-        rate.count(at(ms));
+        rate.count_request(at(ms));
     }
     assert_eq!(rate.peak(at(1000)), 1000);
     for second in 1..10 {
-        rate.count(at(second * 1000));
+        rate.count_request(at(second * 1000));
     }
     assert_eq!(rate.peak(at(10_000)), 1000);
     assert_eq!(rate.peak(at(11_000)), 1);
