--- a/src/host/snapshot.rs
+++ b/src/host/snapshot.rs
@@ -13,8 +13,8 @@
 /// Objects in one message of a copy. Each follower's connection buffers one message rather than the
 /// full copy.
 const OBJECTS_PER_MESSAGE: usize = 256;
-/// How long an encoded copy is reused for further followers. It delays the remaining cold time of
-/// targets in it by as much.
+/// How long an encoded copy is reused for further followers. They treat cold targets in it as cold
+/// for up to this much longer.
 const REUSE_FOR: Duration = Duration::from_millis(500);
 
 /// An encoded full copy of a kind, shared by the followers that are receiving it.
--- a/tests/rate.rs
+++ b/tests/rate.rs
@@ -82,12 +82,12 @@
             send_load(&world, Duration::from_secs(1));
             let limited = &sort_by_load(&targets)[..$targets];
             limited.iter().for_each(|target| target.name(&[$named]));
-            let begun = Instant::now();
+            let started = Instant::now();
             let calls = send_load(&world, NAMED);
             for target in limited {
-                target.judge($rate, begun).unwrap();
+                target.judge($rate, started).unwrap();
             }
-            let (good, all) = count_answered(&calls, begun + STABLE);
+            let (good, all) = count_answered(&calls, started + STABLE);
             assert!(good as f64 >= all as f64 * $served, "{good} of {all}");
         }
     )*};
@@ -111,8 +111,8 @@
     send_load(&world, NAMED);
     target.name(&[]);
     send_load(&world, span);
-    let begun = Instant::now();
+    let started = Instant::now();
     send_load(&world, span);
-    let count = target.count(begun, span);
+    let count = target.count(started, span);
     assert!(count >= before / 2, "{count} after {before}");
 }
