--- a/tests/rate.rs
+++ b/tests/rate.rs
@@ -85,12 +85,12 @@
             send_load(&world, Duration::from_secs(1));
             let limited = &sort_by_load(&targets)[..$targets];
             limited.iter().for_each(|target| target.set_rates(&[$named]));
-            let begun = Instant::now();
+            let started = Instant::now();
             let calls = send_load(&world, LIMITED_TIME);
             for target in limited {
-                target.check_rate($rate, begun).unwrap();
+                target.check_rate($rate, started).unwrap();
             }
-            let (good, all) = count_answered(&calls, begun + MAX_SETTLING_TIME);
+            let (good, all) = count_answered(&calls, started + MAX_SETTLING_TIME);
             assert!(good as f64 >= all as f64 * $served, "{good} of {all}");
         }
     )*};
@@ -114,8 +114,8 @@
     send_load(&world, LIMITED_TIME);
     target.set_rates(&[]);
     send_load(&world, span);
-    let begun = Instant::now();
+    let started = Instant::now();
     send_load(&world, span);
-    let count = target.count_arrivals(begun, span);
+    let count = target.count_arrivals(started, span);
     assert!(count >= before / 2, "{count} after {before}");
 }
