--- a/standin/src/crash.rs
+++ b/standin/src/crash.rs
@@ -178,9 +178,9 @@
     pub answered: usize,
 }
 
-/// Sends the request that crashes `targets` to `hosts` hosts in turn until `duration` has passed since the third run of it, and other
-/// requests at the same time. Counts the runs and requests later than `settling_time` after the third run. `send` receives a host's
-/// number and a request's path and returns the response's status.
+/// Sends the request that crashes `targets` to each of `hosts` hosts in turn, and other requests at the same time, until `duration`
+/// has passed since the third run of the crashing request. Counts its runs and the other requests that are later than `settling_time`
+/// after the third run. `send` receives a host's index and a request's path and returns the response's status.
 ///
 /// # Panics
 ///
--- a/standin/src/link.rs
+++ b/standin/src/link.rs
@@ -140,7 +140,7 @@
     }
 }
 
-/// What a reader passes to its writer.
+/// The result of a read, which the reader of a direction passes to its writer.
 enum Chunk {
     Bytes(Vec<u8>),
     End,
@@ -159,6 +159,7 @@
     connections: BTreeMap<u64, Arc<Connection>>,
     /// Whether the far end refused a connection and has not accepted one since.
     far_refuses: bool,
+    /// Bytes forwarded so far in each direction.
     bytes: [u64; 2],
     is_stopped: bool,
 }
--- a/standin/src/rate_limit.rs
+++ b/standin/src/rate_limit.rs
@@ -14,8 +14,8 @@
 pub const MAX_SETTLING_TIME: Duration = Duration::from_secs(3);
 /// How long a target names a rate in a test.
 pub const LIMITED_TIME: Duration = Duration::from_secs(9);
-/// The span in which arrivals are counted. As many may arrive as the rate times [`MAX_RATE_FACTOR`] allows, and
-/// [`EXTRA_REQUESTS`] more.
+/// The span in which arrivals are counted. At most the span times the rate times [`MAX_RATE_FACTOR`], plus [`EXTRA_REQUESTS`], may
+/// arrive in it.
 const WINDOW: Duration = Duration::from_secs(4);
 const MAX_RATE_FACTOR: f64 = 1.5;
 const EXTRA_REQUESTS: f64 = 5.0;
