--- a/src/control/agent.rs
+++ b/src/control/agent.rs
@@ -105,7 +105,7 @@
 #[derive(Debug)]
 struct PlannerTerm {
     planner: Planner,
-    publish: Publisher,
+    publisher: Publisher,
     plan: Plan,
     /// The record written last, with its stamp.
     last_written: Record,
@@ -237,11 +237,11 @@
         self.outputs.push(Output::Joined(host));
         self.send_heartbeat(host);
         if self.catalog.host(host).zone != self.zone {
-            self.summary.request_full();
+            self.summary.force_full();
             return;
         }
-        self.reports.request_full();
-        self.digest.request_full();
+        self.reports.force_full();
+        self.digest.force_full();
         if self.is_first_delegate() {
             self.send_plan(host);
         }
@@ -306,9 +306,9 @@
     /// configuration in force on this host.
     pub fn receive(&mut self, now: Instant, from: HostKey, frame: Frame, own_revision: u64) {
         match frame {
-            Frame::Beat(mut beat, revision) => {
-                beat.host = self.catalog.host(from).name.clone();
-                if let Some(answer) = self.membership.receive(now, &beat) {
+            Frame::Beat(mut heartbeat, revision) => {
+                heartbeat.host = self.catalog.host(from).name.clone();
+                if let Some(answer) = self.membership.receive(now, &heartbeat) {
                     let answer = Frame::Beat(without_sender(answer), own_revision);
                     self.outputs.push(Output::Send(vec![from], answer));
                 }
@@ -424,9 +424,9 @@
 
     fn handle_request(&mut self, now: Instant, from: HostKey, ask: &Ask) {
         match ask {
-            Ask::Load => self.reports.request_full(),
-            Ask::Summary => self.summary.request_full(),
-            Ask::Digest => self.digest.request_full(),
+            Ask::Load => self.reports.force_full(),
+            Ask::Summary => self.summary.force_full(),
+            Ask::Digest => self.digest.force_full(),
             Ask::Plan => self.send_plan(from),
             Ask::Roster(zone) => {
                 let roster = match self.catalog.zone_key(zone) {
@@ -446,15 +446,15 @@
         if record.stamp <= self.gate.newest() {
             return;
         }
-        let Some(whole) = record.applied_to(&self.record) else {
+        let Some(whole_plan) = record.applied_to(&self.record) else {
             self.send_request(from, Ask::Plan);
             return;
         };
-        if !self.gate.accept(whole.stamp) {
+        if !self.gate.accept(whole_plan.stamp) {
             return;
         }
-        self.lease.observe_epoch(whole.stamp.epoch);
-        self.record = whole;
+        self.lease.observe_epoch(whole_plan.stamp.epoch);
+        self.record = whole_plan;
         self.outputs.push(Output::Planned);
         self.forward(root, |root| Frame::Plan(record, root));
     }
@@ -517,10 +517,10 @@
         let Some(term) = &mut self.planner_term else {
             return;
         };
-        if pending != Some(term.publish.epoch()) {
+        if pending != Some(term.publisher.epoch()) {
             return;
         }
-        match term.publish.handle_event(now, event, rng) {
+        match term.publisher.handle_event(now, event, rng) {
             Some(Outcome::Published(stamp)) if stamp == term.last_written.stamp => {
                 term.plan.stamp = stamp;
                 let record = term.last_written.clone();
@@ -544,9 +544,9 @@
         self.lease.observe_epoch(stamp.epoch);
         self.record = record;
         self.outputs.push(Output::Planned);
-        let heads = self.other_first_delegates();
+        let delegates = self.other_first_delegates();
         let frame = Frame::Plan(self.record.clone(), None);
-        self.outputs.push(Output::Send(heads, frame));
+        self.outputs.push(Output::Send(delegates, frame));
         let name = self.name.clone();
         let frame = Frame::Plan(self.record.clone(), Some(name.clone()));
         self.send_to_branches(&name, frame);
@@ -567,9 +567,11 @@
         let difference = record.difference_from(&self.record);
         self.record = record;
         self.outputs.push(Output::Planned);
-        let heads = self.other_first_delegates();
-        self.outputs
-            .push(Output::Send(heads, Frame::Plan(difference.clone(), None)));
+        let delegates = self.other_first_delegates();
+        self.outputs.push(Output::Send(
+            delegates,
+            Frame::Plan(difference.clone(), None),
+        ));
         let name = self.name.clone();
         self.send_to_branches(&name, Frame::Plan(difference, Some(name.clone())));
     }
@@ -578,7 +580,7 @@
         self.first_delegates
             .values()
             .copied()
-            .filter(|&head| head != self.own)
+            .filter(|&delegate| delegate != self.own)
             .collect()
     }
 
@@ -589,7 +591,7 @@
                 let previous = self.record.to_plan(&self.catalog);
                 self.planner_term = Some(PlannerTerm {
                     planner: Planner::new(now, Some(&previous), &self.catalog),
-                    publish: Publisher::new(now, epoch),
+                    publisher: Publisher::new(now, epoch),
                     plan: previous,
                     last_written: Record::default(),
                 });
@@ -647,7 +649,8 @@
             return;
         }
         self.outputs.push(Output::Changed);
-        // Linked hosts can hear the suspect only if it is within the set of linked hosts, too.
+        // Hosts that are linked with this one usually hear the suspect only if it is linked with this
+        // one, too.
         let is_linked_suspect =
             |c: &Change| matches!(c, Change::Suspected(host) if self.is_linked(*host));
         if changes.iter().any(is_linked_suspect) {
@@ -738,12 +741,12 @@
         let message = self.reports.message(now, &sample, &self.catalog);
         self.zone_reports
             .apply(now, &message, Duration::ZERO, &self.catalog);
-        let Some(&head) = self.first_delegates.get(&self.zone) else {
+        let Some(&first_delegate) = self.first_delegates.get(&self.zone) else {
             return;
         };
-        if head != self.own {
+        if first_delegate != self.own {
             let load = Frame::Load(message);
-            self.outputs.push(Output::Send(vec![head], load));
+            self.outputs.push(Output::Send(vec![first_delegate], load));
         }
     }
 
@@ -755,18 +758,18 @@
         }
         self.send_roster(now);
         let hosts = self.membership.zone_hosts(self.zone);
-        let fresh =
+        let max_age =
             self.report_interval() + summary::MAX_REPORT_AGE.saturating_sub(summary::INTERVAL);
-        let Some(mut sample) = self.zone_reports.merge_within(now, fresh, hosts) else {
+        let Some(mut sample) = self.zone_reports.merge_within(now, max_age, hosts) else {
             return;
         };
         sample.roster = self.sent_roster_digest;
         let message = self.summary.message(now, &sample, &self.catalog);
         self.summaries
             .apply(now, &message, Duration::ZERO, &self.catalog);
-        let heads = self.other_first_delegates();
+        let delegates = self.other_first_delegates();
         let summary = Frame::Summary(message, self.record.stamp);
-        self.outputs.push(Output::Send(heads, summary));
+        self.outputs.push(Output::Send(delegates, summary));
     }
 
     /// Sends the roster of the own zone to the other zones if it has changed since it was last
@@ -776,9 +779,9 @@
         let digest = roster.digest();
         if self.sent_roster_digest != digest {
             self.sent_roster_digest = digest;
-            let heads = self.other_first_delegates();
+            let delegates = self.other_first_delegates();
             self.outputs
-                .push(Output::Send(heads, Frame::Roster(roster, None)));
+                .push(Output::Send(delegates, Frame::Roster(roster, None)));
         }
     }
 
@@ -807,7 +810,7 @@
         };
         // The first write of an epoch repeats the existing plan, if there is one, to fence off
         // earlier holders. Later plans are made only once the previous one is in the store.
-        let can_plan = term.publish.is_idle() || term.plan.splits.is_empty();
+        let can_plan = term.publisher.is_idle() || term.plan.splits.is_empty();
         if now >= self.due.plan && can_plan {
             self.due.plan = now + planner::INTERVAL;
             let zone_statuses = zone_statuses(&self.catalog, &self.membership);
@@ -818,17 +821,17 @@
             };
             let (plan, changed) = term
                 .planner
-                .make_plan(now, term.publish.next_stamp(), &view);
+                .make_plan(now, term.publisher.next_stamp(), &view);
             if changed {
                 term.plan = plan;
-                term.publish.request_write();
+                term.publisher.request_write();
             }
         }
         if self.pending_epoch.is_some() {
             return;
         }
-        if let Some(command) = term.publish.tick(now, held) {
-            self.pending_epoch = Some(term.publish.epoch());
+        if let Some(command) = term.publisher.tick(now, held) {
+            self.pending_epoch = Some(term.publisher.epoch());
             if let publish::Command::Write { stamp, .. } = &command {
                 term.plan.stamp = *stamp;
                 term.last_written = term.plan.to_record(&self.catalog);
--- a/src/control/delegate.rs
+++ b/src/control/delegate.rs
@@ -160,10 +160,10 @@
     let others = live.iter().copied().filter(|&other| other != root);
     let mut order = rank(catalog, &catalog.host(root).name, others, usize::MAX);
     order.insert(0, root);
-    let Some(place) = order.iter().position(|&other| other == host) else {
+    let Some(position) = order.iter().position(|&other| other == host) else {
         return Vec::new();
     };
-    let first = (TREE_FANOUT * place + 1).min(order.len());
+    let first = (TREE_FANOUT * position + 1).min(order.len());
     let end = (first + TREE_FANOUT).min(order.len());
     order[first..end].to_vec()
 }
--- a/src/control/digest.rs
+++ b/src/control/digest.rs
@@ -107,7 +107,7 @@
     }
 
     /// Makes the next digest contain all levels, after a receiver missed one.
-    pub fn request_full(&mut self) {
+    pub fn force_full(&mut self) {
         self.last_full = None;
     }
 
--- a/src/control/heartbeat.rs
+++ b/src/control/heartbeat.rs
@@ -22,15 +22,15 @@
 struct Packed(Arc<str>, u64, u64, bool, u32, Vec<Arc<str>>, Vec<Known>);
 
 impl From<Heartbeat> for Packed {
-    fn from(beat: Heartbeat) -> Self {
+    fn from(heartbeat: Heartbeat) -> Self {
         Self(
-            beat.host,
-            beat.incarnation,
-            beat.sequence,
-            beat.state == State::Leaving,
-            beat.interval_ms,
-            beat.missed,
-            beat.known,
+            heartbeat.host,
+            heartbeat.incarnation,
+            heartbeat.sequence,
+            heartbeat.state == State::Leaving,
+            heartbeat.interval_ms,
+            heartbeat.missed,
+            heartbeat.known,
         )
     }
 }
--- a/src/control/membership.rs
+++ b/src/control/membership.rs
@@ -328,25 +328,25 @@
 
     /// Processes a heartbeat that came over the link from its sender. If it asks about hosts that
     /// are heard here, returns an answer to send back at once.
-    pub fn receive(&mut self, now: Instant, beat: &Heartbeat) -> Option<Heartbeat> {
-        let &host = self.hosts_by_name.get(&beat.host)?;
-        let interval = Duration::from_millis(beat.interval_ms.into());
+    pub fn receive(&mut self, now: Instant, heartbeat: &Heartbeat) -> Option<Heartbeat> {
+        let &host = self.hosts_by_name.get(&heartbeat.host)?;
+        let interval = Duration::from_millis(heartbeat.interval_ms.into());
         self.record_heard_with_interval(
             now,
             host,
-            beat.incarnation,
-            beat.sequence,
-            beat.state,
+            heartbeat.incarnation,
+            heartbeat.sequence,
+            heartbeat.state,
             Via::Direct,
             interval,
         );
-        self.merge_known(now, &beat.known, Duration::ZERO);
+        self.merge_known(now, &heartbeat.known, Duration::ZERO);
         // An answer does not ask about other hosts. Otherwise two hosts that both miss a third
         // would answer each other endlessly.
-        if beat.known.is_empty() {
-            self.update_unheard(host, beat);
+        if heartbeat.known.is_empty() {
+            self.update_unheard(host, heartbeat);
         }
-        let known: Vec<Known> = beat
+        let known: Vec<Known> = heartbeat
             .missed
             .iter()
             .filter_map(|name| self.hosts_by_name.get(name))
@@ -363,14 +363,14 @@
         })
     }
 
-    fn update_unheard(&mut self, host: HostKey, beat: &Heartbeat) {
+    fn update_unheard(&mut self, host: HostKey, heartbeat: &Heartbeat) {
         let own = self.own;
-        let unheard = beat
+        let is_unheard = heartbeat
             .missed
             .iter()
             .any(|name| self.hosts_by_name.get(name) == Some(&own));
         if let Some(record) = self.records.get_mut(&host) {
-            record.is_unheard = unheard;
+            record.is_unheard = is_unheard;
         }
     }
 
--- a/src/control/plan.rs
+++ b/src/control/plan.rs
@@ -167,12 +167,12 @@
     /// Returns the difference between this whole plan and an older whole one, or a copy of this
     /// plan if a split was removed.
     pub fn difference_from(&self, old: &Self) -> Self {
-        let removed = |new: &Localities, old: &Localities| {
+        let has_removed_locality = |new: &Localities, old: &Localities| {
             old.keys().any(|locality| !new.contains_key(locality))
         };
         let has_removals = old.splits.iter().any(|(service, localities)| {
             let new = self.splits.get(service);
-            new.is_none_or(|new| removed(new, localities))
+            new.is_none_or(|new| has_removed_locality(new, localities))
         });
         if has_removals || old.base.is_some() {
             return self.clone();
--- a/src/control/presence.rs
+++ b/src/control/presence.rs
@@ -222,7 +222,7 @@
         Heartbeat {
             record: self.own.clone(),
             leaving: self.is_leaving,
-            sight: self.store_view,
+            store_view: self.store_view,
             rate: self.request_rate.peak(now),
         }
     }
@@ -352,16 +352,16 @@
 
     /// Processes a heartbeat. Returns whether its sender's process is new, and so may not know this
     /// host yet.
-    pub fn receive_heartbeat(&mut self, now: Instant, beat: Heartbeat) -> bool {
-        let new = self.register(now, beat.record.clone());
-        let Some(peer) = self.peers.get_mut(&beat.record.host) else {
+    pub fn receive_heartbeat(&mut self, now: Instant, heartbeat: Heartbeat) -> bool {
+        let is_new = self.register(now, heartbeat.record.clone());
+        let Some(peer) = self.peers.get_mut(&heartbeat.record.host) else {
             return false;
         };
-        if beat.record.incarnation == peer.record.incarnation {
-            peer.update(now, beat.sight, beat.leaving, beat.rate);
-            self.zones_last_heard.insert(beat.record.zone, now);
+        if heartbeat.record.incarnation == peer.record.incarnation {
+            peer.update(now, heartbeat.store_view, heartbeat.leaving, heartbeat.rate);
+            self.zones_last_heard.insert(heartbeat.record.zone, now);
         }
-        new
+        is_new
     }
 
     /// Processes a pulse that came from `address`. Returns whether its sender is known.
--- a/src/control/presence/record.rs
+++ b/src/control/presence/record.rs
@@ -84,7 +84,7 @@
     pub leaving: bool,
     /// The sender's view of the store.
     #[serde(rename = "s")]
-    pub sight: StoreView,
+    pub store_view: StoreView,
     /// Requests per second that the sender receives.
     #[serde(rename = "n")]
     pub rate: u32,
--- a/src/control/summary.rs
+++ b/src/control/summary.rs
@@ -239,7 +239,7 @@
     }
 
     /// Makes the next message contain all entries, for a new receiver.
-    pub fn request_full(&mut self) {
+    pub fn force_full(&mut self) {
         self.last_full = None;
     }
 
@@ -468,8 +468,8 @@
             .filter(|(&host, _)| catalog.host(host).zone == zone)
             .map(|(_, source)| source)
             .max_by_key(|source| {
-                let fresh = now.saturating_duration_since(source.sampled) < MAX_REPORT_AGE;
-                (fresh, source.hosts.1, source.sampled)
+                let is_fresh = now.saturating_duration_since(source.sampled) < MAX_REPORT_AGE;
+                (is_fresh, source.hosts.1, source.sampled)
             })
     }
 
@@ -482,14 +482,14 @@
     pub fn merge_within(
         &self,
         now: Instant,
-        fresh: Duration,
+        max_age: Duration,
         hosts: impl IntoIterator<Item = HostKey>,
     ) -> Option<Sample> {
         let mut merge = ZoneMerge::default();
         for host in hosts {
             merge.live += 1;
             if let Some(source) = self.sources.get(&host) {
-                merge.add(now, fresh, source);
+                merge.add(now, max_age, source);
             }
         }
         merge.into_sample()
@@ -512,9 +512,9 @@
 }
 
 impl ZoneMerge {
-    fn add(&mut self, now: Instant, fresh: Duration, source: &Source) {
+    fn add(&mut self, now: Instant, max_age: Duration, source: &Source) {
         let age = now.saturating_duration_since(source.sampled);
-        if age >= fresh {
+        if age >= max_age {
             return;
         }
         self.reported += 1;
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -397,11 +397,11 @@
     world.check_plans();
     assert_eq!(
         world.stale_accepted, 0,
-        "seed {seed}: a stale plan was taken"
+        "seed {seed}: a stale plan was accepted"
     );
     assert!(
         world.epochs.len() > count / 20,
-        "the lease hardly ever moved"
+        "the lease rarely changed its holder"
     );
     (
         world.stale_writes,
@@ -420,7 +420,10 @@
         plans += p;
     }
     println!("1000 pauses: {epochs} epochs, {plans} plans, {tried} stale writes refused");
-    assert!(tried > 0, "no stale write was tried, so nothing was shown");
+    assert!(
+        tried > 0,
+        "no stale write was attempted, so the test shows nothing"
+    );
 }
 
 /// Time from the holder's death to the first plan of its successor, in milliseconds.
@@ -643,7 +646,7 @@
                 None => {}
             }
         }
-        panic!("waited for ever");
+        panic!("the lease was never acquired");
     },
     an_outage_causes_back_off: |it| {
         let mut calls = 0;
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -311,7 +311,7 @@
         it.hear(2_700, it.remote, 3, 9, State::Serving);
         it.node.link_closed(it.remote);
         it.ticks(2_700, 2_700);
-        assert_eq!(it.node.zone_status(zone), ZoneStatus::Alive, "heard after it was told lost");
+        assert_eq!(it.node.zone_status(zone), ZoneStatus::Alive, "heard after it was reported as lost");
         it.ticks(2_800, 20_000);
         assert!(matches!(it.node.zone_status(zone), ZoneStatus::Unknown(_)));
     },
--- a/tests/net/agents.rs
+++ b/tests/net/agents.rs
@@ -697,7 +697,7 @@
         for (&host, node) in &self.nodes {
             let stamp = node.agent.plan_stamp();
             let newest = self.newest.entry((host, node.incarnation)).or_default();
-            assert!(*newest <= stamp, "an older plan was taken");
+            assert!(*newest <= stamp, "an older plan was accepted");
             if *newest < stamp {
                 *newest = stamp;
                 assert!(
@@ -737,7 +737,7 @@
     /// Runs until the fleet is settled.
     pub fn settle(&mut self) {
         let settled = self.until(30_000, Self::is_settled);
-        assert!(settled.is_some(), "it did not settle");
+        assert!(settled.is_some(), "the fleet did not settle");
     }
 
     /// Restarts hosts in turn, each down and then up for a time. Returns the splits that all
--- a/tests/plan.rs
+++ b/tests/plan.rs
@@ -376,14 +376,14 @@
         assert_eq!(it.take(6_000, &fourth), ApplyResult::Gap);
         let entry = it.table.host_source(it.hosts[0]).and_then(|source| source.load(it.service));
         assert_eq!(entry.map(|entry| entry.sampled), Some(it.at(0)));
-        it.senders[0].request_full();
+        it.senders[0].force_full();
         let full = it.message(8_000, 0, 9.0, 0);
         assert_eq!(it.take(8_000, &full), ApplyResult::Newer);
         assert_eq!(it.in_flight(8_000), 9.0);
     },
     older_messages_are_ignored: |it| {
         let first = it.message(0, 0, 3.0, 0);
-        it.senders[0].request_full();
+        it.senders[0].force_full();
         let second = it.message(2_000, 0, 5.0, 0);
         assert_eq!(it.take(2_000, &second), ApplyResult::Newer);
         assert_eq!(it.take(2_000, &first), ApplyResult::Ignored);
@@ -469,7 +469,7 @@
             ..Sample::default()
         };
         let now = self.at(at);
-        self.source.request_full();
+        self.source.force_full();
         let message = self.source.message(now, &sample, &self.catalog);
         self.summaries
             .apply(now, &message, Duration::ZERO, &self.catalog);
@@ -497,7 +497,7 @@
 delegate! {
     a_digest_contains_the_levels_of_other_zones: |it| {
         let digest = it.digest(0, 30.0, 20.0);
-        assert_eq!(digest.zones.len(), 1, "only what is heard and told of");
+        assert_eq!(digest.zones.len(), 1, "only the zone that is heard and has reported");
         assert_eq!(digest.zones[0].roster, 77);
         assert_eq!(it.take(100, &digest), ApplyResult::Newer);
         assert_eq!(it.level(), Some(Level { filled: 1.5, sampled: it.at(100) }));
@@ -523,7 +523,7 @@
         assert_eq!(it.take(8_000, &third), ApplyResult::Gap);
         assert_eq!(it.level(), Some(Level { filled: 0.5, sampled: it.at(0) }));
         assert_eq!(it.take(8_000, &first), ApplyResult::Ignored);
-        it.sender.request_full();
+        it.sender.force_full();
         let full = it.digest(9_000, 18.0, 20.0);
         assert_eq!(it.take(9_000, &full), ApplyResult::Newer);
         assert_eq!(it.level().map(|level| level.filled), Some(0.9));
--- a/tests/presence.rs
+++ b/tests/presence.rs
@@ -47,7 +47,7 @@
     Heartbeat {
         record,
         leaving: false,
-        sight: view,
+        store_view: view,
         rate: 0,
     }
 }
@@ -248,11 +248,7 @@
     assert_eq!(few.len(), count);
     assert_eq!(watchers(now, &vec![StoreView::Relayed; hosts]), few);
     let stale = watchers(now, &vec![StoreView::Stale; hosts]);
-    assert_eq!(
-        stale.len(),
-        count,
-        "a store that nobody sees is called by few"
-    );
+    assert_eq!(stale.len(), count, "few hosts call a store that none sees");
     let mut views = vec![StoreView::Relayed; hosts];
     for index in &few {
         views[*index] = StoreView::Store;
@@ -263,7 +259,7 @@
     assert_eq!(
         others.len(),
         count + 1,
-        "the next one steps in, the first goes on trying"
+        "the next one begins to watch, the first keeps trying"
     );
 }
 
@@ -982,7 +978,7 @@
     presence.set_store_view(StoreView::Stale);
     assert!(
         presence.watch_delay(now) < to_follow,
-        "nobody sees the store"
+        "no host sees the store"
     );
     presence.receive_heartbeat(now, heartbeat(record("h1", "s-a", 1), StoreView::Store));
     assert!(presence.watch_delay(now) >= to_follow * 2);
--- a/tests/replica.rs
+++ b/tests/replica.rs
@@ -120,7 +120,7 @@
     let mut next = one.snapshot(now, Kind::Targets, Outage::None);
     while let Some(update) = next.take() {
         sent += 1;
-        assert!(sent < 5, "they go on for ever");
+        assert!(sent < 5, "the hosts send updates forever");
         std::mem::swap(&mut one, &mut other);
         if let Effect::Changed(_) = one.apply(now, update) {
             next = one.snapshot(now, Kind::Targets, Outage::None);
