--- a/src/control/agent.rs
+++ b/src/control/agent.rs
@@ -15,7 +15,7 @@
 use super::digest::{self, Digest, Levels};
 use super::lease::{self, Candidacy, Lease};
 use super::membership::{Change, Heartbeat, Listing, Membership, Status, ZoneStatus};
-use super::plan::{Gate, Plan, Record, Stamp};
+use super::plan::{Gate, Plan, PlanRecord, Stamp};
 use super::planner::{self, Planner, View};
 use super::publish::{self, Outcome, Publisher};
 use super::summary::{self, ApplyResult, Load, Message, Sample, Sender, Table};
@@ -48,7 +48,7 @@
     Lease(lease::Command),
     /// Run a command on the plan object and pass its outcome to [`Agent::handle_publish_event`].
     /// The record is the value to write.
-    Plan(publish::Command, Box<Record>),
+    Plan(publish::Command, Box<PlanRecord>),
     /// A link to this host has opened.
     Joined(HostKey),
     /// This host has a newer configuration, with this revision.
@@ -108,7 +108,7 @@
     publisher: Publisher,
     plan: Plan,
     /// The record written last, with its stamp.
-    last_written: Record,
+    last_written: PlanRecord,
 }
 
 /// The control agent of one host.
@@ -139,7 +139,7 @@
     summaries: Table,
     /// Fill levels of the sites in other zones. Hosts that are not first delegates use them.
     levels: Levels,
-    record: Record,
+    record: PlanRecord,
     gate: Gate,
     lease: Lease,
     planner_term: Option<PlannerTerm>,
@@ -178,7 +178,7 @@
             zone_reports: Table::new(),
             summaries: Table::new(),
             levels: Levels::new(),
-            record: Record::default(),
+            record: PlanRecord::default(),
             gate: Gate::default(),
             lease: Lease::new(now, format!("{}.{incarnation}", host.name).into()),
             planner_term: None,
@@ -442,7 +442,7 @@
         }
     }
 
-    fn receive_plan(&mut self, from: HostKey, record: Record, root: Option<Arc<str>>) {
+    fn receive_plan(&mut self, from: HostKey, record: PlanRecord, root: Option<Arc<str>>) {
         if record.stamp <= self.gate.newest() {
             return;
         }
@@ -536,7 +536,7 @@
 
     /// Adopts a plan that was read from the store if it is newer than the known plan, and
     /// distributes it. An active planner continues from it.
-    pub fn adopt_stored_plan(&mut self, now: Instant, record: Record) {
+    pub fn adopt_stored_plan(&mut self, now: Instant, record: PlanRecord) {
         let stamp = record.stamp;
         if record.base.is_some() || !self.gate.accept(stamp) {
             return;
@@ -560,7 +560,7 @@
 
     /// Puts a plan in force that this host published, and sends it to the other zones and the own
     /// zone.
-    fn adopt_published_plan(&mut self, record: Record) {
+    fn adopt_published_plan(&mut self, record: PlanRecord) {
         if !self.gate.accept(record.stamp) {
             return;
         }
@@ -593,7 +593,7 @@
                     planner: Planner::new(now, Some(&previous), &self.catalog),
                     publisher: Publisher::new(now, epoch),
                     plan: previous,
-                    last_written: Record::default(),
+                    last_written: PlanRecord::default(),
                 });
                 self.due.plan = now;
             }
--- a/src/control/digest.rs
+++ b/src/control/digest.rs
@@ -41,12 +41,12 @@
     pub full: bool,
     /// The digests of the zones.
     #[serde(rename = "z")]
-    pub zones: Vec<Zone>,
+    pub zones: Vec<ZoneDigest>,
 }
 
 /// One zone in a digest.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Zone {
+pub struct ZoneDigest {
     /// When it was last heard, and whether it is lost.
     #[serde(rename = "z")]
     pub report: Report,
@@ -61,7 +61,7 @@
     pub levels: BTreeMap<Arc<str>, u8>,
 }
 
-impl Zone {
+impl ZoneDigest {
     /// A zone that has not reported its load yet.
     fn unmeasured(report: Report) -> Self {
         Self {
@@ -132,7 +132,7 @@
             };
             match summaries.zone_source(now, zone, catalog) {
                 Some(source) => zones.push(self.zone(now, report, zone, source, catalog)),
-                None => zones.push(Zone::unmeasured(report)),
+                None => zones.push(ZoneDigest::unmeasured(report)),
             }
         }
         Digest {
@@ -151,7 +151,7 @@
         zone: ZoneKey,
         source: &Source,
         catalog: &Catalog,
-    ) -> Zone {
+    ) -> ZoneDigest {
         let age = now.saturating_duration_since(source.sampled).as_millis();
         let mut levels = BTreeMap::new();
         for (&service, entry) in &source.loads {
@@ -160,7 +160,7 @@
                 levels.insert(catalog.service(service).name.clone(), level);
             }
         }
-        Zone {
+        ZoneDigest {
             report,
             roster: source.roster,
             age_ms: u32::try_from(age).unwrap_or(u32::MAX),
--- a/src/control/heartbeat.rs
+++ b/src/control/heartbeat.rs
@@ -19,7 +19,7 @@
 /// The wire form of a [`Heartbeat`]: its fields in order, with the state as whether the sender is
 /// leaving.
 #[derive(Serialize, Deserialize)]
-struct Packed(Arc<str>, u64, u64, bool, u32, Vec<Arc<str>>, Vec<Known>);
+struct Packed(Arc<str>, u64, u64, bool, u32, Vec<Arc<str>>, Vec<KnownHost>);
 
 impl From<Heartbeat> for Packed {
     fn from(heartbeat: Heartbeat) -> Self {
@@ -69,12 +69,12 @@
     /// Hosts that the sender should hear and does not.
     pub missed: Vec<Arc<str>>,
     /// What the sender knows of the hosts that the receiver asked about.
-    pub known: Vec<Known>,
+    pub known: Vec<KnownHost>,
 }
 
 /// What one host knows of another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Known {
+pub struct KnownHost {
     /// The host that this is about.
     #[serde(rename = "h")]
     pub host: Arc<str>,
@@ -101,7 +101,7 @@
     /// The zone.
     pub zone: Arc<str>,
     /// Its hosts.
-    pub hosts: Vec<Known>,
+    pub hosts: Vec<KnownHost>,
 }
 
 impl Roster {
--- a/src/control/member.rs
+++ b/src/control/member.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use super::detector::Detector;
-use super::heartbeat::{millis, Known, State};
+use super::heartbeat::{millis, KnownHost, State};
 use crate::catalog::{self, ZoneKey};
 
 /// Time from a broken link until the host counts as dead if no other host hears it.
@@ -50,7 +50,7 @@
 
 /// The known state of one host.
 #[derive(Clone, Debug)]
-pub(super) struct Record {
+pub(super) struct PeerState {
     pub(super) name: Arc<str>,
     pub(super) zone: ZoneKey,
     pub(super) incarnation: u64,
@@ -70,7 +70,7 @@
     pub(super) is_unheard: bool,
 }
 
-impl Record {
+impl PeerState {
     pub(super) fn new(host: &catalog::Host) -> Self {
         Self {
             name: host.name.clone(),
@@ -154,9 +154,9 @@
         self.state == State::Leaving || self.listing == Listing::Leaving
     }
 
-    pub(super) fn to_known(&self, now: Instant) -> Option<Known> {
+    pub(super) fn to_known(&self, now: Instant) -> Option<KnownHost> {
         let heard = self.last_heard?;
-        Some(Known {
+        Some(KnownHost {
             host: self.name.clone(),
             incarnation: self.incarnation,
             sequence: self.sequence,
--- a/src/control/membership.rs
+++ b/src/control/membership.rs
@@ -15,10 +15,10 @@
 
 use super::detector::{Detector, INTERVAL};
 use super::heartbeat::millis;
-use super::member::{Link, Record, REMOTE_DEAD_SILENCE};
+use super::member::{Link, PeerState, REMOTE_DEAD_SILENCE};
 use crate::catalog::{self, Catalog, HostKey, ZoneKey};
 
-pub use super::heartbeat::{Heartbeat, Known, Report, Roster, State};
+pub use super::heartbeat::{Heartbeat, KnownHost, Report, Roster, State};
 pub use super::member::{Listing, Status, DEATH_CONFIRMATION};
 
 /// Minimum silence of a whole zone before it counts as lost.
@@ -82,7 +82,7 @@
     incarnation: u64,
     sequence: u64,
     state: State,
-    records: BTreeMap<HostKey, Record>,
+    records: BTreeMap<HostKey, PeerState>,
     hosts_by_name: BTreeMap<Arc<str>, HostKey>,
     zone_names: BTreeMap<ZoneKey, Arc<str>>,
     zone_reports: BTreeMap<ZoneKey, ZoneReport>,
@@ -131,7 +131,7 @@
                 .insert(host.zone, catalog.zone(host.zone).name.clone());
             if key != self.own {
                 let previous = self.records.remove(&key);
-                let mut record = previous.unwrap_or_else(|| Record::new(host));
+                let mut record = previous.unwrap_or_else(|| PeerState::new(host));
                 record.zone = host.zone;
                 records.insert(key, record);
             }
@@ -317,7 +317,7 @@
             .collect()
     }
 
-    fn is_heard_directly_within(&self, record: &Record, silence: Duration) -> bool {
+    fn is_heard_directly_within(&self, record: &PeerState, silence: Duration) -> bool {
         let is_link_intact = !matches!(record.link, Link::Down(_));
         let silence_since = |at| self.last_tick.saturating_duration_since(at);
         is_link_intact
@@ -346,7 +346,7 @@
         if heartbeat.known.is_empty() {
             self.update_unheard(host, heartbeat);
         }
-        let known: Vec<Known> = heartbeat
+        let known: Vec<KnownHost> = heartbeat
             .missed
             .iter()
             .filter_map(|name| self.hosts_by_name.get(name))
@@ -382,7 +382,7 @@
     }
 
     /// Merges what other hosts know, `delay` after they sent it.
-    pub fn merge_known(&mut self, now: Instant, known: &[Known], delay: Duration) {
+    pub fn merge_known(&mut self, now: Instant, known: &[KnownHost], delay: Duration) {
         for known in known {
             let Some(&host) = self.hosts_by_name.get(&known.host) else {
                 continue;
@@ -495,7 +495,7 @@
 
     /// The known hosts of the own zone, this host included.
     pub fn roster(&self, now: Instant) -> Roster {
-        let own = Known {
+        let own = KnownHost {
             host: self.name.clone(),
             incarnation: self.incarnation,
             sequence: self.sequence,
@@ -649,7 +649,7 @@
             .any(|(_, record)| record.is_linked() || record.is_opening())
     }
 
-    fn zone_records(&self, zone: ZoneKey) -> impl Iterator<Item = (HostKey, &Record)> {
+    fn zone_records(&self, zone: ZoneKey) -> impl Iterator<Item = (HostKey, &PeerState)> {
         self.records
             .iter()
             .filter(move |(_, record)| record.zone == zone)
@@ -712,7 +712,7 @@
     /// Whether a host is alive, even if it takes no new work. A suspect counts as alive until it is
     /// dead.
     pub fn is_alive(&self, host: HostKey) -> bool {
-        host == self.own || self.records.get(&host).is_some_and(Record::is_alive)
+        host == self.own || self.records.get(&host).is_some_and(PeerState::is_alive)
     }
 
     /// Whether a host is alive and a link to it works in both directions.
--- a/src/control/plan.rs
+++ b/src/control/plan.rs
@@ -79,7 +79,7 @@
 /// A plan as it is stored and sent, indexed by names. The store always has the whole plan. Between
 /// hosts, only the difference from an earlier plan may be sent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Record {
+pub struct PlanRecord {
     /// Its position in the order of plans.
     pub stamp: Stamp,
     /// The stamp of the plan that this is a difference from; none if this is a whole plan.
@@ -128,10 +128,10 @@
 
 impl Plan {
     /// Converts the plan to its stored form.
-    pub fn to_record(&self, catalog: &Catalog) -> Record {
-        let mut record = Record {
+    pub fn to_record(&self, catalog: &Catalog) -> PlanRecord {
+        let mut record = PlanRecord {
             stamp: self.stamp,
-            ..Record::default()
+            ..PlanRecord::default()
         };
         for (&(service, locality), shares) in &self.splits {
             let shares = quantize(shares)
@@ -163,7 +163,7 @@
     }
 }
 
-impl Record {
+impl PlanRecord {
     /// Returns the difference between this whole plan and an older whole one, or a copy of this
     /// plan if a split was removed.
     pub fn difference_from(&self, old: &Self) -> Self {
--- a/src/control/presence.rs
+++ b/src/control/presence.rs
@@ -28,7 +28,7 @@
 use crate::border::settings::Switch;
 
 pub use self::lookup::LookupFilter;
-pub use self::record::{Heartbeat, Pulse, Record, StoreView, Strength};
+pub use self::record::{Heartbeat, HostRecord, Pulse, StoreView, Strength};
 
 /// Interval between heartbeats within a region.
 pub const INTERVAL: Duration = Duration::from_millis(700);
@@ -58,16 +58,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Distance {
     /// In the same availability zone.
-    Zone,
+    SameZone,
     /// In another availability zone of the same region.
-    Region,
+    SameRegion,
     /// In another region.
-    Elsewhere,
+    OtherRegion,
 }
 
 #[derive(Clone, Debug)]
 struct Peer {
-    record: Record,
+    record: HostRecord,
     /// Whether it is in the region of this host.
     is_near: bool,
     /// When the current process of the host was first heard of.
@@ -90,7 +90,7 @@
 /// The entry hosts from the view of one of them.
 #[derive(Debug)]
 pub struct Presence {
-    own: Record,
+    own: HostRecord,
     region: Arc<str>,
     regions: BTreeMap<Arc<str>, Arc<str>>,
     is_leaving: bool,
@@ -126,7 +126,7 @@
 impl Presence {
     /// Creates the view of a host that knows no other; `regions` maps each availability zone to its
     /// region.
-    pub fn new(now: Instant, own: Record, regions: BTreeMap<Arc<str>, Arc<str>>) -> Self {
+    pub fn new(now: Instant, own: HostRecord, regions: BTreeMap<Arc<str>, Arc<str>>) -> Self {
         Self {
             region: regions.get(&own.zone).unwrap_or(&own.zone).clone(),
             own,
@@ -177,17 +177,17 @@
     }
 
     /// The record that this host registers.
-    pub fn own(&self) -> &Record {
+    pub fn own(&self) -> &HostRecord {
         &self.own
     }
 
     /// The region of a host.
-    pub fn region<'a>(&'a self, record: &'a Record) -> &'a Arc<str> {
+    pub fn region<'a>(&'a self, record: &'a HostRecord) -> &'a Arc<str> {
         self.regions.get(&record.zone).unwrap_or(&record.zone)
     }
 
     /// Whether a host is in the region of this one.
-    pub fn is_near(&self, record: &Record) -> bool {
+    pub fn is_near(&self, record: &HostRecord) -> bool {
         *self.region(record) == self.region
     }
 
@@ -255,9 +255,9 @@
             self.heartbeats_sent.is_multiple_of(self.zone_stride()) || self.is_speaker(now);
         self.heartbeats_sent += 1;
         let is_recipient = |peer: &&Peer| match self.distance(peer) {
-            Distance::Zone => true,
-            Distance::Region => includes_region,
-            Distance::Elsewhere => includes_remote,
+            Distance::SameZone => true,
+            Distance::SameRegion => includes_region,
+            Distance::OtherRegion => includes_remote,
         };
         let peers = self.peers.values().filter(is_recipient);
         peers.map(|peer| peer.record.peers).collect()
@@ -265,11 +265,11 @@
 
     fn distance(&self, peer: &Peer) -> Distance {
         if peer.record.zone == self.own.zone {
-            Distance::Zone
+            Distance::SameZone
         } else if peer.is_near {
-            Distance::Region
+            Distance::SameRegion
         } else {
-            Distance::Elsewhere
+            Distance::OtherRegion
         }
     }
 
@@ -298,7 +298,7 @@
 
     /// Processes a registration. A new process of a host counts as heard now, so it is alive until
     /// it has been silent for too long. Returns whether the process is new.
-    pub fn register(&mut self, now: Instant, record: Record) -> bool {
+    pub fn register(&mut self, now: Instant, record: HostRecord) -> bool {
         if record.host == self.own.host {
             return false;
         }
@@ -398,17 +398,17 @@
     }
 
     /// The records of all other hosts, alive or not.
-    pub fn peers(&self) -> impl Iterator<Item = &Record> {
+    pub fn peers(&self) -> impl Iterator<Item = &HostRecord> {
         self.peers.values().map(|peer| &peer.record)
     }
 
     /// The record of another host.
-    pub fn peer(&self, host: &str) -> Option<&Record> {
+    pub fn peer(&self, host: &str) -> Option<&HostRecord> {
         self.peers.get(host).map(|peer| &peer.record)
     }
 
     /// The record of the host that sends heartbeats from `address`.
-    pub fn peer_at(&self, address: SocketAddr) -> Option<&Record> {
+    pub fn peer_at(&self, address: SocketAddr) -> Option<&HostRecord> {
         let peer = self.peers.get(self.hosts_by_address.get(&address)?)?;
         Some(&peer.record)
     }
@@ -419,7 +419,7 @@
     }
 
     /// The hosts that are alive and not leaving, including this one.
-    pub fn alive(&self, now: Instant) -> impl Iterator<Item = &Record> {
+    pub fn alive(&self, now: Instant) -> impl Iterator<Item = &HostRecord> {
         let own = (!self.is_leaving).then_some(&self.own);
         let others = self.live_peers(now).map(|peer| &peer.record);
         own.into_iter().chain(others)
@@ -429,7 +429,7 @@
     /// Rendezvous hashing selects one live host in each availability zone, so that zones that are
     /// cut off from each other each have one.
     pub fn counting_hosts(&self, now: Instant, key: u64) -> Vec<SocketAddr> {
-        let mut best_by_zone: BTreeMap<&Arc<str>, (u64, &Record)> = BTreeMap::new();
+        let mut best_by_zone: BTreeMap<&Arc<str>, (u64, &HostRecord)> = BTreeMap::new();
         for record in self.alive(now) {
             let score = xxh3_64_with_seed(record.host.as_bytes(), key);
             let best = best_by_zone.entry(&record.zone).or_insert((score, record));
@@ -443,7 +443,7 @@
     }
 
     /// The hosts that can serve callers: alive and not known to lack a configuration.
-    pub fn serving(&self, now: Instant) -> impl Iterator<Item = &Record> {
+    pub fn serving(&self, now: Instant) -> impl Iterator<Item = &HostRecord> {
         let own = (!self.is_leaving && self.store_view > StoreView::Nothing).then_some(&self.own);
         let others = self
             .live_peers(now)
@@ -482,12 +482,12 @@
 
     fn is_heard(&self, now: Instant, peer: &Peer) -> bool {
         let (beats, zone_heard) = match self.distance(peer) {
-            Distance::Zone => (1, None),
-            Distance::Region => (
+            Distance::SameZone => (1, None),
+            Distance::SameRegion => (
                 self.zone_stride(),
                 self.zones_last_heard.get(&peer.record.zone),
             ),
-            Distance::Elsewhere => (self.remote_stride(), None),
+            Distance::OtherRegion => (self.remote_stride(), None),
         };
         let is_recent = |heard: Instant, beats: u64| {
             let span = (INTERVAL * beats as u32).mul_f64(MAX_MISSED_HEARTBEATS);
@@ -501,7 +501,7 @@
 
 /// The rank of a host, which all hosts compute alike. Hosts with the most capacity come first, as
 /// many others follow them.
-fn rank(record: &Record) -> (u64, u64) {
+fn rank(record: &HostRecord) -> (u64, u64) {
     let share = (record.strength.share() * 100.0) as u64;
     (share, xxh3_64(record.host.as_bytes()))
 }
--- a/src/control/presence/lookup.rs
+++ b/src/control/presence/lookup.rs
@@ -5,7 +5,7 @@
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use super::{Presence, Record, StoreView};
+use super::{HostRecord, Presence, StoreView};
 use crate::border::settings::Switch;
 use crate::control::active_hosts::{self, Candidate};
 use crate::port::Question;
@@ -80,7 +80,7 @@
     /// The hosts that may be named to a caller: those of its availability zone if there are enough, else those of its
     /// region, else all.
     fn candidates(&self, now: Instant, question: &Question) -> Vec<Candidate> {
-        let distance = |record: &Record| -> u8 {
+        let distance = |record: &HostRecord| -> u8 {
             if record.zone == question.zone {
                 return 0;
             }
@@ -138,7 +138,7 @@
     }
 }
 
-fn candidate(record: &Record, rate: u32) -> Candidate {
+fn candidate(record: &HostRecord, rate: u32) -> Candidate {
     Candidate {
         front: record.front,
         strength: record.strength,
--- a/src/control/presence/record.rs
+++ b/src/control/presence/record.rs
@@ -7,7 +7,7 @@
 
 /// The registration of an entry host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Record {
+pub struct HostRecord {
     /// Its name.
     pub host: Arc<str>,
     /// Its availability zone.
@@ -78,7 +78,7 @@
 pub struct Heartbeat {
     /// Its sender.
     #[serde(rename = "r")]
-    pub record: Record,
+    pub record: HostRecord,
     /// Whether the sender finishes its current work and takes no new work.
     #[serde(rename = "l")]
     pub leaving: bool,
--- a/src/control/presence/watching.rs
+++ b/src/control/presence/watching.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use super::{rank, Peer, Presence, Record, StoreView};
+use super::{rank, HostRecord, Peer, Presence, StoreView};
 use crate::border::settings::Switch;
 use crate::control::freshness;
 use crate::control::replica::Outage;
@@ -127,8 +127,8 @@
     pub fn feed_source(
         &self,
         now: Instant,
-        skip: impl Fn(&Record) -> bool,
-    ) -> Option<(&Record, StoreView)> {
+        skip: impl Fn(&HostRecord) -> bool,
+    ) -> Option<(&HostRecord, StoreView)> {
         let min_view = self.store_view.min(StoreView::Stale);
         let (_, own_draw) = rank(&self.own);
         let only_near = self.awaits_copy(now);
--- a/src/control/summary.rs
+++ b/src/control/summary.rs
@@ -123,7 +123,7 @@
 
 /// A quota that a host lacks or wants to keep.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Need {
+pub struct QuotaNeed {
     /// The host.
     #[serde(rename = "h")]
     pub host: Arc<str>,
@@ -181,7 +181,7 @@
     pub moving: Vec<Arc<str>>,
     /// Wanted quotas.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
-    pub needs: Vec<Need>,
+    pub needs: Vec<QuotaNeed>,
 }
 
 /// The figures to send.
@@ -286,10 +286,10 @@
         .collect()
 }
 
-fn needs(needs: &BTreeMap<(HostKey, RegionKey), f32>, catalog: &Catalog) -> Vec<Need> {
+fn needs(needs: &BTreeMap<(HostKey, RegionKey), f32>, catalog: &Catalog) -> Vec<QuotaNeed> {
     needs
         .iter()
-        .map(|(&(host, region), &wanted)| Need {
+        .map(|(&(host, region), &wanted)| QuotaNeed {
             host: catalog.host(host).name.clone(),
             region: catalog.region(region).name.clone(),
             wanted,
--- a/src/control/wire.rs
+++ b/src/control/wire.rs
@@ -6,7 +6,7 @@
 
 use super::digest::Digest;
 use super::membership::{Heartbeat, Roster};
-use super::plan::{Record, Stamp};
+use super::plan::{PlanRecord, Stamp};
 use super::summary::Message;
 use crate::steer::quarantine::Note;
 use crate::steer::throttle::News;
@@ -30,7 +30,7 @@
     /// The hosts of a zone.
     Roster(Roster, Option<Arc<str>>),
     /// A plan.
-    Plan(Record, Option<Arc<str>>),
+    Plan(PlanRecord, Option<Arc<str>>),
     /// A request to send missed data again in full.
     Ask(Ask),
     /// Requests that crash targets. A host that learns something new from it forwards it.
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -14,7 +14,7 @@
 use crate::catalog::{Catalog, HostKey, RegionKey, ServiceKey, State, ZoneKey};
 use crate::control::agent::{Agent, Output};
 use crate::control::membership::{Listing, ZoneStatus};
-use crate::control::plan::Record;
+use crate::control::plan::PlanRecord;
 use crate::control::summary::Load;
 use crate::control::wire::Frame;
 use crate::control::{lease, publish};
@@ -206,7 +206,7 @@
     }
 
     /// The plan that was found in the store.
-    pub(crate) fn stored(&mut self, now: Instant, record: Record) {
+    pub(crate) fn stored(&mut self, now: Instant, record: PlanRecord) {
         if let Some(agent) = &mut self.agent {
             agent.adopt_stored_plan(now, record);
         }
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -26,7 +26,7 @@
 use super::{Error, Published};
 use crate::border::settings::Settings;
 use crate::catalog::{Catalog, HostKey, ServiceKey, TargetKey};
-use crate::control::plan::Record;
+use crate::control::plan::PlanRecord;
 use crate::control::wire::Frame;
 use crate::control::{lease, publish};
 use crate::peer::mesh::{self, Mesh};
@@ -98,7 +98,7 @@
     /// The outcome of a question about the planner lease.
     Leased(lease::Event),
     /// The plan that was found in the store.
-    Stored(Box<Record>),
+    Stored(Box<PlanRecord>),
     /// The outcome of a question about the plan.
     Published(publish::Event),
     /// The platform's list of hosts.
--- a/src/entry/platform.rs
+++ b/src/entry/platform.rs
@@ -19,7 +19,7 @@
 use super::core::{Event, Handle};
 use super::feed::{Known, News, Queue};
 use super::Error;
-use crate::control::plan::Record;
+use crate::control::plan::PlanRecord;
 use crate::control::{lease, publish};
 use crate::store::client::{Client, Condition, Error as StoreError, Versioned, Written};
 use crate::store::guard::Guard;
@@ -46,7 +46,7 @@
     /// Read or write the lease.
     Lease(lease::Command),
     /// Read or write the plan.
-    Plan(publish::Command, Box<Record>),
+    Plan(publish::Command, Box<PlanRecord>),
 }
 
 /// What the threads share.
@@ -215,8 +215,8 @@
 fn plan(
     guard: &Guard,
     command: publish::Command,
-    record: &Record,
-) -> (publish::Event, Option<Record>) {
+    record: &PlanRecord,
+) -> (publish::Event, Option<PlanRecord>) {
     let publish::Command::Write { condition, .. } = command else {
         return read_plan(guard);
     };
@@ -229,8 +229,8 @@
     (event, None)
 }
 
-fn read_plan(guard: &Guard) -> (publish::Event, Option<Record>) {
-    match read::<Record>(guard, PLAN) {
+fn read_plan(guard: &Guard) -> (publish::Event, Option<PlanRecord>) {
+    match read::<PlanRecord>(guard, PLAN) {
         Ok(Some(found)) => {
             let seen = (version(found.version), found.value.stamp);
             (publish::Event::Read(Some(seen)), Some(found.value))
--- a/src/host/core.rs
+++ b/src/host/core.rs
@@ -9,7 +9,7 @@
 
 use super::log::{self, Event};
 use crate::account::Knowledge;
-use crate::control::presence::{self, LookupFilter, Presence, Record, StoreView};
+use crate::control::presence::{self, HostRecord, LookupFilter, Presence, StoreView};
 use crate::control::proof::{Moment, Proof, RENEWAL_FRACTION};
 use crate::control::replica::{Effect, Outage, Replica, Update};
 use crate::inventory::{Config, Registration, Route, State, Table};
@@ -55,7 +55,7 @@
         let since_epoch = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
-        let own = Record {
+        let own = HostRecord {
             host: settings.host.clone(),
             zone: settings.zone.clone(),
             front: settings.front,
@@ -251,7 +251,7 @@
     }
 
     /// Takes in the hosts that another one hears, as the store could not be asked.
-    pub(crate) fn hear_of(&mut self, now: Instant, records: Vec<Record>) {
+    pub(crate) fn hear_of(&mut self, now: Instant, records: Vec<HostRecord>) {
         for record in records {
             self.presence.register(now, record);
         }
--- a/src/host/feed.rs
+++ b/src/host/feed.rs
@@ -17,7 +17,7 @@
 use super::copy::{self, Copy};
 use super::log::Event;
 use super::{beat, client, now, proof, serve, Error, Gap, Host};
-use crate::control::presence::{Record, StoreView};
+use crate::control::presence::{HostRecord, StoreView};
 use crate::control::replica::Update;
 use crate::port::{Entry, Kind};
 
@@ -55,7 +55,7 @@
     /// A follower that has not read the registrations asks which hosts there are.
     Ask,
     /// The hosts that the sender hears.
-    Hosts(Vec<Record>),
+    Hosts(Vec<HostRecord>),
     /// A follower asks how old the sender's configuration may be.
     AskProof,
     /// The answer, if the sender knows it.
--- a/src/host/sync.rs
+++ b/src/host/sync.rs
@@ -14,7 +14,7 @@
 use super::store::{Client, Error};
 use super::watcher::{Reach, Steady, WATCHED};
 use super::{beat, join, now, proof, Host};
-use crate::control::presence::{Record, StoreView};
+use crate::control::presence::{HostRecord, StoreView};
 use crate::control::replica::Update;
 use crate::port::{Age, Call, Entry, Kind, Reply};
 
@@ -136,7 +136,7 @@
     };
     let only_near = host.begin.is_reading(now);
     let skip_host =
-        |record: &Record| skip(record.feed) || (only_near && !core.presence.is_near(record));
+        |record: &HostRecord| skip(record.feed) || (only_near && !core.presence.is_near(record));
     if let Some((record, _)) = core.presence.feed_source(now, skip_host) {
         return Some(record.feed);
     }
--- a/src/port.rs
+++ b/src/port.rs
@@ -118,7 +118,7 @@
     /// The availability zone of this name is evacuated.
     Evacuation,
     /// An entry host.
-    Host(Box<presence::Record>),
+    Host(Box<presence::HostRecord>),
 }
 
 /// A named object; without a value it was removed.
@@ -163,9 +163,9 @@
         wait: Duration,
     },
     /// Registers an entry host that is not registered yet.
-    Create(presence::Record),
+    Create(presence::HostRecord),
     /// Replaces the registration of an entry host, if it still has the given version.
-    Replace(presence::Record, u64),
+    Replace(presence::HostRecord, u64),
     /// Removes the registration of an entry host, if it still has the given version.
     Remove(Arc<str>, u64),
 }
--- a/tests/net/agents.rs
+++ b/tests/net/agents.rs
@@ -12,7 +12,7 @@
 use ragwortfold::catalog::{Catalog, HostKey, ServiceKey, ZoneKey};
 use ragwortfold::control::agent::{Agent, Output};
 use ragwortfold::control::lease::{self, Condition};
-use ragwortfold::control::plan::{Record, Stamp};
+use ragwortfold::control::plan::{PlanRecord, Stamp};
 use ragwortfold::control::publish;
 use ragwortfold::control::summary::Load;
 use ragwortfold::control::wire::Frame;
@@ -128,9 +128,9 @@
     Down(HostKey, HostKey),
     /// A command on the lease arrives at the store, with the incarnation that sent it.
     LeaseCall(HostKey, u64, lease::Command),
-    PlanCall(HostKey, u64, publish::Command, Box<Record>),
+    PlanCall(HostKey, u64, publish::Command, Box<PlanRecord>),
     LeaseAnswer(HostKey, u64, lease::Event),
-    PlanAnswer(HostKey, u64, publish::Event, Option<Box<Record>>),
+    PlanAnswer(HostKey, u64, publish::Event, Option<Box<PlanRecord>>),
 }
 
 /// The objects of the store, and its faults.
@@ -138,7 +138,7 @@
 pub struct Store {
     version: u64,
     lease: Option<(u64, lease::Value)>,
-    plan: Option<(u64, Record)>,
+    plan: Option<(u64, PlanRecord)>,
     /// Stamps of all plans that were ever stored.
     pub history: BTreeSet<Stamp>,
     pub down: bool,
@@ -551,8 +551,8 @@
         &mut self,
         host: HostKey,
         command: publish::Command,
-        record: Record,
-    ) -> (publish::Event, Option<Box<Record>>) {
+        record: PlanRecord,
+    ) -> (publish::Event, Option<Box<PlanRecord>>) {
         if self.is_store_unreachable(host) {
             return (publish::Event::Down, None);
         }
--- a/tests/plan.rs
+++ b/tests/plan.rs
@@ -15,7 +15,7 @@
 use ragwortfold::catalog::{Catalog, HostKey, ServiceKey, ZoneKey};
 use ragwortfold::control::digest::{self, Digest, Level, Levels};
 use ragwortfold::control::membership::{Membership, State, Via, ZoneStatus};
-use ragwortfold::control::plan::{Bonus, Plan, Record, Shares, Stamp};
+use ragwortfold::control::plan::{Bonus, Plan, PlanRecord, Shares, Stamp};
 use ragwortfold::control::planner::{wanted_quotas, Causality, Planner, View};
 use ragwortfold::control::summary::{ApplyResult, Load, Message, Sample, Sender, Table};
 
@@ -237,7 +237,7 @@
         };
         let mut bytes = Vec::new();
         ciborium::into_writer(&plan.to_record(&world.catalog), &mut bytes).expect("bytes");
-        let record: Record = ciborium::from_reader(bytes.as_slice()).expect("a record");
+        let record: PlanRecord = ciborium::from_reader(bytes.as_slice()).expect("a record");
         let back = record.to_plan(&world.catalog);
         prop_assert_eq!(&back.bonuses, &plan.bonuses);
         prop_assert_eq!(back.stamp, plan.stamp);
@@ -264,7 +264,7 @@
     let mut less = new.clone();
     less.splits.clear();
     assert_eq!(less.difference_from(&new), less);
-    assert_eq!(new.applied_to(&Record::default()), Some(new.clone()));
+    assert_eq!(new.applied_to(&PlanRecord::default()), Some(new.clone()));
 }
 
 /// Two hosts of a zone, and the table of their delegate.
--- a/tests/presence.rs
+++ b/tests/presence.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use ragwortfold::control::presence::{
-    Heartbeat, LookupFilter, Presence, Pulse, Record, StoreView, Strength, INTERVAL,
+    Heartbeat, HostRecord, LookupFilter, Presence, Pulse, StoreView, Strength, INTERVAL,
     REMOTE_HEARTBEAT_STRIDE, REMOVAL_SILENCE,
 };
 use ragwortfold::control::replica::Outage;
@@ -28,8 +28,8 @@
     SocketAddr::from(([127, 0, 0, 1], sum))
 }
 
-fn record(host: &str, zone: &str, incarnation: u64) -> Record {
-    Record {
+fn record(host: &str, zone: &str, incarnation: u64) -> HostRecord {
+    HostRecord {
         host: host.into(),
         zone: zone.into(),
         front: address_of(host),
@@ -43,7 +43,7 @@
     }
 }
 
-fn heartbeat(record: Record, view: StoreView) -> Heartbeat {
+fn heartbeat(record: HostRecord, view: StoreView) -> Heartbeat {
     Heartbeat {
         record,
         leaving: false,
@@ -52,7 +52,7 @@
     }
 }
 
-fn names<'a>(records: impl Iterator<Item = &'a Record>) -> Vec<&'a str> {
+fn names<'a>(records: impl Iterator<Item = &'a HostRecord>) -> Vec<&'a str> {
     records.map(|record| &*record.host).collect()
 }
 
@@ -458,7 +458,7 @@
 #[test]
 fn a_host_with_a_narrow_link_leaves_the_store_to_others() {
     let now = Instant::now();
-    let narrow = |mut record: Record| {
+    let narrow = |mut record: HostRecord| {
         record.strength.megabits = 10.0;
         record
     };
@@ -805,7 +805,7 @@
 /// A weak host that has just started in zone `n-a` and has heard a strong host in each of these
 /// zones with this store view.
 fn newcomer(now: Instant, others: &[(&str, StoreView)]) -> Presence {
-    let own = Record {
+    let own = HostRecord {
         strength: WEAK,
         ..record("own", "n-a", 1)
     };
@@ -892,7 +892,7 @@
     const ROUNDS: usize = 12;
     let now = Instant::now();
     let zones = ["n-a", "n-b"];
-    let host = |index: usize| Record {
+    let host = |index: usize| HostRecord {
         peers: SocketAddr::from(([10, 0, index as u8 % 2, 1], index as u16)),
         ..record(&format!("h{index}"), zones[index % 2], 1)
     };
@@ -925,7 +925,7 @@
     const OTHERS: usize = 200;
     let start = Instant::now();
     let mut presence = presence(start, &[]);
-    let others: Vec<Record> = (0..OTHERS)
+    let others: Vec<HostRecord> = (0..OTHERS)
         .map(|index| record(&format!("o{index:03}"), "n-b", 1))
         .collect();
     for other in &others {
