--- a/src/control/presence/record.rs
+++ b/src/control/presence/record.rs
@@ -7,7 +7,7 @@
 
 /// The registration of an entry host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Record {
+pub struct HostRecord {
     /// Its name.
     pub host: Arc<str>,
     /// Its availability zone.
@@ -78,13 +78,13 @@
 pub struct Heartbeat {
     /// Its sender.
     #[serde(rename = "r")]
-    pub record: Record,
+    pub record: HostRecord,
     /// Whether the sender finishes its current work and takes no new work.
     #[serde(rename = "l")]
     pub leaving: bool,
     /// The sender's view of the store.
     #[serde(rename = "s")]
-    pub sight: StoreView,
+    pub store_view: StoreView,
     /// Requests per second that the sender receives.
     #[serde(rename = "n")]
     pub rate: u32,
--- a/src/host/core.rs
+++ b/src/host/core.rs
@@ -10,7 +10,7 @@
 
 use super::log::{self, Event};
 use crate::account::ConfigFreshness;
-use crate::control::presence::{self, LookupFilter, Presence, Record, StoreView};
+use crate::control::presence::{self, HostRecord, LookupFilter, Presence, StoreView};
 use crate::control::proof::{Moment, Proof, RENEWAL_FRACTION};
 use crate::control::replica::{Effect, Outage, Replica, Update};
 use crate::inventory::{Config, Registration, Route, RouteTable, State};
@@ -56,7 +56,7 @@
         let since_epoch = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
-        let own = Record {
+        let own = HostRecord {
             host: settings.host.clone(),
             zone: settings.zone.clone(),
             front: settings.front,
@@ -263,7 +263,7 @@
     }
 
     /// Adds the hosts reported by another host, when the store could not be read.
-    pub(crate) fn add_hosts(&mut self, now: Instant, records: Vec<Record>) {
+    pub(crate) fn add_hosts(&mut self, now: Instant, records: Vec<HostRecord>) {
         for record in records {
             self.presence.register(now, record);
         }
--- a/src/host/feed.rs
+++ b/src/host/feed.rs
@@ -26,7 +26,7 @@
 use super::Error;
 use super::Gap;
 use super::Host;
-use crate::control::presence::Record;
+use crate::control::presence::HostRecord;
 use crate::control::presence::StoreView;
 use crate::control::replica::Update;
 use crate::port::{Entry, Kind};
@@ -68,7 +68,7 @@
     /// Request of a follower that has not read the registrations for the list of hosts.
     Ask,
     /// The hosts that the sender receives heartbeats from.
-    Hosts(Vec<Record>),
+    Hosts(Vec<HostRecord>),
     /// Request of a follower for the age of the sender's configuration.
     AskProof,
     /// The response to [`Message::AskProof`]; `None` if the sender has no proof.
--- a/src/host/sync.rs
+++ b/src/host/sync.rs
@@ -15,7 +15,7 @@
 use super::store::{Client, Error};
 use super::watcher::{Debounce, StoreProbe, WATCHED_KINDS};
 use super::{datagram, join, now, proof, Host};
-use crate::control::presence::{Record, StoreView};
+use crate::control::presence::{HostRecord, StoreView};
 use crate::control::replica::Update;
 use crate::port::{Age, Call, Entry, Kind, Reply};
 
@@ -143,7 +143,7 @@
         failed_at.is_some_and(|at| now.saturating_duration_since(*at) < FAILED_FEED_SKIP)
     };
     let only_same_region = host.startup.is_reading(now);
-    let skip_host = |record: &Record| {
+    let skip_host = |record: &HostRecord| {
         has_failed(record.feed) || (only_same_region && !core.presence.is_near(record))
     };
     if let Some((record, _)) = core.presence.feed_source(now, skip_host) {
--- a/tests/plan.rs
+++ b/tests/plan.rs
@@ -15,7 +15,7 @@
 use ragwortfold::catalog::{Catalog, HostKey, ServiceKey, ZoneKey};
 use ragwortfold::control::digest::{self, Digest, Level, Levels};
 use ragwortfold::control::membership::{Membership, State, Via, ZoneStatus};
-use ragwortfold::control::plan::{Bonus, Plan, Record, Shares, Stamp};
+use ragwortfold::control::plan::{Bonus, Plan, PlanRecord, Shares, Stamp};
 use ragwortfold::control::planner::{wanted_quotas, Causality, Planner, View};
 use ragwortfold::control::summary::{ApplyResult, Load, Message, Sample, Sender, Table};
 
@@ -237,7 +237,7 @@
         };
         let mut bytes = Vec::new();
         ciborium::into_writer(&plan.to_record(&world.catalog), &mut bytes).expect("bytes");
-        let record: Record = ciborium::from_reader(bytes.as_slice()).expect("a record");
+        let record: PlanRecord = ciborium::from_reader(bytes.as_slice()).expect("a record");
         let back = record.to_plan(&world.catalog);
         prop_assert_eq!(&back.bonuses, &plan.bonuses);
         prop_assert_eq!(back.stamp, plan.stamp);
@@ -264,7 +264,7 @@
     let mut less = new.clone();
     less.splits.clear();
     assert_eq!(less.difference_from(&new), less);
-    assert_eq!(new.applied_to(&Record::default()), Some(new.clone()));
+    assert_eq!(new.applied_to(&PlanRecord::default()), Some(new.clone()));
 }
 
 /// Two hosts of a zone, and the table of their delegate.
@@ -376,14 +376,14 @@
         assert_eq!(it.take(6_000, &fourth), ApplyResult::Gap);
         let entry = it.table.host_source(it.hosts[0]).and_then(|source| source.load(it.service));
         assert_eq!(entry.map(|entry| entry.sampled), Some(it.at(0)));
-        it.senders[0].request_full();
+        it.senders[0].force_full();
         let full = it.message(8_000, 0, 9.0, 0);
         assert_eq!(it.take(8_000, &full), ApplyResult::Newer);
         assert_eq!(it.in_flight(8_000), 9.0);
     },
     older_messages_are_ignored: |it| {
         let first = it.message(0, 0, 3.0, 0);
-        it.senders[0].request_full();
+        it.senders[0].force_full();
         let second = it.message(2_000, 0, 5.0, 0);
         assert_eq!(it.take(2_000, &second), ApplyResult::Newer);
         assert_eq!(it.take(2_000, &first), ApplyResult::Ignored);
@@ -469,7 +469,7 @@
             ..Sample::default()
         };
         let now = self.at(at);
-        self.source.request_full();
+        self.source.force_full();
         let message = self.source.message(now, &sample, &self.catalog);
         self.summaries
             .apply(now, &message, Duration::ZERO, &self.catalog);
@@ -497,7 +497,7 @@
 delegate! {
     a_digest_contains_the_levels_of_other_zones: |it| {
         let digest = it.digest(0, 30.0, 20.0);
-        assert_eq!(digest.zones.len(), 1, "only what is heard and told of");
+        assert_eq!(digest.zones.len(), 1, "only the zone that is heard and has reported");
         assert_eq!(digest.zones[0].roster, 77);
         assert_eq!(it.take(100, &digest), ApplyResult::Newer);
         assert_eq!(it.level(), Some(Level { filled: 1.5, sampled: it.at(100) }));
@@ -523,7 +523,7 @@
         assert_eq!(it.take(8_000, &third), ApplyResult::Gap);
         assert_eq!(it.level(), Some(Level { filled: 0.5, sampled: it.at(0) }));
         assert_eq!(it.take(8_000, &first), ApplyResult::Ignored);
-        it.sender.request_full();
+        it.sender.force_full();
         let full = it.digest(9_000, 18.0, 20.0);
         assert_eq!(it.take(9_000, &full), ApplyResult::Newer);
         assert_eq!(it.level().map(|level| level.filled), Some(0.9));
--- a/tests/presence.rs
+++ b/tests/presence.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use ragwortfold::control::presence::{
-    Heartbeat, LookupFilter, Presence, Pulse, Record, StoreView, Strength, INTERVAL,
+    Heartbeat, HostRecord, LookupFilter, Presence, Pulse, StoreView, Strength, INTERVAL,
     REMOTE_HEARTBEAT_STRIDE, REMOVAL_SILENCE,
 };
 use ragwortfold::control::replica::Outage;
@@ -28,8 +28,8 @@
     SocketAddr::from(([127, 0, 0, 1], sum))
 }
 
-fn record(host: &str, zone: &str, incarnation: u64) -> Record {
-    Record {
+fn record(host: &str, zone: &str, incarnation: u64) -> HostRecord {
+    HostRecord {
         host: host.into(),
         zone: zone.into(),
         front: address_of(host),
@@ -43,16 +43,16 @@
     }
 }
 
-fn heartbeat(record: Record, view: StoreView) -> Heartbeat {
+fn heartbeat(record: HostRecord, view: StoreView) -> Heartbeat {
     Heartbeat {
         record,
         leaving: false,
-        sight: view,
+        store_view: view,
         rate: 0,
     }
 }
 
-fn names<'a>(records: impl Iterator<Item = &'a Record>) -> Vec<&'a str> {
+fn names<'a>(records: impl Iterator<Item = &'a HostRecord>) -> Vec<&'a str> {
     records.map(|record| &*record.host).collect()
 }
 
@@ -248,11 +248,7 @@
     assert_eq!(few.len(), count);
     assert_eq!(watchers(now, &vec![StoreView::Relayed; hosts]), few);
     let stale = watchers(now, &vec![StoreView::Stale; hosts]);
-    assert_eq!(
-        stale.len(),
-        count,
-        "a store that nobody sees is called by few"
-    );
+    assert_eq!(stale.len(), count, "few hosts call a store that none sees");
     let mut views = vec![StoreView::Relayed; hosts];
     for index in &few {
         views[*index] = StoreView::Store;
@@ -263,7 +259,7 @@
     assert_eq!(
         others.len(),
         count + 1,
-        "the next one steps in, the first goes on trying"
+        "the next one begins to watch, the first keeps trying"
     );
 }
 
@@ -462,7 +458,7 @@
 #[test]
 fn a_host_with_a_narrow_link_leaves_the_store_to_others() {
     let now = Instant::now();
-    let narrow = |mut record: Record| {
+    let narrow = |mut record: HostRecord| {
         record.strength.megabits = 10.0;
         record
     };
@@ -809,7 +805,7 @@
 /// A weak host that has just started in zone `n-a` and has heard a strong host in each of these
 /// zones with this store view.
 fn newcomer(now: Instant, others: &[(&str, StoreView)]) -> Presence {
-    let own = Record {
+    let own = HostRecord {
         strength: WEAK,
         ..record("own", "n-a", 1)
     };
@@ -896,7 +892,7 @@
     const ROUNDS: usize = 12;
     let now = Instant::now();
     let zones = ["n-a", "n-b"];
-    let host = |index: usize| Record {
+    let host = |index: usize| HostRecord {
         peers: SocketAddr::from(([10, 0, index as u8 % 2, 1], index as u16)),
         ..record(&format!("h{index}"), zones[index % 2], 1)
     };
@@ -929,7 +925,7 @@
     const OTHERS: usize = 200;
     let start = Instant::now();
     let mut presence = presence(start, &[]);
-    let others: Vec<Record> = (0..OTHERS)
+    let others: Vec<HostRecord> = (0..OTHERS)
         .map(|index| record(&format!("o{index:03}"), "n-b", 1))
         .collect();
     for other in &others {
@@ -982,7 +978,7 @@
     presence.set_store_view(StoreView::Stale);
     assert!(
         presence.watch_delay(now) < to_follow,
-        "nobody sees the store"
+        "no host sees the store"
     );
     presence.receive_heartbeat(now, heartbeat(record("h1", "s-a", 1), StoreView::Store));
     assert!(presence.watch_delay(now) >= to_follow * 2);
