--- a/src/steer/allowance.rs
+++ b/src/steer/allowance.rs
@@ -32,8 +32,7 @@
 /// One report in this many also goes to other regions: they need only rates, and traffic between
 /// regions is expensive.
 pub const REMOTE_REPORT_PERIOD: u32 = 4;
-/// Factor over its average rate from which a host takes its own admissions for a surge at all
-/// hosts.
+/// A host whose admissions exceed its average rate by this factor assumes a surge at all hosts.
 const SURGE_FACTOR: f64 = 1.5;
 /// Requests that a host may admit between two reports whatever its share is: the first while the
 /// bucket is at least [`FULL_LEVEL`] full, the second while it is not. Each host may do so, so they
@@ -65,9 +64,9 @@
 /// Time after its start for which a host ignores the first counts of processes that are older than
 /// itself: they may include requests of long ago.
 const STARTUP_PERIOD: Duration = Duration::from_secs(3);
-/// Time after its start for which a host uses at most an equal share, unless half as many hosts as
-/// the region has have reported more than once before. When all hosts start at once each would
-/// otherwise use the whole refill for itself.
+/// Time after its start for which a host uses at most an equal share, unless half of the region's
+/// hosts have reported more than once before. When all hosts start at once each would otherwise use
+/// the whole refill for itself.
 const EQUAL_SHARE_PERIOD: Duration = Duration::from_millis(1000);
 /// Report interval of a host during [`STARTUP_PERIOD`]: the other hosts either start at the same
 /// time or have no counts of it.
@@ -519,7 +518,7 @@
     }
 
     /// Whether this host has to use an equal share, as too few hosts have reported.
-    fn has_equal_share(&self, now: Instant) -> bool {
+    fn uses_equal_share(&self, now: Instant) -> bool {
         let local = self.peers.values();
         let reporting = local.filter(|peer| peer.region == self.region && peer.reports > 1);
         self.age(now) < EQUAL_SHARE_PERIOD && reporting.count() * 2 < self.hosts
@@ -531,7 +530,7 @@
         if known.is_none_or(|bucket| bucket.period == self.period) {
             return;
         }
-        let has_equal_share = self.has_equal_share(now);
+        let uses_equal_share = self.uses_equal_share(now);
         let Some(bucket) = self.buckets.get_mut(&id) else {
             return;
         };
@@ -562,7 +561,7 @@
             bucket.agreed_share = region_share;
         }
         bucket.region_share = region_share.min(bucket.agreed_share);
-        bucket.host_share = if has_equal_share {
+        bucket.host_share = if uses_equal_share {
             1.0 / self.hosts as f64
         } else {
             1.0
--- a/src/steer/drift.rs
+++ b/src/steer/drift.rs
@@ -15,18 +15,20 @@
 /// Share of all requests that may return in one span: two steps stay below the usual cap on shifts,
 /// 0.15 in 2 s, with a margin for differences between hosts.
 const MAX_RETURN_STEP: f64 = 0.05;
-/// Share of all requests by which those that leave may exceed the previous span, while there is
-/// capacity for them in the region.
+/// Share of all requests by which the requests that leave may exceed those of the previous span,
+/// while they could stay.
 const MAX_LEAVE_STEP: f64 = 0.06;
 /// Requests in a span that are enough to measure the share.
 const MIN_SPAN_REQUESTS: u32 = 4;
-/// Time for which the share is determined by the region's slots alone. Requests that return after
-/// that are few compared with those that move in the two seconds to which operators' caps apply.
+/// Time for which the initial share is kept, which is computed from the region's slots alone.
+/// Requests that return after it are few compared with all that move in the two seconds to which
+/// operators' caps apply.
 const INITIAL_SHARE_TRIAL: Duration = Duration::from_millis(200);
 /// Time for which a decrease in the region's usable slots counts as a loss. Requests that such a
 /// loss displaces have to leave at once, and its targets may take as long to return.
 const SLOT_LOSS_SPAN: Duration = Duration::from_secs(10);
-/// Share of the slots below which the others count as lost: single targets come and go every day.
+/// Share of the former slots below which the missing ones count as a loss: single targets come and
+/// go every day.
 const USUAL_SLOTS_SHARE: f64 = 0.9;
 
 /// The share of requests that run in other regions.
@@ -103,7 +105,7 @@
 
     /// Records the usable slots of the own region. Returns whether some were lost lately, so that
     /// requests have to leave however many they are.
-    pub fn has_lost_slots(&mut self, now: Instant, slots: u32) -> bool {
+    pub fn detect_slot_loss(&mut self, now: Instant, slots: u32) -> bool {
         self.slot_history.record_slots(now, slots);
         self.slot_history.has_lost_slots()
     }
--- a/src/steer/fleet/choice.rs
+++ b/src/steer/fleet/choice.rs
@@ -159,7 +159,7 @@
         let (local, remote): (Vec<_>, Vec<_>) =
             choices.iter().partition(|key| self.is_local(**key));
         let drift = self.drift(now, query.service);
-        let has_lost = drift.has_lost_slots(now, local_slots);
+        let has_lost = drift.detect_slot_loss(now, local_slots);
         if remote.is_empty() || (local.is_empty() && has_lost) {
             choices
         } else if !local.is_empty() && drift.has_to_leave(now, query.affinity_key) {
@@ -317,8 +317,8 @@
         })
     }
 
-    /// Returns the first usable target of a stored ranking. If it names a rate, the next ones
-    /// depend on other targets.
+    /// Returns the first usable target of a stored ranking. The result is inconclusive if that
+    /// target names a rate, since its successor then depends on the rates of other targets.
     fn first_usable(
         &self,
         (targets, is_complete): (&[TargetKey], bool),
--- a/src/steer/fleet/cold.rs
+++ b/src/steer/fleet/cold.rs
@@ -55,7 +55,7 @@
             .collect();
     }
 
-    /// Records that a target reports to be cold. Returns whether it was not known to be. It
+    /// Records that a target reports that it is cold. Returns whether this is a change. The target
     /// receives no requests for [`INITIAL_COLD_PAUSE`] at first, since it may just have received
     /// its usual load.
     pub fn mark_cold(&mut self, now: Instant, id: &str, remaining: Duration) -> bool {
--- a/src/steer/fleet/member.rs
+++ b/src/steer/fleet/member.rs
@@ -43,7 +43,8 @@
     pub(super) in_flight: u32,
     pub(super) report: Option<LoadReport>,
     pub(super) cold_until: Option<Instant>,
-    /// When this host last sent a request while the target was cold.
+    /// When this host last sent a request while the target was cold; in the future during the pause
+    /// that follows a report that it is cold.
     pub(super) last_cold_request: Option<Instant>,
     pub(super) outlier_detector: OutlierDetector,
     /// When it is removed, if its registration is missing in the store.
--- a/src/steer/fleet/ranking.rs
+++ b/src/steer/fleet/ranking.rs
@@ -64,13 +64,13 @@
 
 impl Ranking {
     /// Returns the first targets of the own region or elsewhere, and whether there are no others.
-    pub(super) fn side(&self, local: bool) -> (&[TargetKey], bool) {
-        let side = if local { &self.local } else { &self.remote };
+    pub(super) fn side(&self, is_local: bool) -> (&[TargetKey], bool) {
+        let side = if is_local { &self.local } else { &self.remote };
         (&side.targets, side.is_complete)
     }
 
-    fn side_mut(&mut self, local: bool) -> &mut RankedSide {
-        if local {
+    fn side_mut(&mut self, is_local: bool) -> &mut RankedSide {
+        if is_local {
             &mut self.local
         } else {
             &mut self.remote
--- a/src/steer/fleet/silence.rs
+++ b/src/steer/fleet/silence.rs
@@ -1,11 +1,11 @@
 //! Detection of targets that have stopped answering, before any deadline expires.
 //!
-//! A target that loses power accepts no packets and sends no error, and each of its requests is
-//! given up only at its deadline. Requests that must not run twice are lost then. So a target that
-//! has answered none of several requests for longer than its service ever takes receives no new
-//! ones while there are other targets, and requests that may be repeated are sent elsewhere.
-//! Targets that refuse connections are skipped for a moment as well. With two of four targets of a
-//! region without power, at most half as many requests are lost as without this detection (replay
+//! Requests to a target that has lost power get no answer and no error, and each of them is given
+//! up only at its deadline. Requests that must not run twice are lost then. So a target that has
+//! answered none of several requests for longer than its service ever takes receives no new ones
+//! while there are other targets, and requests that may be repeated are sent elsewhere. Targets to
+//! which no connection can be opened are skipped for a moment as well. With two of four targets of
+//! a region without power, at most half as many requests are lost as without this detection (replay
 //! in virtual time).
 
 use std::time::{Duration, Instant};
--- a/src/steer/fleet/throttled.rs
+++ b/src/steer/fleet/throttled.rs
@@ -29,7 +29,7 @@
     pub fn request_permission(
         &mut self,
         now: Instant,
-        (key, fit): (TargetKey, Assignment),
+        (key, assignment): (TargetKey, Assignment),
         rng: &mut impl Rng,
     ) -> Permission {
         let Some(member) = self.members.get(&key) else {
@@ -44,7 +44,7 @@
         }
         let mut allocators: Vec<FleetHost> = self.allocators(member).into_iter().cloned().collect();
         self.claim_count = self.claim_count.wrapping_add(1);
-        let claim = Claim(self.claim_count, update, fit);
+        let claim = Claim(self.claim_count, update, assignment);
         if allocators
             .iter()
             .any(|allocator| allocator.seed == self.own_host.seed)
@@ -59,12 +59,14 @@
         }
         allocators.retain(|allocator| {
             allocator.seed != self.own_host.seed
-                && !self.throttle.is_paused(now, target, allocator.seed, fit)
+                && !self
+                    .throttle
+                    .is_paused(now, target, allocator.seed, assignment)
         });
         match allocators.into_iter().choose(rng) {
             Some(allocator) => Permission::Ask(allocator.name, claim),
             None => {
-                self.throttle.close(now, target, fit);
+                self.throttle.close(now, target, assignment);
                 Permission::Denied
             }
         }
@@ -148,10 +150,10 @@
         &self,
         now: Instant,
         member: &Member,
-        fit: Assignment,
+        assignment: Assignment,
     ) -> Option<Duration> {
         self.throttle
-            .closed_for(now, member.digest(), fit, self.live_hosts.len())
+            .closed_for(now, member.digest(), assignment, self.live_hosts.len())
     }
 
     /// Whether a target names a rate.
