--- a/tests/account.rs
+++ b/tests/account.rs
@@ -1,4 +1,4 @@
-//! Whose request it is, and whether it may run.
+//! Identification of callers by their keys, and validation of accounts.
 
 #![allow(clippy::unwrap_used)]
 
@@ -27,16 +27,17 @@
     Credential::Key(KeyDigest::new(text.as_bytes()))
 }
 
-/// Whose request it is, for accounts `one` with the keys k1 and k2 and `other` with k3.
+/// The account that a credential identifies, for accounts `one` with the keys k1 and k2 and `other`
+/// with k3.
 macro_rules! callers {
-    ($($name:ident: $credential:expr, open $open:expr, $knowledge:ident => $expected:expr;)*) => {$(
+    ($($name:ident: $credential:expr, open $open:expr, $freshness:ident => $expected:expr;)*) => {$(
         #[test]
         fn $name() {
             let accounts = Accounts::new(&[account("one", &["k1", "k2"]), account("other", &["k3"])]);
-            let caller = accounts.identify($credential, $open, ConfigFreshness::$knowledge);
-            let told = caller.as_ref().map(|caller| caller.account().map(|account| &*account.name));
+            let caller = accounts.identify($credential, $open, ConfigFreshness::$freshness);
+            let name = caller.as_ref().map(|caller| caller.account().map(|account| &*account.name));
             let expected: Result<Option<&str>, Denial> = $expected;
-            assert_eq!(told, expected.as_ref().copied());
+            assert_eq!(name, expected.as_ref().copied());
         }
     )*};
 }
@@ -47,37 +48,37 @@
     an_unknown_key: key("k4"), open false, Current => Err(Denial::NoAccount);
     no_key: Credential::Missing, open false, Current => Err(Denial::NoAccount);
     no_readable_key: Credential::Unreadable, open false, Current => Err(Denial::NoAccount);
-    a_known_key_with_old_knowledge: key("k1"), open false, Stale => Ok(Some("one"));
-    an_unknown_key_with_old_knowledge: key("k4"), open false, Stale => Err(Denial::Undecided);
-    no_key_with_old_knowledge: Credential::Missing, open false, Stale => Err(Denial::Undecided);
-    a_known_key_without_knowledge: key("k1"), open false, Expired => Err(Denial::Undecided);
-    an_unknown_key_without_knowledge: key("k4"), open false, Expired => Err(Denial::Undecided);
+    a_known_key_with_stale_config: key("k1"), open false, Stale => Ok(Some("one"));
+    an_unknown_key_with_stale_config: key("k4"), open false, Stale => Err(Denial::Undecided);
+    no_key_with_stale_config: Credential::Missing, open false, Stale => Err(Denial::Undecided);
+    a_known_key_with_expired_config: key("k1"), open false, Expired => Err(Denial::Undecided);
+    an_unknown_key_with_expired_config: key("k4"), open false, Expired => Err(Denial::Undecided);
     no_key_on_an_open_route: Credential::Missing, open true, Current => Ok(None);
-    no_key_on_an_open_route_without_knowledge: Credential::Missing, open true, Expired => Ok(None);
+    no_key_on_an_open_route_with_expired_config: Credential::Missing, open true, Expired => Ok(None);
     an_unknown_key_on_an_open_route: key("k4"), open true, Current => Ok(None);
     a_known_key_on_an_open_route: key("k1"), open true, Current => Ok(Some("one"));
 }
 
 #[test]
-fn nobody_is_named_on_an_open_route_without_a_key() {
+fn no_account_is_named_on_an_open_route_without_a_key() {
     let accounts = Accounts::new(&[account("one", &["k1"])]);
     let caller = accounts.identify(Credential::Missing, true, ConfigFreshness::Current);
     assert_eq!(caller, Ok(Caller::Public));
 }
 
 #[test]
-fn a_key_of_two_accounts_is_a_fault() {
+fn a_key_of_two_accounts_is_an_error() {
     let accounts = [account("one", &["k1", "k2"]), account("other", &["k2"])];
-    let fault = AccountError::SharedKey {
+    let error = AccountError::SharedKey {
         one: "one".into(),
         other: "other".into(),
     };
-    assert_eq!(validate(&accounts), Err(fault));
+    assert_eq!(validate(&accounts), Err(error));
     assert_eq!(validate(&accounts[..1]), Ok(()));
 }
 
 #[test]
-fn a_quota_that_is_no_number_is_a_fault() {
+fn an_invalid_quota_is_an_error() {
     for (rate, burst) in [
         (f64::NAN, 1.0),
         (-1.0, 1.0),
@@ -94,14 +95,14 @@
 }
 
 #[test]
-fn a_key_is_not_told() {
+fn keys_are_not_revealed() {
     let accounts = [account("one", &["secret-k1"])];
-    let told = format!(
+    let output = format!(
         "{accounts:?} {:?} {:?}",
         Accounts::new(&accounts),
         key("secret-k1")
     );
-    assert!(!told.contains("secret"), "{told}");
+    assert!(!output.contains("secret"), "{output}");
     let mut bytes = Vec::new();
     ciborium::into_writer(&accounts[0], &mut bytes).unwrap();
     assert!(!bytes.windows(6).any(|part| part == b"secret"));
@@ -113,20 +114,21 @@
     names.iter().map(|name| Arc::from(*name)).collect()
 }
 
-/// The regions that may serve, by those of the route and of the account; none if there is no such region.
-macro_rules! places {
+/// The regions that may serve a request by those of its route and its account; `None` if they have
+/// none in common.
+macro_rules! allowed {
     ($($name:ident: $route:expr, $account:expr => $expected:expr;)*) => {$(
         #[test]
         fn $name() {
             let (route, account) = (regions(&$route), regions(&$account));
-            let both = allowed_regions(&route, &account).ok();
+            let common = allowed_regions(&route, &account).ok();
             let expected: Option<&[&str]> = $expected;
-            assert_eq!(both, expected.map(regions));
+            assert_eq!(common, expected.map(regions));
         }
     )*};
 }
 
-places! {
+allowed! {
     any_region: [], [] => Some(&[]);
     the_route_s: ["n", "s"], [] => Some(&["n", "s"]);
     the_account_s: [], ["n"] => Some(&["n"]);
--- a/tests/affinity.rs
+++ b/tests/affinity.rs
@@ -1,4 +1,4 @@
-//! The choice of a target by affinity, load and distance.
+//! Selection of a target by affinity, load and distance.
 
 #![allow(clippy::unwrap_used)]
 
@@ -20,7 +20,7 @@
 const RATE: f64 = 7.0;
 const BURST: f64 = 5.0;
 
-/// A fleet as one host sees it, at a time of the test's own.
+/// The fleet of one host, with a virtual clock.
 struct World {
     fleet: Fleet,
     now: Instant,
@@ -77,7 +77,7 @@
     }
 
     fn choose(&mut self, key: u64, tried: &[TargetKey]) -> Result<TargetKey, Refusal> {
-        let ask = TargetQuery {
+        let query = TargetQuery {
             service: &"books".into(),
             affinity_key: key,
             object: None,
@@ -85,7 +85,7 @@
             tried: tried.to_vec(),
             body_bytes: 0,
         };
-        self.fleet.choose(self.now, &ask, |_| true)
+        self.fleet.choose(self.now, &query, |_| true)
     }
 
     fn id(&self, target: TargetKey) -> Arc<str> {
@@ -100,12 +100,12 @@
     }
 
     fn finish(&mut self, target: TargetKey, end: End, load: Option<Load>) {
-        let seen = Observation {
+        let observation = Observation {
             load,
             ..Observation::default()
         };
         self.fleet
-            .finish(self.now, target, end, seen, &mut self.rng);
+            .finish(self.now, target, end, observation, &mut self.rng);
     }
 
     fn pass(&mut self, time: Duration) {
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn hosts_of_a_region_agree_without_a_word() {
+fn hosts_of_a_region_agree_without_messages() {
     let mut one = World::with_targets("h1", "n-a");
     let mut other = World::with_targets("h2", "n-b");
     for key in 0..200 {
@@ -158,12 +158,13 @@
     assert_eq!(sent.len(), 2 * 2 * SLOTS as usize);
 }
 
-/// Sends requests for a key until there is no room, however long one waits: some leave their region in each second.
+/// Sends requests for a key until there is no room even after waiting: some requests leave their
+/// region in each second.
 fn fill(world: &mut World, key: u64) -> Vec<TargetKey> {
-    const PATIENCE: u32 = 5;
+    const MAX_REFUSALS: u32 = 5;
     let mut sent = Vec::new();
     let mut refused = 0;
-    while refused < PATIENCE {
+    while refused < MAX_REFUSALS {
         if let Ok(target) = world.choose(key, &[]) {
             sent.push(target);
             refused = 0;
@@ -178,39 +179,39 @@
 #[test]
 fn few_requests_leave_a_full_region_at_once() {
     let mut world = World::with_targets("h1", "n-a");
-    let near = world.choose(7, &[]).unwrap();
-    let mut away = 0;
+    let local = world.choose(7, &[]).unwrap();
+    let mut remote = 0;
     while let Ok(target) = world.choose(7, &[]) {
-        away += u32::from(target != near);
+        remote += u32::from(target != local);
     }
-    assert_eq!(away, 1);
+    assert_eq!(remote, 1);
 }
 
 #[test]
 fn a_reported_load_counts_for_a_second() {
     let mut world = World::with_targets("h1", "n-a");
-    let near = world.choose(7, &[]).unwrap();
+    let local = world.choose(7, &[]).unwrap();
     let load = Load {
         running: SLOTS,
         waiting: 3 * SLOTS,
         slots: SLOTS,
     };
-    world.finish(near, End::Answered, Some(load));
-    let far = world.choose(7, &[]).unwrap();
-    assert_ne!(near, far);
-    world.finish(far, End::Cancelled, None);
+    world.finish(local, End::Answered, Some(load));
+    let other = world.choose(7, &[]).unwrap();
+    assert_ne!(local, other);
+    world.finish(other, End::Cancelled, None);
     world.pass(Duration::from_millis(1100));
-    assert_eq!(world.choose(7, &[]), Ok(near));
+    assert_eq!(world.choose(7, &[]), Ok(local));
 }
 
 #[test]
 fn a_far_target_is_not_worth_opening_a_connection_for_a_short_queue() {
     let mut world = World::with_targets("h1", "n-a");
-    let near = world.choose(7, &[]).unwrap();
+    let local = world.choose(7, &[]).unwrap();
     for _ in 1..SLOTS {
-        assert_eq!(world.choose(7, &[]), Ok(near));
+        assert_eq!(world.choose(7, &[]), Ok(local));
     }
-    let ask = TargetQuery {
+    let query = TargetQuery {
         service: &"books".into(),
         affinity_key: 7,
         object: None,
@@ -218,12 +219,14 @@
         tried: Vec::new(),
         body_bytes: 0,
     };
-    let unconnected = world.fleet.choose(world.now, &ask, |target| target == near);
-    assert_eq!(unconnected, Ok(near));
+    let unconnected = world
+        .fleet
+        .choose(world.now, &query, |target| target == local);
+    assert_eq!(unconnected, Ok(local));
 }
 
 #[test]
-fn requests_that_have_to_leave_take_no_others_along() {
+fn requests_bound_to_other_regions_do_not_move_others() {
     let mut world = World::with_targets("h1", "n-a");
     for key in 0..4_000 {
         // Two of three requests may run in the other region only.
@@ -240,7 +243,7 @@
 }
 
 #[test]
-fn homes_bind() {
+fn home_regions_are_kept() {
     let mut world = World::with_targets("h1", "n-a");
     world.homes = ["s".into()].into();
     for key in 0..100 {
@@ -252,8 +255,8 @@
     assert_eq!(world.choose(1, &[]), Err(Refusal::NoTarget));
 }
 
-/// A target that gets nothing new, by what made it so.
-macro_rules! closed {
+/// Targets that get no new requests, by the reason.
+macro_rules! is_avoided {
     ($($name:ident: $close:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -268,31 +271,31 @@
     )*};
 }
 
-closed! {
-    a_draining_target_is_left: |world, _, id| {
+is_avoided! {
+    a_draining_target_is_avoided: |world, _, id| {
         let mut registration = registration(id, "n-a");
         registration.state = State::Draining;
         world.fleet.register(world.now, registration);
     };
-    a_target_that_is_gone_is_left: |world, _, id| world.fleet.withdraw(id);
-    a_target_that_did_not_return_is_left: |world, _, id| {
+    a_withdrawn_target_is_avoided: |world, _, id| world.fleet.withdraw(id);
+    an_expired_target_is_avoided: |world, _, id| {
         world.fleet.lapse(id, world.now + Duration::from_secs(2));
         world.pass(Duration::from_secs(2));
         assert_eq!(world.fleet.expire(world.now).len(), 1);
     };
-    an_evacuated_zone_is_left: |world, _, _| {
+    an_evacuated_zone_is_avoided: |world, _, _| {
         let zones = [Arc::from("n-a"), Arc::from("n-b")].into();
         world.fleet.set_evacuated_zones(world.now, zones, Duration::from_secs(3));
     };
-    a_target_whose_address_another_has_is_left: |world, target, _| {
+    a_target_whose_address_another_has_is_avoided: |world, target, _| {
         world.finish(target, End::Misdirected, None);
     };
-    a_target_that_breaks_off_three_times_is_left: |world, target, _| {
+    a_target_that_breaks_three_times_is_avoided: |world, target, _| {
         for _ in 0..3 {
             world.finish(target, End::Broken, None);
         }
     };
-    a_target_that_was_tried_is_left: |world, target, id| {
+    a_target_that_was_tried_is_avoided: |world, target, id| {
         let again = world.choose(7, &[target]).unwrap();
         assert_ne!(&*world.id(again), id);
         world.fleet.withdraw(id);
@@ -312,9 +315,9 @@
     assert_eq!(world.chosen(7), Some(id));
 }
 
-/// Requests that `hosts` hosts together send to one cold target within any second, each asking as
-/// often as it can.
-fn cold_sum(hosts: usize, chill: bool) -> usize {
+/// Returns the maximum number of requests that `hosts` hosts together send to one cold target
+/// within any second, each sending as often as it may.
+fn max_cold_requests(hosts: usize, is_reported: bool) -> usize {
     let names: Vec<(Arc<str>, Arc<str>)> = (0..hosts)
         .map(|host| (format!("h{host}").into(), Arc::from("n")))
         .collect();
@@ -323,12 +326,12 @@
         .map(|(name, _)| {
             let mut world = World::new(name, "n-a");
             let mut cold = registration("t", "n-b");
-            if !chill {
+            if !is_reported {
                 cold.cold_left = Duration::from_secs(9);
             }
             world.fleet.register(world.now, cold);
             world.fleet.set_live_hosts(names.clone());
-            if chill {
+            if is_reported {
                 world
                     .fleet
                     .mark_cold(world.now, "t", Duration::from_secs(9));
@@ -357,10 +360,10 @@
 }
 
 macro_rules! cold {
-    ($($name:ident: $hosts:expr, $chill:expr;)*) => {$(
+    ($($name:ident: $hosts:expr, $is_reported:expr;)*) => {$(
         #[test]
         fn $name() {
-            let sum = cold_sum($hosts, $chill);
+            let sum = max_cold_requests($hosts, $is_reported);
             assert!(sum > 0, "a cold target warms up by use");
             assert!(sum as f64 <= RATE * 1.5 + BURST, "{sum}");
         }
@@ -375,7 +378,7 @@
 }
 
 #[test]
-fn a_zone_that_is_taken_back_is_cold() {
+fn a_zone_is_cold_after_an_evacuation() {
     let mut world = World::new("h1", "n-a");
     world.fleet.register(world.now, registration("t", "n-a"));
     let zones = BTreeSet::from([Arc::from("n-a")]);
@@ -392,8 +395,8 @@
     assert!(world.choose(1, &[]).is_ok());
 }
 
-/// The targets that each of three hosts looks after.
-fn caretakers() -> BTreeMap<Arc<str>, BTreeSet<&'static str>> {
+/// Returns the hosts that check each target, of three hosts.
+fn checkers_by_target() -> BTreeMap<Arc<str>, BTreeSet<&'static str>> {
     let names: Vec<(Arc<str>, Arc<str>)> = [("h1", "n"), ("h2", "n"), ("h3", "s")]
         .map(|(name, region)| (name.into(), region.into()))
         .into();
@@ -409,8 +412,8 @@
 }
 
 #[test]
-fn two_hosts_look_after_each_target() {
-    let all = caretakers();
+fn two_hosts_check_each_target() {
+    let all = checkers_by_target();
     let expected: Vec<Arc<str>> = ["t1", "t2", "t3", "t4", "t5", "t6"].map(Arc::from).into();
     assert_eq!(all.keys().cloned().collect::<Vec<_>>(), expected);
     assert!(
@@ -420,9 +423,9 @@
 }
 
 #[test]
-fn a_host_that_ends_unnoticed_leaves_no_target_without_care() {
+fn an_undetected_host_failure_leaves_no_target_unchecked() {
     for ended in ["h1", "h2", "h3"] {
-        for (target, mut hosts) in caretakers() {
+        for (target, mut hosts) in checkers_by_target() {
             hosts.remove(ended);
             assert!(!hosts.is_empty(), "{target} without {ended}");
         }
@@ -430,7 +433,7 @@
 }
 
 #[test]
-fn what_is_counted_at_a_target_is_returned() {
+fn counted_requests_are_returned() {
     let steps = prop::collection::vec((0u64..50, any::<bool>()), 1..200);
     property::run(11, 64, steps, |steps| {
         let mut world = World::with_targets("h1", "n-a");
@@ -448,7 +451,7 @@
         for target in open {
             world.finish(target, End::Answered, None);
         }
-        // With everything returned, one key has its full room again.
+        // After all requests are returned, one key has its full room again.
         let sent = fill(&mut world, 3).len();
         prop_assert_eq!(sent, 2 * 2 * SLOTS as usize);
         Ok(())
@@ -456,7 +459,7 @@
 }
 
 #[test]
-fn a_region_with_few_targets_sends_a_part_away_from_the_start() {
+fn a_region_with_few_targets_sends_a_share_away_from_the_start() {
     let mut world = World::new("h1", "s-a");
     for index in 0..9 {
         world
@@ -464,17 +467,17 @@
             .register(world.now, registration(&format!("n{index}"), "n-a"));
     }
     world.fleet.register(world.now, registration("s", "s-a"));
-    let mut away = 0;
+    let mut remote = 0;
     for key in 0..1000u64 {
         // Keys are hashes of what callers send.
         let target = world
             .choose(key.wrapping_mul(0x9e37_79b9_7f4a_7c15), &[])
             .unwrap();
-        away += u32::from(&**world.fleet.member(target).unwrap().region() == "n");
+        remote += u32::from(&**world.fleet.member(target).unwrap().region() == "n");
         world.finish(target, End::Answered, None);
     }
-    // A fifth of the mean is there, and 0.9 of what is missing goes away.
-    assert!((670..770).contains(&away), "{away}");
+    // The region has a fifth of the mean slots, and a share of 0.9 of what is missing is sent away.
+    assert!((670..770).contains(&remote), "{remote}");
 }
 
 #[test]
@@ -499,8 +502,8 @@
     );
 }
 
-/// What is known of a target that starts again under its identity, by what its registrations say.
-macro_rules! restarts {
+/// Whether a repeated registration under the same identity makes another target.
+macro_rules! reregistrations {
     ($($name:ident: $first:expr, $then:expr => $is_another:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -516,33 +519,33 @@
     )*};
 }
 
-fn born(at: Option<u64>) -> Registration {
+fn registration_born(at: Option<u64>) -> Registration {
     Registration {
         born: at,
         ..registration("t1", "n-a")
     }
 }
 
-fn elsewhere() -> Registration {
+fn registration_elsewhere() -> Registration {
     Registration {
         address: "127.0.0.1:10".parse().unwrap(),
-        ..born(Some(5))
+        ..registration_born(Some(5))
     }
 }
 
-restarts! {
-    a_later_start_is_another_target: born(Some(5)), born(Some(6)) => true;
-    the_same_start_is_the_same_target: born(Some(5)), born(Some(5)) => false;
-    news_of_a_former_start_changes_nothing: born(Some(5)), born(Some(4)) => false;
-    a_start_that_is_told_later_changes_nothing: born(None), born(Some(5)) => false;
-    a_start_that_is_no_longer_told_changes_nothing: born(Some(5)), born(None) => false;
-    another_address_is_another_target: born(Some(5)), elsewhere() => true;
+reregistrations! {
+    a_later_start_is_another_target: registration_born(Some(5)), registration_born(Some(6)) => true;
+    the_same_start_is_the_same_target: registration_born(Some(5)), registration_born(Some(5)) => false;
+    an_earlier_start_changes_nothing: registration_born(Some(5)), registration_born(Some(4)) => false;
+    a_start_time_added_later_changes_nothing: registration_born(None), registration_born(Some(5)) => false;
+    a_start_time_removed_later_changes_nothing: registration_born(Some(5)), registration_born(None) => false;
+    another_address_is_another_target: registration_born(Some(5)), registration_elsewhere() => true;
 }
 
 #[test]
-fn a_target_that_starts_again_keeps_nothing_of_before() {
+fn a_restarted_target_keeps_no_state() {
     let mut world = World::new("h1", "n-a");
-    world.fleet.register(world.now, born(Some(5)));
+    world.fleet.register(world.now, registration_born(Some(5)));
     let former = world.choose(1, &[]).unwrap();
     for _ in 0..5 {
         world.fleet.count_request(world.now, former);
@@ -553,16 +556,16 @@
     assert_eq!(world.choose(1, &[]), Err(Refusal::NoTarget));
     let cold = Registration {
         cold_left: Duration::from_secs(3),
-        ..born(Some(6))
+        ..registration_born(Some(6))
     };
     world.fleet.register(world.now, cold);
-    // What is left of the former process ends without a trace.
+    // Requests of the former process end without effect.
     world.finish(former, End::Broken, None);
     let again = world.choose(1, &[]).unwrap();
     assert_ne!(again, former);
     assert_eq!(world.choose(1, &[]), Err(Refusal::NoTarget), "it is cold");
-    // A late word of the former one brings it back neither as ready nor as warm.
-    world.fleet.register(world.now, born(Some(5)));
+    // A late registration of the former process makes the target neither ready nor warm.
+    world.fleet.register(world.now, registration_born(Some(5)));
     assert_eq!(world.choose(1, &[]), Err(Refusal::NoTarget));
     assert_eq!(world.fleet.ids().count(), 1);
 }
@@ -581,7 +584,7 @@
 }
 
 #[test]
-fn a_host_that_does_not_know_the_others_uses_no_cold_target() {
+fn a_host_without_a_host_list_uses_no_cold_target() {
     let mut world = World::new("h1", "n-a");
     let mut fleet = Fleet::new(world.now, "h1".into(), "n-a".into(), regions(), BURST);
     fleet.set_cold_rate("books".into(), RATE);
@@ -598,7 +601,8 @@
     assert!(world.choose(1, &[]).is_ok());
 }
 
-/// A world of twelve near targets, of which so many are missing in the store; how many of these get requests.
+/// Returns how many of the targets that are missing in the store get requests, of twelve local
+/// targets.
 fn used_while_missing(missing: usize) -> usize {
     let mut world = World::new("h1", "n-a");
     for number in 0..12 {
@@ -614,17 +618,19 @@
     used.iter().filter(is_missing).count()
 }
 
-/// A host that had lost the store for 1.9 s took one target that had left meanwhile for one that may return, and sent to it for
-/// 2 s more. One that is missing alone has rather left; if the store was away, many are missing.
+/// A host that had lost the store for 1.9 s took a target that had left meanwhile for one that may
+/// return, and sent requests to it for another 2 s. A single missing target has more likely left;
+/// if the store was unavailable, many are missing.
 #[test]
-fn few_missing_targets_get_nothing_and_many_go_on() {
+fn few_missing_targets_are_avoided_and_many_are_used() {
     assert_eq!(used_while_missing(1), 0);
     assert_eq!(used_while_missing(3), 3);
     assert_eq!(used_while_missing(12), 12);
 }
 
-/// Whether a service of twelve targets, of which some drain already, loses most of the others if some go.
-fn loses_most(draining: usize, going: usize) -> bool {
+/// Whether a service of twelve targets, of which some are draining, loses most of the others if
+/// some leave.
+fn loses_most(draining: usize, leaving: usize) -> bool {
     let mut world = World::new("h1", "n-a");
     for number in 0..12 {
         let mut one = registration(&format!("t{number:02}"), "n-a");
@@ -633,7 +639,7 @@
         }
         world.fleet.register(world.now, one);
     }
-    let ids: Vec<String> = (0..draining + going)
+    let ids: Vec<String> = (0..draining + leaving)
         .map(|number| format!("t{number:02}"))
         .collect();
     let lost = world
@@ -643,7 +649,7 @@
 }
 
 #[test]
-fn most_targets_do_not_leave_at_once_unless_they_said_so() {
+fn most_targets_do_not_leave_at_once_unless_they_drain() {
     assert!(!loses_most(0, 6));
     assert!(loses_most(0, 7));
     assert!(!loses_most(8, 2));
@@ -661,7 +667,7 @@
     assert!(!uses(&mut world));
     world.fleet.register(world.now, registration("t1", "n-a"));
     assert!(uses(&mut world));
-    // Those that were missing before are not counted any more.
+    // Targets that were missing before are no longer counted.
     world.fleet.lapse("t2", world.now + Duration::from_secs(2));
     world.fleet.withdraw("t2");
     world.fleet.lapse("t1", world.now + Duration::from_secs(2));
--- a/tests/charge.rs
+++ b/tests/charge.rs
@@ -1,4 +1,4 @@
-//! How often targets are asked whether they are cold, by hosts that know different sets of each other.
+//! Rate of the checks whether targets are cold, by hosts with different lists of live hosts.
 
 #![allow(clippy::unwrap_used)]
 
@@ -38,10 +38,11 @@
     }
 }
 
-/// All hosts, each of which hears those for which `hears` holds, itself always, and was told of `told`.
+/// Returns the fleets of all hosts. Each host reaches itself and those for which `is_reachable`
+/// holds, and received `reported_count` as the number of hosts.
 fn fleets(
-    hears: impl Fn(usize, usize) -> bool,
-    told: impl Fn(usize) -> Option<usize>,
+    is_reachable: impl Fn(usize, usize) -> bool,
+    reported_count: impl Fn(usize) -> Option<usize>,
 ) -> Vec<Fleet> {
     let now = Instant::now();
     let regions: BTreeMap<_, _> = (0..ZONES).map(|at| (zone(at), region(at))).collect();
@@ -50,55 +51,59 @@
         for target in 0..TARGETS {
             fleet.register(now, registration(target));
         }
-        let heard = (0..HOSTS).filter(|other| *other == own || hears(own, *other));
-        fleet.set_live_hosts(heard.map(|other| (name(other), region(other))).collect());
-        fleet.set_host_count(told(own));
+        let reachable = (0..HOSTS).filter(|other| *other == own || is_reachable(own, *other));
+        fleet.set_live_hosts(
+            reachable
+                .map(|other| (name(other), region(other)))
+                .collect(),
+        );
+        fleet.set_host_count(reported_count(own));
         fleet
     };
     (0..HOSTS).map(host).collect()
 }
 
-/// The questions of all hosts in one round.
-fn round(fleets: &mut [Fleet]) -> usize {
+/// Returns the number of checks of all hosts in one round.
+fn count_checks(fleets: &mut [Fleet]) -> usize {
     fleets
         .iter_mut()
         .map(|fleet| fleet.next_checks().len())
         .sum()
 }
 
-/// A load of questions that stays below a bound.
+/// Checks per round that stay below a limit.
 macro_rules! bounded {
-    ($($name:ident: $hears:expr, $told:expr => $most:expr;)*) => {$(
+    ($($name:ident: $is_reachable:expr, $reported_count:expr => $limit:expr;)*) => {$(
         #[test]
         fn $name() {
-            let mut fleets = fleets($hears, $told);
+            let mut fleets = fleets($is_reachable, $reported_count);
             for _ in 0..3 {
-                let asked = round(&mut fleets);
-                assert!(asked <= $most, "{asked}");
+                let check_count = count_checks(&mut fleets);
+                assert!(check_count <= $limit, "{check_count}");
             }
         }
     )*};
 }
 
 bounded! {
-    hosts_that_hear_all_ask_each_target_twice: |_, _| true, |_| Some(HOSTS) => CHECKERS_PER_TARGET * TARGETS;
-    hosts_that_hear_nobody_ask_little: |_, _| false, |_| Some(HOSTS) => MAX_CHECK_FACTOR * CHECKERS_PER_TARGET * TARGETS;
-    zones_that_are_parted_ask_little: |own, other| own % ZONES == other % ZONES, |_| Some(HOSTS) => MAX_CHECK_FACTOR * CHECKERS_PER_TARGET * TARGETS;
-    hosts_that_were_replaced_ask_little: |own, other| own >= HOSTS / 2 && other >= HOSTS / 2,
+    hosts_that_reach_all_others_check_each_target_twice: |_, _| true, |_| Some(HOSTS) => CHECKERS_PER_TARGET * TARGETS;
+    isolated_hosts_send_few_checks: |_, _| false, |_| Some(HOSTS) => MAX_CHECK_FACTOR * CHECKERS_PER_TARGET * TARGETS;
+    partitioned_zones_send_few_checks: |own, other| own % ZONES == other % ZONES, |_| Some(HOSTS) => MAX_CHECK_FACTOR * CHECKERS_PER_TARGET * TARGETS;
+    replaced_hosts_send_few_checks: |own, other| own >= HOSTS / 2 && other >= HOSTS / 2,
         |own| (own >= HOSTS / 2).then_some(HOSTS) => MAX_CHECK_FACTOR * CHECKERS_PER_TARGET * TARGETS;
-    hosts_that_were_never_told_ask_nobody: |_, _| false, |_| None => 0;
+    hosts_without_a_host_count_send_no_checks: |_, _| false, |_| None => 0;
 }
 
 #[test]
-fn a_host_alone_asks_all_targets_in_turn() {
+fn an_isolated_host_checks_all_targets_in_turn() {
     let mut fleets = fleets(|_, _| false, |_| Some(HOSTS));
     let rounds = TARGETS * HOSTS / (MAX_CHECK_FACTOR * CHECKERS_PER_TARGET * TARGETS) + 1;
-    let asked: BTreeSet<TargetKey> = (0..rounds).flat_map(|_| fleets[0].next_checks()).collect();
-    assert_eq!(asked.len(), TARGETS);
+    let checked: BTreeSet<TargetKey> = (0..rounds).flat_map(|_| fleets[0].next_checks()).collect();
+    assert_eq!(checked.len(), TARGETS);
 }
 
 #[test]
-fn a_small_fleet_may_ask_at_least_a_few() {
+fn a_small_share_allows_a_few_checks() {
     let mut fleets = fleets(|_, _| false, |_| Some(100_000));
     assert_eq!(fleets[0].next_checks().len(), MIN_CHECKS);
 }
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -502,8 +502,8 @@
 fn faulty() -> impl Strategy<Value = Event> {
     prop_oneof![
         6 => quiet(),
-        2 => any::<u8>().prop_map(Event::Cut),
-        2 => any::<u8>().prop_map(Event::Lose),
+        2 => any::<u8>().prop_map(Event::Partition),
+        2 => any::<u8>().prop_map(Event::LoseTargets),
     ]
 }
 
@@ -512,7 +512,7 @@
     for event in events {
         fleet.apply(event);
     }
-    fleet.conclude();
+    fleet.finish_and_check();
 }
 
 const POISON: Fingerprint = Fingerprint(7 << 40);
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Many hosts on one virtual clock, and what must hold of all that they decide.
+//! Many hosts on one virtual clock, and the invariants of their decisions.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -18,51 +18,51 @@
 
 use super::places::{configuration, lay, region, service, Size};
 
-/// Two zones in each of three regions, two hosts a zone, two targets with four slots.
-const PLACES: Size = Size {
+/// Two zones in each of three regions, two hosts in each zone, two targets with four slots each.
+const TOPOLOGY: Size = Size {
     regions: 3,
     zones: 2,
     hosts: 2,
     services: 1,
     targets: 2,
 };
-/// Requests a second that a link carries.
-const LINK: u64 = 60;
+/// Capacity of a link in requests a second.
+const LINK_RATE: u64 = 60;
 const UTILIZATION: f64 = 0.8;
 const STEP: Duration = Duration::from_millis(50);
-/// Time that a request holds a slot.
-const WORK: Duration = Duration::from_millis(50);
-/// Caps as the configuration sets them.
-const PLANNED: (f64, Duration) = (0.05, Duration::from_secs(60));
-const FAILOVER: (f64, Duration) = (0.25, Duration::from_secs(10));
-const SLACK: f64 = 1e-6;
-/// Tries of one request.
-const TRIES: usize = 3;
-/// What is known of zones may be as old as so many steps.
-const LAG: usize = 100;
-
-/// What happens to the hosts; indices are taken modulo what there is.
+/// Time for which a request holds a slot.
+const SERVICE_TIME: Duration = Duration::from_millis(50);
+/// Caps of the configuration: share of the traffic, and window.
+const PLANNED_CAP: (f64, Duration) = (0.05, Duration::from_secs(60));
+const FAILOVER_CAP: (f64, Duration) = (0.25, Duration::from_secs(10));
+const TOLERANCE: f64 = 1e-6;
+/// Maximum number of attempts of one request.
+const MAX_ATTEMPTS: usize = 3;
+/// Maximum age of a host's view of the zones, in steps.
+const MAX_LAG_STEPS: usize = 100;
+
+/// A change in the simulation; indices are taken modulo the number of items.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
-    /// So many steps pass.
+    /// The given number of steps passes.
     Run(u8),
-    /// A zone's hosts cannot be reached, or can again.
-    Cut(u8),
-    /// The targets of a zone take no work, or do again.
-    Lose(u8),
-    /// A host starts anew.
+    /// Toggles whether the hosts of a zone are unreachable.
+    Partition(u8),
+    /// Toggles whether the targets of a zone refuse work.
+    LoseTargets(u8),
+    /// A host restarts.
     Restart(u8),
-    /// A host stands still for so many steps.
+    /// A host is suspended for the given number of steps.
     Pause(u8, u8),
-    /// What a host hears of zones is so many steps old.
+    /// Sets the age of a host's view of the zones, in steps.
     Lag(u8, u8),
-    /// A target's configured state changes.
+    /// Changes the configured state of a target.
     Configure(u8, u8),
-    /// Each host gets so many requests a step.
+    /// Sets the requests that each host receives in each step.
     Rate(u8),
 }
 
-/// A request that another host relayed.
+/// Origin of a request that another host relayed.
 struct Upstream {
     host: usize,
     incarnation: u64,
@@ -70,20 +70,20 @@
     ask: Ask,
 }
 
-/// A request that waits for a verdict.
-struct Open {
+/// A request without a verdict yet.
+struct PendingRequest {
     ask: Ask,
-    from: Option<Box<Upstream>>,
+    upstream: Option<Box<Upstream>>,
 }
 
-/// A request at a target.
-struct Work {
+/// A request that runs at a target.
+struct RunningRequest {
     end: Instant,
     grant: Grant,
-    open: Open,
+    pending: PendingRequest,
 }
 
-/// What moved of one host's split, or was spilled.
+/// A share of the traffic that moved by a change of a host's split, or by spilling.
 struct Moved {
     at: Instant,
     share: f64,
@@ -98,18 +98,18 @@
     live: BTreeSet<HostKey>,
     paused: usize,
     lag: usize,
-    open: BTreeMap<u64, Open>,
-    work: Vec<Work>,
-    /// Passes given and not handed back.
+    pending: BTreeMap<u64, PendingRequest>,
+    running: Vec<RunningRequest>,
+    /// Passes that were issued and not returned.
     passes: u32,
     splits: BTreeMap<(ServiceKey, RegionKey), Split>,
     moved: BTreeMap<RegionKey, Vec<Moved>>,
     requests: BTreeMap<RegionKey, Vec<Instant>>,
 }
 
-/// What one host may be told, at one time.
+/// State of all zones at one time, as hosts receive it.
 #[derive(Clone)]
-struct Picture {
+struct Snapshot {
     view: View,
     live: BTreeSet<HostKey>,
     free: BTreeMap<(ServiceKey, ZoneKey), u32>,
@@ -117,32 +117,32 @@
 
 pub struct Fleet {
     catalog: Arc<Catalog>,
-    value: Value,
+    config: Value,
     zones: Vec<ZoneKey>,
     nodes: Vec<Node>,
     now: Instant,
     rng: Pcg64,
-    cut: BTreeSet<ZoneKey>,
-    lost: BTreeSet<ZoneKey>,
-    past: VecDeque<Picture>,
+    partitioned: BTreeSet<ZoneKey>,
+    failed_zones: BTreeSet<ZoneKey>,
+    snapshots: VecDeque<Snapshot>,
     rate: u8,
-    next: u64,
-    asked: u64,
-    ended: u64,
-    /// Requests over each link and into each region.
-    sent: BTreeMap<(RegionKey, RegionKey), Vec<Instant>>,
-    /// Whether any move was away from something lost.
-    faults: bool,
+    next_id: u64,
+    submitted: u64,
+    completed: u64,
+    /// Times of the requests relayed over each link between regions.
+    relayed: BTreeMap<(RegionKey, RegionKey), Vec<Instant>>,
+    /// Whether a zone or its targets failed at any time.
+    has_faults: bool,
 }
 
 impl Fleet {
     pub fn new(seed: u64) -> Self {
-        let mut value = configuration(PLACES);
-        value["limits"]["utilization"] = json!(UTILIZATION);
-        for link in value["links"].as_object_mut().expect("links").values_mut() {
-            link["requests_per_s"] = json!(LINK);
+        let mut config = configuration(TOPOLOGY);
+        config["limits"]["utilization"] = json!(UTILIZATION);
+        for link in config["links"].as_object_mut().expect("links").values_mut() {
+            link["requests_per_s"] = json!(LINK_RATE);
         }
-        let catalog = Arc::new(lay(&Catalog::default(), value.clone()));
+        let catalog = Arc::new(lay(&Catalog::default(), config.clone()));
         let now = Instant::now();
         let node = |(key, name, zone): (HostKey, String, ZoneKey)| Node {
             key,
@@ -153,8 +153,8 @@
             live: BTreeSet::new(),
             paused: 0,
             lag: 0,
-            open: BTreeMap::new(),
-            work: vec![],
+            pending: BTreeMap::new(),
+            running: vec![],
             passes: 0,
             splits: BTreeMap::new(),
             moved: BTreeMap::new(),
@@ -166,18 +166,18 @@
             nodes: hosts.map(node).collect(),
             zones: catalog.zones().map(|(key, _)| key).collect(),
             catalog,
-            value,
+            config,
             now,
             rng: Pcg64::seed_from_u64(seed),
-            cut: BTreeSet::new(),
-            lost: BTreeSet::new(),
-            past: VecDeque::new(),
+            partitioned: BTreeSet::new(),
+            failed_zones: BTreeSet::new(),
+            snapshots: VecDeque::new(),
             rate: 1,
-            next: 0,
-            asked: 0,
-            ended: 0,
-            sent: BTreeMap::new(),
-            faults: false,
+            next_id: 0,
+            submitted: 0,
+            completed: 0,
+            relayed: BTreeMap::new(),
+            has_faults: false,
         };
         for at in 0..fleet.nodes.len() {
             fleet.configure(at);
@@ -191,18 +191,18 @@
         let zone = self.catalog.zone(node.zone).name.clone();
         let catalog = self.catalog.clone();
         node.engine.configure(self.now, catalog, &zone);
-        self.watch(at);
+        self.record_moves(at);
     }
 
     pub fn apply(&mut self, event: Event) {
         match event {
             Event::Run(steps) => self.run(usize::from(steps)),
-            Event::Cut(zone) => {
+            Event::Partition(zone) => {
                 let zone = self.zones[usize::from(zone) % self.zones.len()];
-                self.faults = true;
-                toggle(&mut self.cut, zone);
+                self.has_faults = true;
+                toggle(&mut self.partitioned, zone);
             }
-            Event::Lose(zone) => self.lose(usize::from(zone) % self.zones.len()),
+            Event::LoseTargets(zone) => self.toggle_targets(usize::from(zone) % self.zones.len()),
             Event::Restart(host) => self.restart(usize::from(host) % self.nodes.len()),
             Event::Pause(host, steps) => {
                 let at = usize::from(host) % self.nodes.len();
@@ -210,28 +210,28 @@
             }
             Event::Lag(host, steps) => {
                 let at = usize::from(host) % self.nodes.len();
-                self.nodes[at].lag = usize::from(steps) % LAG;
+                self.nodes[at].lag = usize::from(steps) % MAX_LAG_STEPS;
             }
-            Event::Configure(target, state) => self.change(target, state),
+            Event::Configure(target, state) => self.change_state(target, state),
             Event::Rate(rate) => self.rate = rate % 4,
         }
     }
 
-    fn lose(&mut self, zone: usize) {
+    fn toggle_targets(&mut self, zone: usize) {
         let zone = self.zones[zone];
-        self.faults = true;
-        toggle(&mut self.lost, zone);
+        self.has_faults = true;
+        toggle(&mut self.failed_zones, zone);
         for at in 0..self.nodes.len() {
             if self.nodes[at].zone == zone {
-                self.tell_health(at);
+                self.report_health(at);
             }
         }
     }
 
-    /// A host learns whether its targets take work.
-    fn tell_health(&mut self, at: usize) {
+    /// Reports to a host whether its targets accept work.
+    fn report_health(&mut self, at: usize) {
         let (now, zone) = (self.now, self.nodes[at].zone);
-        let state = if self.lost.contains(&zone) {
+        let state = if self.failed_zones.contains(&zone) {
             State::Draining
         } else {
             State::Serving
@@ -244,20 +244,20 @@
         }
     }
 
-    fn change(&mut self, target: u8, state: u8) {
+    fn change_state(&mut self, target: u8, state: u8) {
         let zone = &self
             .catalog
             .zone(self.zones[usize::from(target) % self.zones.len()]);
         let name = format!("{}-s0-t0", zone.name);
         let state = ["serving", "draining", "off"][usize::from(state) % 3];
-        self.value["targets"][name]["state"] = json!(state);
-        self.catalog = Arc::new(lay(&self.catalog, self.value.clone()));
+        self.config["targets"][name]["state"] = json!(state);
+        self.catalog = Arc::new(lay(&self.catalog, self.config.clone()));
         for at in 0..self.nodes.len() {
             self.configure(at);
         }
     }
 
-    /// A host starts anew and takes the split of another.
+    /// Restarts a host, which then adopts the splits of another one.
     fn restart(&mut self, at: usize) {
         let donor = (at + 1) % self.nodes.len();
         let splits = self.nodes[donor].engine.splits();
@@ -266,24 +266,27 @@
         node.engine = Engine::new(&Steer::default(), node.incarnation);
         node.splits.clear();
         node.passes = 0;
-        let open: Vec<Open> = std::mem::take(&mut node.open).into_values().collect();
-        let work = std::mem::take(&mut node.work).into_iter();
-        let open = open.into_iter().chain(work.map(|work| work.open));
-        for open in open.collect::<Vec<_>>() {
-            self.end(open.from);
+        let pending: Vec<PendingRequest> =
+            std::mem::take(&mut node.pending).into_values().collect();
+        let running = std::mem::take(&mut node.running).into_iter();
+        let pending = pending
+            .into_iter()
+            .chain(running.map(|running| running.pending));
+        for pending in pending.collect::<Vec<_>>() {
+            self.end(pending.upstream);
         }
         self.configure(at);
         let now = self.now;
         self.nodes[at].engine.adopt(now, splits);
-        self.watch(at);
-        self.tell_health(at);
+        self.record_moves(at);
+        self.report_health(at);
     }
 
     pub fn run(&mut self, steps: usize) {
         for _ in 0..steps {
             self.now += STEP;
-            self.past.push_front(self.picture());
-            self.past.truncate(LAG);
+            self.snapshots.push_front(self.snapshot());
+            self.snapshots.truncate(MAX_LAG_STEPS);
             for at in 0..self.nodes.len() {
                 if self.nodes[at].paused > 0 {
                     self.nodes[at].paused -= 1;
@@ -296,12 +299,12 @@
 
     fn step(&mut self, at: usize) {
         if self.rng.random_range(0..10) == 0 {
-            self.tell(at);
+            self.update_view(at);
         }
         let (now, rng) = (self.now, &mut self.rng);
         let decisions = self.nodes[at].engine.tick(now, rng);
-        self.decided(at, decisions);
-        self.watch(at);
+        self.apply_decisions(at, decisions);
+        self.record_moves(at);
         self.finish(at);
         for _ in 0..self.rate {
             self.request(at);
@@ -309,52 +312,60 @@
         self.check(at);
     }
 
-    fn tell(&mut self, at: usize) {
+    fn update_view(&mut self, at: usize) {
         let now = self.now;
-        let lag = self.nodes[at].lag.min(self.past.len() - 1);
-        let picture = self.past[lag].clone();
+        let lag = self.nodes[at].lag.min(self.snapshots.len() - 1);
+        let snapshot = self.snapshots[lag].clone();
         let node = &mut self.nodes[at];
-        node.live = picture.live;
+        node.live = snapshot.live;
         node.engine.set_live(now, node.live.clone());
-        node.engine.set_free(picture.free);
-        node.engine.set_view(now, picture.view);
-        self.watch(at);
+        node.engine.set_free(snapshot.free);
+        node.engine.set_view(now, snapshot.view);
+        self.record_moves(at);
     }
 
-    /// What could be known of all zones now.
-    fn picture(&self) -> Picture {
+    /// Returns the current state of all zones.
+    fn snapshot(&self) -> Snapshot {
         let service = service(&self.catalog);
         let mut view = View::default();
         let mut free = BTreeMap::new();
         for &zone in &self.zones {
-            let cut = self.cut.contains(&zone);
-            let standing = if cut { Standing::Lost } else { Standing::Alive };
+            let partitioned = self.partitioned.contains(&zone);
+            let standing = if partitioned {
+                Standing::Lost
+            } else {
+                Standing::Alive
+            };
             view.zones.insert(zone, standing);
             let site = self.catalog.site(service, zone);
             let slots = site.map_or(0, |site| site.slots);
-            let slots = if self.lost.contains(&zone) { 0 } else { slots };
-            if !cut {
+            let slots = if self.failed_zones.contains(&zone) {
+                0
+            } else {
+                slots
+            };
+            if !partitioned {
                 view.slots.insert((service, zone), slots);
                 free.insert((service, zone), slots);
             }
         }
-        let up = |node: &&Node| !self.cut.contains(&node.zone);
+        let up = |node: &&Node| !self.partitioned.contains(&node.zone);
         let live = self.nodes.iter().filter(up).map(|node| node.key).collect();
-        Picture { view, live, free }
+        Snapshot { view, live, free }
     }
 
-    /// A caller's request.
+    /// Submits a caller's request.
     fn request(&mut self, at: usize) {
         let zone = self.nodes[at].zone;
         let own = self.catalog.region_of(zone);
         let other = region(&self.catalog, "r0");
-        self.next += 1;
+        self.next_id += 1;
         let ask = Ask {
-            id: self.next,
+            id: self.next_id,
             kind: Kind::First,
             origin: Origin::Caller,
             service: service(&self.catalog),
-            locality: if self.next.is_multiple_of(4) {
+            locality: if self.next_id.is_multiple_of(4) {
                 other
             } else {
                 own
@@ -364,78 +375,88 @@
             deadline: self.now + Duration::from_millis(self.rng.random_range(60..1000)),
             targets: vec![],
             hosts: vec![],
-            fingerprint: Fingerprint(self.next),
+            fingerprint: Fingerprint(self.next_id),
         };
-        self.asked += 1;
-        let seen = self.nodes[at].requests.entry(ask.locality).or_default();
-        seen.push(self.now);
-        self.submit(at, Open { ask, from: None });
+        self.submitted += 1;
+        let arrivals = self.nodes[at].requests.entry(ask.locality).or_default();
+        arrivals.push(self.now);
+        self.submit(
+            at,
+            PendingRequest {
+                ask,
+                upstream: None,
+            },
+        );
     }
 
-    fn submit(&mut self, at: usize, open: Open) {
+    fn submit(&mut self, at: usize, pending: PendingRequest) {
         let (now, rng) = (self.now, &mut self.rng);
-        let verdict = self.nodes[at].engine.ask(now, open.ask.clone(), rng);
+        let verdict = self.nodes[at].engine.ask(now, pending.ask.clone(), rng);
         match verdict {
-            Some(verdict) => self.settle(at, open, verdict),
+            Some(verdict) => self.apply_verdict(at, pending, verdict),
             None => {
-                assert_ne!(open.ask.kind, Kind::Hedge, "a copy waits");
-                let before = self.nodes[at].open.insert(open.ask.id, open);
+                assert_ne!(pending.ask.kind, Kind::Hedge, "a copy waits");
+                let before = self.nodes[at].pending.insert(pending.ask.id, pending);
                 assert!(before.is_none());
             }
         }
     }
 
-    fn decided(&mut self, at: usize, decisions: Vec<Decision>) {
+    fn apply_decisions(&mut self, at: usize, decisions: Vec<Decision>) {
         for (id, verdict) in decisions {
-            let open = self.nodes[at].open.remove(&id);
-            self.settle(at, open.expect("a request that waits"), verdict);
+            let pending = self.nodes[at].pending.remove(&id);
+            self.apply_verdict(at, pending.expect("a request that waits"), verdict);
         }
     }
 
-    fn settle(&mut self, at: usize, open: Open, verdict: Verdict) {
+    fn apply_verdict(&mut self, at: usize, pending: PendingRequest, verdict: Verdict) {
         match verdict {
             Verdict::Target { grant, .. } => {
                 let state = self.catalog.target_state(grant.target());
                 assert_eq!(state, ragwortfold::catalog::State::Serving);
-                assert!(!self.lost.contains(&self.nodes[at].zone));
+                assert!(!self.failed_zones.contains(&self.nodes[at].zone));
                 let own = self.catalog.target(grant.target()).zone;
                 assert_eq!(own, self.nodes[at].zone);
-                let end = self.now + WORK;
-                self.nodes[at].work.push(Work { end, grant, open });
+                let end = self.now + SERVICE_TIME;
+                self.nodes[at].running.push(RunningRequest {
+                    end,
+                    grant,
+                    pending,
+                });
             }
-            Verdict::Host(pass) => self.relay(at, open, pass),
+            Verdict::Host(pass) => self.relay(at, pending, pass),
             Verdict::Refused(refusal) => {
                 assert!(refusal.retry_after >= Duration::from_millis(250));
-                self.end(open.from);
+                self.end(pending.upstream);
             }
         }
     }
 
-    fn relay(&mut self, at: usize, open: Open, pass: Pass) {
+    fn relay(&mut self, at: usize, pending: PendingRequest, pass: Pass) {
         let node = &mut self.nodes[at];
-        assert_eq!(open.ask.origin, Origin::Caller, "a relayed request left");
+        assert_eq!(pending.ask.origin, Origin::Caller, "a relayed request left");
         assert!(node.live.contains(&pass.host));
-        assert!(!open.ask.hosts.contains(&pass.host));
+        assert!(!pending.ask.hosts.contains(&pass.host));
         node.passes += 1;
         let to = self.catalog.host(pass.host).zone;
         assert_ne!(to, node.zone);
-        self.count_spill(at, &open.ask, to);
-        let way = (
+        self.count_spill(at, &pending.ask, to);
+        let link = (
             self.catalog.region_of(self.nodes[at].zone),
             self.catalog.region_of(to),
         );
-        let mut ask = open.ask;
-        if self.cut.contains(&to) != self.cut.contains(&self.nodes[at].zone) {
+        let mut ask = pending.ask;
+        if self.partitioned.contains(&to) != self.partitioned.contains(&self.nodes[at].zone) {
             self.hand_back(at, &pass, Back::All);
             ask.hosts.push(pass.host);
             return self.retry(at, ask);
         }
-        if way.0 != way.1 {
-            self.sent.entry(way).or_default().push(self.now);
+        if link.0 != link.1 {
+            self.relayed.entry(link).or_default().push(self.now);
         }
-        self.next += 1;
+        self.next_id += 1;
         let relayed = Ask {
-            id: self.next,
+            id: self.next_id,
             kind: Kind::First,
             origin: Origin::Host,
             targets: vec![],
@@ -443,17 +464,17 @@
             ..ask.clone()
         };
         let there = self.nodes.iter().position(|node| node.key == pass.host);
-        let from = Upstream {
+        let upstream = Upstream {
             host: at,
             incarnation: self.nodes[at].incarnation,
             pass,
             ask,
         };
-        let open = Open {
+        let pending = PendingRequest {
             ask: relayed,
-            from: Some(Box::new(from)),
+            upstream: Some(Box::new(upstream)),
         };
-        self.submit(there.expect("a host"), open);
+        self.submit(there.expect("a host"), pending);
     }
 
     fn hand_back(&mut self, at: usize, pass: &Pass, back: Back) {
@@ -462,38 +483,44 @@
         node.engine.finish_pass(self.now, pass, back);
     }
 
-    /// A request is over without an answer; a relayed one may go elsewhere.
-    fn end(&mut self, from: Option<Box<Upstream>>) {
-        let Some(from) = from.filter(|from| self.is_there(from)) else {
-            self.ended += 1;
+    /// Ends a request without an answer; a relayed one may be retried elsewhere.
+    fn end(&mut self, upstream: Option<Box<Upstream>>) {
+        let Some(upstream) = upstream.filter(|upstream| self.has_same_incarnation(upstream)) else {
+            self.completed += 1;
             return;
         };
-        self.hand_back(from.host, &from.pass, Back::Nothing { bytes: 0 });
-        let mut ask = from.ask;
-        ask.hosts.push(from.pass.host);
-        self.retry(from.host, ask);
+        self.hand_back(upstream.host, &upstream.pass, Back::Nothing { bytes: 0 });
+        let mut ask = upstream.ask;
+        ask.hosts.push(upstream.pass.host);
+        self.retry(upstream.host, ask);
     }
 
-    fn is_there(&self, from: &Upstream) -> bool {
-        self.nodes[from.host].incarnation == from.incarnation
+    fn has_same_incarnation(&self, upstream: &Upstream) -> bool {
+        self.nodes[upstream.host].incarnation == upstream.incarnation
     }
 
     fn retry(&mut self, at: usize, mut ask: Ask) {
-        if ask.hosts.len() + ask.targets.len() >= TRIES {
-            self.ended += 1;
+        if ask.hosts.len() + ask.targets.len() >= MAX_ATTEMPTS {
+            self.completed += 1;
             return;
         }
         ask.kind = Kind::Retry;
-        self.submit(at, Open { ask, from: None });
+        self.submit(
+            at,
+            PendingRequest {
+                ask,
+                upstream: None,
+            },
+        );
     }
 
-    /// Takes back what is done.
+    /// Finishes the requests whose service time has passed.
     fn finish(&mut self, at: usize) {
         let now = self.now;
-        let work = std::mem::take(&mut self.nodes[at].work);
-        let (done, rest) = work.into_iter().partition(|work| work.end <= now);
-        self.nodes[at].work = rest;
-        for Work { grant, open, .. } in done as Vec<Work> {
+        let running = std::mem::take(&mut self.nodes[at].running);
+        let (done, rest) = running.into_iter().partition(|running| running.end <= now);
+        self.nodes[at].running = rest;
+        for RunningRequest { grant, pending, .. } in done as Vec<RunningRequest> {
             let failed = self.rng.random_range(0..40) == 0;
             let target = grant.target();
             let end = if failed {
@@ -503,35 +530,35 @@
             };
             let report = Report {
                 end,
-                latency: WORK,
+                latency: SERVICE_TIME,
                 load: None,
                 state: None,
             };
             let node = &mut self.nodes[at];
             let ready = node.engine.finish(now, grant, report, &mut self.rng);
-            self.decided(at, ready);
-            self.finished(at, open, failed.then_some(target));
+            self.apply_decisions(at, ready);
+            self.complete(at, pending, failed.then_some(target));
         }
     }
 
-    fn finished(&mut self, at: usize, open: Open, failed: Option<TargetKey>) {
-        match (failed, open.from) {
-            (Some(_), from @ Some(_)) => self.end(from),
+    fn complete(&mut self, at: usize, pending: PendingRequest, failed: Option<TargetKey>) {
+        match (failed, pending.upstream) {
+            (Some(_), upstream @ Some(_)) => self.end(upstream),
             (Some(target), None) => {
-                let mut ask = open.ask;
+                let mut ask = pending.ask;
                 ask.targets.push(target);
                 self.retry(at, ask);
             }
-            (None, Some(from)) if self.is_there(&from) => {
-                self.hand_back(from.host, &from.pass, Back::Nothing { bytes: 200 });
-                self.ended += 1;
+            (None, Some(upstream)) if self.has_same_incarnation(&upstream) => {
+                self.hand_back(upstream.host, &upstream.pass, Back::Nothing { bytes: 200 });
+                self.completed += 1;
             }
-            (None, _) => self.ended += 1,
+            (None, _) => self.completed += 1,
         }
     }
 
-    /// Notes what a split moved since the last look.
-    fn watch(&mut self, at: usize) {
+    /// Records the share that splits have moved since the last call.
+    fn record_moves(&mut self, at: usize) {
         let now = self.now;
         let node = &mut self.nodes[at];
         for (key, split) in node.engine.splits() {
@@ -544,10 +571,10 @@
         }
     }
 
-    /// Notes a request that goes where its split does not say, weighted by the traffic in the window of
-    /// the cap that applies.
+    /// Records a request that leaves the zone selected by its split, weighted by the traffic in the
+    /// window of the cap that applies.
     fn count_spill(&mut self, at: usize, ask: &Ask, to: ZoneKey) {
-        self.watch(at);
+        self.record_moves(at);
         let now = self.now;
         let Some(split) = self.nodes[at].splits.get(&(ask.service, ask.locality)) else {
             return;
@@ -560,85 +587,101 @@
         }
         let own = self.nodes[at].zone;
         let is_home = self.catalog.region_of(own) == ask.locality && split.share(own) > 0.0;
-        let window = if self.is_lost(at, ask, if is_home { own } else { chosen }) {
-            FAILOVER.1
+        let window = if self.is_zone_lost(at, ask, if is_home { own } else { chosen }) {
+            FAILOVER_CAP.1
         } else {
-            PLANNED.1
+            PLANNED_CAP.1
         };
         let node = &mut self.nodes[at];
-        let seen = &node.requests[&ask.locality];
-        let recent = seen.iter().rev().take_while(|&&then| now - then <= window);
+        let arrivals = &node.requests[&ask.locality];
+        let recent = arrivals
+            .iter()
+            .rev()
+            .take_while(|&&then| now - then <= window);
         let share = 1.0 / recent.count().max(1) as f64;
         let moved = node.moved.entry(ask.locality).or_default();
         moved.push(Moved { at: now, share });
     }
 
-    /// Whether a request leaves its zone because that is lost, as far as this host knows.
-    fn is_lost(&self, at: usize, ask: &Ask, home: ZoneKey) -> bool {
+    /// Whether a request leaves its zone because the zone is lost, as far as this host knows.
+    fn is_zone_lost(&self, at: usize, ask: &Ask, home: ZoneKey) -> bool {
         let node = &self.nodes[at];
         if home == node.zone {
             let site = self.catalog.site(ask.service, home);
-            return self.lost.contains(&home) && site.is_some_and(|site| site.slots > 0);
+            return self.failed_zones.contains(&home) && site.is_some_and(|site| site.slots > 0);
         }
         let inside = |host: &&HostKey| self.catalog.host(**host).zone == home;
         !node.live.iter().any(|host| inside(&host))
     }
 
-    /// What was given is what was not handed back.
+    /// Checks that all grants and passes are either in use or were returned.
     fn check(&self, at: usize) {
         let node = &self.nodes[at];
         let group = node.engine.group(service(&self.catalog));
         let in_flight = group.map_or(0, |group| group.headroom().in_flight);
-        assert_eq!(in_flight as usize, node.work.len());
+        assert_eq!(in_flight as usize, node.running.len());
         assert_eq!(node.engine.passes(), node.passes);
     }
 
-    /// Lets all requests come to their end, then looks at the whole.
-    pub fn conclude(&mut self) {
+    /// Lets all requests finish, then checks the invariants over the whole run.
+    pub fn finish_and_check(&mut self) {
         for node in &mut self.nodes {
             node.paused = 0;
         }
         self.rate = 0;
         self.run(100);
         for at in 0..self.nodes.len() {
-            assert!(self.nodes[at].open.is_empty(), "a request is lost");
-            assert!(self.nodes[at].work.is_empty());
+            assert!(self.nodes[at].pending.is_empty(), "a request is lost");
+            assert!(self.nodes[at].running.is_empty());
             assert_eq!(self.nodes[at].passes, 0);
             self.check(at);
         }
-        assert_eq!(self.asked, self.ended);
+        assert_eq!(self.submitted, self.completed);
         self.check_moves();
         self.check_links();
         self.check_regions();
     }
 
-    /// No host moves more in a window than the cap; the sum over hosts is a weighted mean of these.
+    /// Checks that no host moves more in a window than the cap; the sum over hosts is a weighted
+    /// mean of these shares.
     fn check_moves(&self) {
-        let (cap, window) = if self.faults { FAILOVER } else { PLANNED };
+        let (cap, window) = if self.has_faults {
+            FAILOVER_CAP
+        } else {
+            PLANNED_CAP
+        };
         for node in &self.nodes {
             for moved in node.moved.values() {
-                let worst = worst(moved.iter().map(|moved| (moved.at, moved.share)), window);
-                assert!(worst <= cap + SLACK, "{} moved {worst}", node.name);
+                let worst =
+                    max_in_window(moved.iter().map(|moved| (moved.at, moved.share)), window);
+                assert!(worst <= cap + TOLERANCE, "{} moved {worst}", node.name);
             }
         }
     }
 
     fn check_links(&self) {
-        for (way, sent) in &self.sent {
-            let hosts = self.count_hosts(|region| region == way.0);
-            let rate = LINK as f64 * UTILIZATION;
-            check_rate(sent, rate, hosts * burst(rate / hosts), &format!("{way:?}"));
+        for (link, relayed) in &self.relayed {
+            let hosts = self.count_hosts(|region| region == link.0);
+            let rate = LINK_RATE as f64 * UTILIZATION;
+            check_rate(
+                relayed,
+                rate,
+                hosts * burst(rate / hosts),
+                &format!("{link:?}"),
+            );
         }
     }
 
     fn check_regions(&self) {
         for (region, _) in self.catalog.regions() {
-            let into = self.sent.iter().filter(|(way, _)| way.1 == region);
-            let mut sent: Vec<Instant> = into.flat_map(|(_, sent)| sent.iter().copied()).collect();
-            sent.sort();
+            let into = self.relayed.iter().filter(|(link, _)| link.1 == region);
+            let mut relayed: Vec<Instant> = into
+                .flat_map(|(_, relayed)| relayed.iter().copied())
+                .collect();
+            relayed.sort();
             let hosts = self.count_hosts(|from| from != region);
-            let rate = 16.0 * UTILIZATION / WORK.as_secs_f64();
-            check_rate(&sent, rate, hosts / WORK.as_secs_f64(), "region");
+            let rate = 16.0 * UTILIZATION / SERVICE_TIME.as_secs_f64();
+            check_rate(&relayed, rate, hosts / SERVICE_TIME.as_secs_f64(), "region");
         }
     }
 
@@ -655,13 +698,13 @@
     }
 }
 
-/// What a host may send at once: what it saves up, and one request more.
+/// Returns the requests that a host may send at once: what its bucket holds, and one more.
 fn burst(rate: f64) -> f64 {
     (rate * 0.1).max(1.0) + 1.0
 }
 
-/// The largest sum in any window, ends included, of amounts in order of time.
-fn worst(moves: impl Iterator<Item = (Instant, f64)>, window: Duration) -> f64 {
+/// Returns the largest sum of chronological amounts in any window, ends included.
+fn max_in_window(moves: impl Iterator<Item = (Instant, f64)>, window: Duration) -> f64 {
     let (mut inside, mut sum, mut worst) = (VecDeque::new(), 0.0, 0.0f64);
     for (at, share) in moves {
         inside.push_back((at, share));
@@ -674,16 +717,16 @@
     worst
 }
 
-/// In no time between two requests are there more than the rate and the burst allow.
-fn check_rate(sent: &[Instant], rate: f64, burst: f64, what: &str) {
-    let Some(&start) = sent.first() else {
+/// Checks that between any two requests there are no more than the rate and the burst allow.
+fn check_rate(relayed: &[Instant], rate: f64, burst: f64, name: &str) {
+    let Some(&start) = relayed.first() else {
         return;
     };
     let mut level = 0.0f64;
     let mut last = start;
-    for &at in sent {
+    for &at in relayed {
         level = (level - (at - last).as_secs_f64() * rate).max(0.0) + 1.0;
         last = at;
-        assert!(level <= burst + SLACK, "{what}: {level} over {burst}");
+        assert!(level <= burst + TOLERANCE, "{name}: {level} over {burst}");
     }
 }
--- a/tests/hedge.rs
+++ b/tests/hedge.rs
@@ -1,4 +1,4 @@
-//! The retry budget and hedging.
+//! Retry budgets and hedging.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,8 +11,8 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Extra sends that a budget gives at once.
-fn taken(budget: &mut Budget, now: Instant) -> u32 {
+/// Returns the number of extra sends that a budget allows at once.
+fn take_all(budget: &mut Budget, now: Instant) -> u32 {
     (0..1000).map(|_| u32::from(budget.try_take(now))).sum()
 }
 
@@ -22,17 +22,17 @@
     budget
 }
 
-macro_rules! case {
+macro_rules! allowed_at_once {
     ($($name:ident: $requests:expr, $share:expr, after $seconds:expr => $taken:expr;)*) => {
         $(#[test] fn $name() {
             let now = Instant::now();
             let mut budget = budget_after($requests, $share, now);
-            assert_eq!(taken(&mut budget, now + $seconds * SECOND), $taken);
+            assert_eq!(take_all(&mut budget, now + $seconds * SECOND), $taken);
         })*
     };
 }
 
-case! {
+allowed_at_once! {
     quiet_service_may_retry: 0, 0.1, after 0 => DEFAULT_FLOOR;
     share_of_requests: 200, 0.1, after 0 => 20 + DEFAULT_FLOOR;
     requests_count_within_the_window: 200, 0.1, after 9 => 20 + DEFAULT_FLOOR;
@@ -44,19 +44,19 @@
 fn extra_sends_leave_the_window() {
     let now = Instant::now();
     let mut budget = budget_after(0, 0.1, now);
-    assert_eq!(taken(&mut budget, now), DEFAULT_FLOOR);
-    assert_eq!(taken(&mut budget, now + 9 * SECOND), 0);
-    assert_eq!(taken(&mut budget, now + 10 * SECOND), DEFAULT_FLOOR);
+    assert_eq!(take_all(&mut budget, now), DEFAULT_FLOOR);
+    assert_eq!(take_all(&mut budget, now + 9 * SECOND), 0);
+    assert_eq!(take_all(&mut budget, now + 10 * SECOND), DEFAULT_FLOOR);
 }
 
 #[test]
-fn switched_off_budget_allows_all() {
+fn disabled_budget_allows_all() {
     let now = Instant::now();
     let mut budget = budget_after(0, 0.1, now).with_switch(Switch::Off);
-    assert_eq!(taken(&mut budget, now), 1000);
+    assert_eq!(take_all(&mut budget, now), 1000);
 }
 
-fn terms(share: f64, floor: f64) -> RetryLimits {
+fn limits(share: f64, floor: f64) -> RetryLimits {
     RetryLimits {
         share,
         floor,
@@ -64,8 +64,8 @@
     }
 }
 
-/// Repeats that a host's budgets give at once.
-fn repeats(budgets: &mut SharedBudgets, now: Instant) -> u32 {
+/// Returns the number of retries that a host's budgets allow at once.
+fn take_all_retries(budgets: &mut SharedBudgets, now: Instant) -> u32 {
     let service = "a".into();
     (0..1000)
         .map(|_| u32::from(budgets.try_take(now, &service)))
@@ -73,44 +73,44 @@
 }
 
 #[test]
-fn a_host_that_hears_of_others_later_keeps_only_its_part_of_the_floor() {
+fn a_host_that_detects_others_later_keeps_only_its_share_of_the_floor() {
     let now = Instant::now();
-    let mut budgets = SharedBudgets::new(terms(0.0, 20.0));
+    let mut budgets = SharedBudgets::new(limits(0.0, 20.0));
     budgets.record_request(now, &"a".into());
     budgets.set_hosts(4);
-    assert_eq!(repeats(&mut budgets, now), 3);
+    assert_eq!(take_all_retries(&mut budgets, now), 3);
 }
 
 #[test]
 fn the_last_host_may_use_the_whole_shared_floor() {
     let now = Instant::now();
-    let mut budgets = SharedBudgets::new(terms(0.0, 20.0));
+    let mut budgets = SharedBudgets::new(limits(0.0, 20.0));
     budgets.set_hosts(4);
-    assert_eq!(repeats(&mut budgets, now), 3);
+    assert_eq!(take_all_retries(&mut budgets, now), 3);
     budgets.set_hosts(1);
-    assert_eq!(repeats(&mut budgets, now), 9);
+    assert_eq!(take_all_retries(&mut budgets, now), 9);
 }
 
 #[test]
-fn changed_terms_count_at_once_and_keep_what_was_taken() {
+fn changed_limits_apply_at_once_and_keep_the_counts() {
     let now = Instant::now();
-    let mut budgets = SharedBudgets::new(terms(0.0, 20.0));
-    assert_eq!(repeats(&mut budgets, now), 12);
-    budgets.set_limits(terms(0.0, 30.0));
-    assert_eq!(repeats(&mut budgets, now), 6);
+    let mut budgets = SharedBudgets::new(limits(0.0, 20.0));
+    assert_eq!(take_all_retries(&mut budgets, now), 12);
+    budgets.set_limits(limits(0.0, 30.0));
+    assert_eq!(take_all_retries(&mut budgets, now), 6);
 }
 
 #[test]
-fn the_window_is_a_term() {
+fn the_window_can_be_set() {
     let now = Instant::now();
     let short = RetryLimits {
         window: 2 * SECOND,
-        ..terms(0.0, 5.0)
+        ..limits(0.0, 5.0)
     };
     let mut budgets = SharedBudgets::new(short);
-    assert_eq!(repeats(&mut budgets, now), 3);
-    assert_eq!(repeats(&mut budgets, now + SECOND), 0);
-    assert_eq!(repeats(&mut budgets, now + 2 * SECOND), 3);
+    assert_eq!(take_all_retries(&mut budgets, now), 3);
+    assert_eq!(take_all_retries(&mut budgets, now + SECOND), 0);
+    assert_eq!(take_all_retries(&mut budgets, now + 2 * SECOND), 3);
 }
 
 fn hedge_after(samples: u64, now: Instant) -> HedgePolicy {
@@ -133,12 +133,12 @@
 fn delay_is_the_p95() {
     let now = Instant::now();
     let delay = hedge_after(1000, now).delay(now).unwrap().as_secs_f64();
-    // 64 samples may be missing, and the histogram keeps two digits.
+    // Up to 64 samples may not be included yet, and the histogram has a precision of two digits.
     assert!((0.88..=0.96).contains(&delay), "{delay}");
 }
 
 #[test]
-fn old_samples_leave() {
+fn old_samples_expire() {
     let now = Instant::now();
     let mut hedge = hedge_after(1000, now);
     assert!(hedge.delay(now + 15 * SECOND).is_some());
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn fast_class_is_not_hedged_below_the_least_delay() {
+fn fast_class_is_not_hedged_below_the_minimum_delay() {
     let now = Instant::now();
     let mut hedge = HedgePolicy::new(now, 0.05);
     (0..200).for_each(|_| hedge.record_latency(now, Duration::from_micros(50)));
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn switched_off_hedge_sends_nothing() {
+fn disabled_hedging_sends_nothing() {
     let now = Instant::now();
     let mut hedge = hedge_after(1000, now).with_switch(Switch::Off);
     assert_eq!(hedge.delay(now), None);
@@ -185,23 +185,23 @@
     fn extra_sends_are_bounded(steps in prop::collection::vec((0..900u64, 0..20u32), 1..80)) {
         let mut now = Instant::now();
         let mut budget = Budget::new(now, 0.2);
-        let (mut requests, mut extra) = (Vec::new(), Vec::new());
+        let (mut requests, mut extra_sends) = (Vec::new(), Vec::new());
         for (ms, count) in steps {
             now += Duration::from_millis(ms);
             for _ in 0..count {
                 budget.record_request(now);
                 requests.push(now);
             }
-            let before = extra.len();
-            extra.extend((0..30).filter(|_| budget.try_take(now)).map(|_| now));
-            let granted = extra.len() > before;
+            let before = extra_sends.len();
+            extra_sends.extend((0..30).filter(|_| budget.try_take(now)).map(|_| now));
+            let granted = extra_sends.len() > before;
             let since = |list: &[Instant], window| {
                 list.iter().filter(|&&at| now - at < window).count() as f64
             };
             // The window slides by a second at a time: between 9 s and 10 s of it are counted.
             let horizon = if granted { 10 } else { 19 };
             let allowed = f64::from(DEFAULT_FLOOR) + 0.2 * since(&requests, horizon * SECOND);
-            prop_assert!(since(&extra, 9 * SECOND) <= allowed);
+            prop_assert!(since(&extra_sends, 9 * SECOND) <= allowed);
         }
     }
 }
--- a/tests/limit.rs
+++ b/tests/limit.rs
@@ -1,4 +1,4 @@
-//! The adaptive limit of one target.
+//! The adaptive concurrency limit of one target.
 
 #![allow(clippy::unwrap_used)]
 
@@ -8,19 +8,19 @@
 use proptest::test_runner::RngSeed;
 use ragwortfold::steer::limit::{Limit, Load};
 
-/// What a target shows.
+/// Behaviour of a target.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Answer(f64, Option<u32>),
     Refuse,
 }
 
-/// The limit of a target of 4 slots for 2 hosts, after 200 rounds of a step.
-fn after(connections: u32, step: Step) -> Limit {
+/// Returns the limit of a target of 4 slots for 2 hosts, after 200 rounds of a step.
+fn limit_after(connections: u32, step: Step) -> Limit {
     let mut limit = Limit::new(4, connections, 2);
-    let base = Instant::now();
+    let start = Instant::now();
     for round in 0..200 {
-        apply(&mut limit, base + Duration::from_millis(25 * round), step);
+        apply(&mut limit, start + Duration::from_millis(25 * round), step);
     }
     limit
 }
@@ -38,19 +38,19 @@
     }
 }
 
-/// Tests of the least and the most that a limit settles at.
-macro_rules! case {
+/// The range in which a limit settles.
+macro_rules! settles {
     ($($name:ident: $connections:expr, $step:expr, $range:expr;)*) => {$(
         #[test]
         fn $name() {
-            let value = after($connections, $step).value();
+            let value = limit_after($connections, $step).value();
             assert!($range.contains(&value), "{value}");
         }
     )*};
 }
 
-case! {
-    rises_while_quick: 400, Step::Answer(1.0, None), 8.0..=200.0;
+settles! {
+    rises_while_latency_is_low: 400, Step::Answer(1.0, None), 8.0..=200.0;
     rises_while_slots_are_free: 400, Step::Answer(1.0, Some(3)), 8.0..=200.0;
     stays_while_slots_are_full: 400, Step::Answer(1.0, Some(5)), 2.0..=2.0;
     falls_while_reported_full: 400, Step::Answer(1.0, Some(9)), 2.0..=2.0;
@@ -63,7 +63,7 @@
 
 #[test]
 fn falls_to_the_share_after_a_rise() {
-    let mut limit = after(400, Step::Answer(1.0, None));
+    let mut limit = limit_after(400, Step::Answer(1.0, None));
     let late = Instant::now() + Duration::from_secs(10);
     for round in 0..100 {
         apply(
@@ -76,8 +76,8 @@
 }
 
 #[test]
-fn fades_to_the_share_while_it_is_not_reached() {
-    let mut limit = after(400, Step::Answer(1.0, None));
+fn decays_to_the_share_while_it_is_not_reached() {
+    let mut limit = limit_after(400, Step::Answer(1.0, None));
     let excess = |limit: &Limit| limit.value() - limit.share();
     let now = Instant::now() + Duration::from_secs(10);
     limit.decay_excess(now);
@@ -85,7 +85,7 @@
     for pause in [1, 2, 5, 10, 50, 432] {
         limit.decay_excess(now + Duration::from_millis(pause));
     }
-    // As after one look, whatever the looks between.
+    // The same as after a single update, whatever the updates in between.
     limit.decay_excess(now + Duration::from_millis(500));
     assert!((excess(&limit) - before / 4.0).abs() < 1e-9, "{limit:?}");
     limit.decay_excess(now + Duration::from_secs(10));
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn at_least_one_of_few_slots() {
+fn allows_at_least_one_request_with_few_slots() {
     let limit = Limit::new(4, 400, 45);
     assert!(limit.value() < 1.0);
     assert_eq!(limit.max_in_flight(0.1), 1);
--- a/tests/ranking.rs
+++ b/tests/ranking.rs
@@ -1,4 +1,5 @@
-//! The choice of a target costs the same however many targets there are, and is the same as a choice among all of them.
+//! The cost of selecting a target does not depend on the number of targets, and the result equals
+//! that of a selection among all of them.
 
 #![allow(clippy::unwrap_used)]
 
@@ -28,7 +29,7 @@
     }
 }
 
-/// Targets as a host of one region sees them, at a time of the test's own.
+/// The fleet of a host in one region, with a virtual clock.
 struct World {
     fleet: Fleet,
     now: Instant,
@@ -41,7 +42,7 @@
             .map(|(zone, region)| (zone.into(), region.into()))
             .into();
         let now = Instant::now();
-        // What moves to another region depends on what was there before.
+        // The drift depends on earlier requests, and would differ between the two fleets.
         let switches = Switches {
             drift: Switch::Off,
             ..Switches::default()
@@ -58,9 +59,9 @@
         }
     }
 
-    /// The target that gets a request with a key, which ends at once.
+    /// Returns the target selected for a request with a key; the request ends at once.
     fn chosen(&mut self, key: u64) -> Result<Arc<str>, Refusal> {
-        let ask = TargetQuery {
+        let query = TargetQuery {
             service: &"books".into(),
             affinity_key: key,
             object: None,
@@ -68,7 +69,7 @@
             tried: Vec::new(),
             body_bytes: 0,
         };
-        let target = self.fleet.choose(self.now, &ask, |_| true)?;
+        let target = self.fleet.choose(self.now, &query, |_| true)?;
         let id = self.fleet.member(target).unwrap().id().clone();
         self.fleet.finish(
             self.now,
@@ -81,9 +82,9 @@
     }
 }
 
-/// Targets that were looked at for one request of 100 a second on average, by how many there are; each of 50 keys has had
-/// its first request.
-fn looks(targets: usize) -> f64 {
+/// Returns the mean number of targets inspected for each of 100 requests a second, by the number of
+/// targets; each of 50 keys has had its first request.
+fn inspected_per_request(targets: usize) -> f64 {
     const REQUESTS: u32 = 3000;
     let ready = (0..targets).map(|index| registration(index, State::Ready));
     let mut world = World::new(ready);
@@ -99,22 +100,25 @@
 }
 
 #[test]
-fn a_choice_looks_at_as_many_targets_however_many_there_are() {
-    let [few, many] = [2_000, 8_000].map(looks);
+fn a_choice_inspects_a_constant_number_of_targets() {
+    let [few, many] = [2_000, 8_000].map(inspected_per_request);
     assert!(many < few * 1.2, "{few} of 2,000, {many} of 8,000");
 }
 
 #[test]
-fn a_choice_looks_at_few_of_many_targets() {
-    let looks = looks(2_000);
-    assert!(looks < 2_000.0 / 4.0, "{looks}");
+fn a_choice_inspects_few_of_many_targets() {
+    let inspected_per_request = inspected_per_request(2_000);
+    assert!(
+        inspected_per_request < 2_000.0 / 4.0,
+        "{inspected_per_request}"
+    );
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     Register(usize, State),
     Leave(usize),
-    Ask(u64),
+    Request(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -127,12 +131,12 @@
             .clone()
             .prop_map(|index| Step::Register(index, State::Draining)),
         target.prop_map(Step::Leave),
-        (0..8u64).prop_map(Step::Ask),
+        (0..8u64).prop_map(Step::Request),
     ]
 }
 
 #[test]
-fn a_choice_is_that_among_all() {
+fn a_choice_equals_that_among_all_targets() {
     let steps = prop::collection::vec(step(), 1..200);
     property::run(1, 300, steps, |steps| {
         let mut world = World::new([]);
@@ -147,7 +151,7 @@
                     known.remove(&index);
                     world.fleet.withdraw(&format!("t{index}"));
                 }
-                Step::Ask(key) => {
+                Step::Request(key) => {
                     let targets = known.iter();
                     let all = targets.map(|(index, state)| registration(*index, *state));
                     prop_assert_eq!(world.chosen(key), World::new(all).chosen(key));
--- a/tests/throttle.rs
+++ b/tests/throttle.rs
@@ -1,4 +1,5 @@
-//! Targets that name the rate that they take from all hosts together, replayed in virtual time, and what hosts tell each other.
+//! Targets that name the rate that they accept from all hosts together, replayed in virtual time,
+//! and the messages of hosts about it.
 
 #![allow(clippy::unwrap_used)]
 
@@ -17,16 +18,17 @@
 use replay::{Scene, World};
 
 const SEEDS: std::ops::Range<u64> = 1..6;
-/// How long hosts may take until they keep to a rate.
-const STABLE: f64 = 3.0;
-/// The span over which arrivals are counted, and what may come in it: a part beyond the rate, and some.
-const WINDOW: f64 = 4.0;
-const OVER: f64 = 1.5;
-const SLACK: f64 = 5.0;
-/// The part of what targets take that is used at least while there are more requests than that.
-const USED: f64 = 0.8;
-/// Before rates are named.
-const USUAL: f64 = 10.0;
+/// Time in seconds within which hosts have to keep to a rate.
+const SETTLING_S: f64 = 3.0;
+/// Window in seconds over which arrivals are counted, and what may arrive in it: a factor on the
+/// rate, plus some requests.
+const WINDOW_S: f64 = 4.0;
+const EXCESS_FACTOR: f64 = 1.5;
+const EXCESS_REQUESTS: f64 = 5.0;
+/// Minimum share of the rate that has to be used while there are more requests than that.
+const MIN_USED_SHARE: f64 = 0.8;
+/// Time in seconds before rates are named.
+const UNLIMITED_S: f64 = 10.0;
 
 fn s(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
@@ -41,35 +43,44 @@
 }
 
 fn allowed(rate: f64) -> f64 {
-    rate * OVER * WINDOW + SLACK
+    rate * EXCESS_FACTOR * WINDOW_S + EXCESS_REQUESTS
 }
 
-/// Asserts that a target gets about the rate that it names from [`USUAL`] to `until`, which is the highest of all.
-fn check(world: &World, site: usize, rate: f64, until: f64, but: &[usize]) {
-    let most = world.most(site, s(USUAL + STABLE - WINDOW / 2.0), s(WINDOW), but);
+/// Asserts that a target receives about the rate that it names from [`UNLIMITED_S`] to `until`.
+/// `rate` is the highest one that it names.
+fn assert_rate(world: &World, site: usize, rate: f64, until: f64, excluded: &[usize]) {
+    let max_in_window = world.most(
+        site,
+        s(UNLIMITED_S + SETTLING_S - WINDOW_S / 2.0),
+        s(WINDOW_S),
+        excluded,
+    );
     let seed = world.scene.seed;
     assert!(
-        most as f64 <= allowed(rate),
-        "seed {seed}: {most} in a window, {} allowed",
+        max_in_window as f64 <= allowed(rate),
+        "seed {seed}: {max_in_window} in a window, {} allowed",
         allowed(rate)
     );
-    let used = world.got(site, s(USUAL + STABLE), s(until)) as f64;
-    let least = rate * USED * (until - USUAL - STABLE);
-    assert!(used >= least, "seed {seed}: {used} used, {least} expected");
+    let used = world.got(site, s(UNLIMITED_S + SETTLING_S), s(until)) as f64;
+    let min_used = rate * MIN_USED_SHARE * (until - UNLIMITED_S - SETTLING_S);
+    assert!(
+        used >= min_used,
+        "seed {seed}: {used} used, {min_used} expected"
+    );
 }
 
-/// One target names a rate from a moment on, among hosts of three regions.
+/// One target names a rate from a certain time, among hosts of three regions.
 macro_rules! one_target {
     ($($name:ident: $hosts:expr, $region:expr, $rate:expr;)*) => {$(
         #[test]
         fn $name() {
             for seed in SEEDS {
                 let mut world = World::new(scene($hosts, seed));
-                world.run(s(USUAL));
+                world.run(s(UNLIMITED_S));
                 let site = busiest(&world, $region);
                 world.name(site, Some($rate));
                 world.run(s(12.0));
-                check(&world, site, $rate, 22.0, &[]);
+                assert_rate(&world, site, $rate, 22.0, &[]);
             }
         }
     )*};
@@ -83,17 +94,18 @@
     a_rate_far_below_one_a_second: 4, 1, 0.5;
 }
 
-/// The target of a region that got most of its requests so far.
+/// Returns the target of a region that has received most of its requests so far.
 fn busiest(world: &World, region: usize) -> usize {
-    let sites = world.region(region).into_iter();
-    sites
-        .max_by_key(|site| world.got(*site, s(0.0), s(USUAL)))
+    let targets = world.region(region).into_iter();
+    targets
+        .max_by_key(|site| world.got(*site, s(0.0), s(UNLIMITED_S)))
         .unwrap()
 }
 
-/// Requests that were refused in a part of the requests at most, once hosts had some seconds.
+/// Asserts that at most a share of the requests was refused, after hosts had some seconds to
+/// settle.
 fn assert_served(world: &World, until: f64, refused: f64) {
-    let sum = world.sum(s(USUAL + STABLE), s(until - 1.0));
+    let sum = world.sum(s(UNLIMITED_S + SETTLING_S), s(until - 1.0));
     let most = f64::from(sum.asked) * refused;
     assert!(f64::from(sum.refused) <= most, "{sum:?}");
     assert!(
@@ -107,17 +119,18 @@
 fn all_targets_of_a_service_name_a_rate() {
     for seed in SEEDS {
         let mut world = World::new(scene(4, seed));
-        world.run(s(USUAL));
+        world.run(s(UNLIMITED_S));
         (0..11).for_each(|site| world.name(site, Some(6.0)));
         world.run(s(12.0));
-        (0..11).for_each(|site| check(&world, site, 6.0, 22.0, &[]));
-        assert_served(&world, 22.0, 1.0 - 66.0 * USED / 180.0);
+        (0..11).for_each(|site| assert_rate(&world, site, 6.0, 22.0, &[]));
+        assert_served(&world, 22.0, 1.0 - 66.0 * MIN_USED_SHARE / 180.0);
     }
 }
 
-/// What a target takes goes to the objects that it has: others would make it work longer, and these go elsewhere.
+/// The rate of a target should be used for the objects that it has cached: others take it longer,
+/// and displace the cached ones to targets that do not have them.
 #[test]
-fn objects_go_first_where_they_are_warm_when_all_targets_name_rates() {
+fn cached_objects_come_first_when_all_targets_name_rates() {
     for seed in SEEDS {
         let mut world = World::new(Scene {
             targets: vec![10, 12, 2],
@@ -128,120 +141,133 @@
             rate: 76.0,
             ..scene(4, seed)
         });
-        world.run(s(USUAL));
+        world.run(s(UNLIMITED_S));
         let usual: Vec<usize> = (0..24)
-            .map(|site| world.got(site, s(4.0), s(USUAL)))
+            .map(|site| world.got(site, s(4.0), s(UNLIMITED_S)))
             .collect();
         for (site, count) in usual.iter().enumerate() {
             world.name(site, Some(*count as f64 / 6.0 * 0.3));
         }
         world.run(s(16.0));
-        let sum = world.sum(s(USUAL + STABLE), s(24.0));
+        let sum = world.sum(s(UNLIMITED_S + SETTLING_S), s(24.0));
         let answered = sum.good + sum.late;
         assert!(f64::from(sum.good) >= f64::from(answered) * 0.75, "{sum:?}");
     }
 }
 
 #[test]
-fn what_a_limited_target_does_not_take_is_served_by_the_others() {
+fn requests_beyond_a_rate_are_served_by_other_targets() {
     for seed in SEEDS {
         let mut world = World::new(scene(4, seed));
-        world.run(s(USUAL));
+        world.run(s(UNLIMITED_S));
         let site = busiest(&world, 2);
         world.name(site, Some(2.0));
         world.run(s(12.0));
-        check(&world, site, 2.0, 22.0, &[]);
+        assert_rate(&world, site, 2.0, 22.0, &[]);
         assert_served(&world, 22.0, 0.01);
     }
 }
 
 #[test]
-fn a_rate_that_moves_is_followed() {
+fn hosts_follow_a_rate_that_changes() {
     for seed in SEEDS {
         let mut world = World::new(scene(4, seed));
-        world.run(s(USUAL));
+        world.run(s(UNLIMITED_S));
         let site = busiest(&world, 1);
-        for turn in 0..24 {
-            world.name(site, Some([4.0, 2.5, 3.3, 2.0][turn % 4]));
+        for step in 0..24 {
+            world.name(site, Some([4.0, 2.5, 3.3, 2.0][step % 4]));
             world.run(s(0.5));
         }
-        let most = world.most(site, s(USUAL + STABLE - WINDOW / 2.0), s(WINDOW), &[]);
+        let most = world.most(
+            site,
+            s(UNLIMITED_S + SETTLING_S - WINDOW_S / 2.0),
+            s(WINDOW_S),
+            &[],
+        );
         assert!(most as f64 <= allowed(2.95), "seed {seed}: {most}");
-        assert!(world.got(site, s(13.0), s(22.0)) as f64 >= 2.95 * 9.0 * USED);
+        assert!(world.got(site, s(13.0), s(22.0)) as f64 >= 2.95 * 9.0 * MIN_USED_SHARE);
     }
 }
 
 #[test]
-fn a_rate_that_falls_and_rises_is_followed() {
+fn hosts_follow_a_rate_that_falls_and_rises() {
     for seed in SEEDS {
         let mut world = World::new(scene(4, seed));
-        world.run(s(USUAL));
+        world.run(s(UNLIMITED_S));
         let site = busiest(&world, 1);
         for rate in [8.0, 1.0, 8.0] {
             world.name(site, Some(rate));
             world.run(s(8.0));
         }
-        let low = world.most(site, s(USUAL + 8.0 + STABLE - 2.0), s(WINDOW), &[]);
-        let high = world.got(site, s(USUAL + 18.0), s(USUAL + 24.0));
-        assert!(high as f64 >= 8.0 * 6.0 * USED, "seed {seed}: {high}");
+        let low = world.most(
+            site,
+            s(UNLIMITED_S + 8.0 + SETTLING_S - 2.0),
+            s(WINDOW_S),
+            &[],
+        );
+        let high = world.got(site, s(UNLIMITED_S + 18.0), s(UNLIMITED_S + 24.0));
+        assert!(
+            high as f64 >= 8.0 * 6.0 * MIN_USED_SHARE,
+            "seed {seed}: {high}"
+        );
         assert!(low as f64 <= allowed(8.0), "seed {seed}: {low}");
-        let low = world.got(site, s(USUAL + 11.0), s(USUAL + 15.0));
+        let low = world.got(site, s(UNLIMITED_S + 11.0), s(UNLIMITED_S + 15.0));
         assert!(low as f64 <= allowed(1.0), "seed {seed}: {low}");
     }
 }
 
-/// Hosts are killed, started, cut and taken back while a target names a rate.
-macro_rules! hosts_in_trouble {
-    ($($name:ident: $hosts:expr, $trouble:expr;)*) => {$(
+/// Hosts are killed, started, partitioned and reconnected while a target names a rate.
+macro_rules! under_faults {
+    ($($name:ident: $hosts:expr, $fault:expr;)*) => {$(
         #[test]
         fn $name() {
             for seed in SEEDS {
                 let mut world = World::new(scene($hosts, seed));
-                world.run(s(USUAL));
+                world.run(s(UNLIMITED_S));
                 let site = busiest(&world, 1);
                 world.name(site, Some(3.0));
-                let trouble: fn(&mut World, usize) -> Option<usize> = $trouble;
-                let mut but = Vec::new();
-                for turn in 0..12 {
-                    but.extend(trouble(&mut world, turn));
+                let fault: fn(&mut World, usize) -> Option<usize> = $fault;
+                let mut excluded = Vec::new();
+                for second in 0..12 {
+                    excluded.extend(fault(&mut world, second));
                     world.run(s(1.0));
                 }
-                check(&world, site, 3.0, 22.0, &but);
+                assert_rate(&world, site, 3.0, 22.0, &excluded);
             }
         }
     )*};
 }
 
-hosts_in_trouble! {
-    hosts_that_roll_keep_to_a_rate: 4, |world, turn| {
-        world.stop(turn);
-        if turn > 1 {
-            world.start(turn - 2);
+under_faults! {
+    hosts_in_a_rolling_restart_keep_to_a_rate: 4, |world, second| {
+        world.stop(second);
+        if second > 1 {
+            world.start(second - 2);
         }
         None
     };
-    half_of_the_hosts_are_lost_at_once: 4, |world, turn| {
-        if turn == 5 {
+    half_of_the_hosts_are_lost_at_once: 4, |world, second| {
+        if second == 5 {
             (0..12).step_by(2).for_each(|host| world.kill(host));
         }
         None
     };
-    hosts_that_end_and_start_many_times_keep_to_a_rate: 8, |world, turn| {
-        let host = 8 + turn % 3;
-        if turn % 2 == 0 {
+    hosts_that_restart_many_times_keep_to_a_rate: 8, |world, second| {
+        let host = 8 + second % 3;
+        if second % 2 == 0 {
             world.kill(host);
         } else {
-            world.start(8 + (turn - 1) % 3);
+            world.start(8 + (second - 1) % 3);
         }
         None
     };
-    a_host_that_is_cut_adds_nothing_to_the_others: 4, |world, turn| {
-        let host = 4 + turn / 4;
-        world.cut(host, turn % 4 < 2);
+    a_partitioned_host_adds_nothing_to_the_others: 4, |world, second| {
+        let host = 4 + second / 4;
+        world.cut(host, second % 4 < 2);
         Some(host)
     };
-    many_hosts_are_lost_among_many: 50, |world, turn| {
-        (0..150).skip(turn).step_by(24).for_each(|host| world.kill(host));
+    many_hosts_are_lost_among_many: 50, |world, second| {
+        (0..150).skip(second).step_by(24).for_each(|host| world.kill(host));
         None
     };
 }
@@ -250,35 +276,36 @@
 fn a_rate_ends_when_answers_no_longer_name_it() {
     for seed in SEEDS {
         let mut world = World::new(scene(4, seed));
-        world.run(s(USUAL));
+        world.run(s(UNLIMITED_S));
         let site = busiest(&world, 2);
-        let usual = world.got(site, s(USUAL - 4.0), s(USUAL));
+        let usual = world.got(site, s(UNLIMITED_S - 4.0), s(UNLIMITED_S));
         world.name(site, Some(2.0));
         world.run(s(8.0));
         world.name(site, None);
         world.run(s(8.0));
-        let after = world.got(site, s(USUAL + 12.0), s(USUAL + 16.0));
+        let after = world.got(site, s(UNLIMITED_S + 12.0), s(UNLIMITED_S + 16.0));
         assert!(after * 2 >= usual, "seed {seed}: {after} after {usual}");
     }
 }
 
 #[test]
-fn a_rate_costs_few_datagrams() {
+fn a_rate_needs_few_datagrams() {
     let mut world = World::new(scene(100, 1));
-    world.run(s(USUAL));
+    world.run(s(UNLIMITED_S));
     let site = busiest(&world, 1);
     world.name(site, Some(3.0));
     let before = world.datagrams();
     world.run(s(12.0));
-    // Of each host a repetition to two others each second, and of all one news to all and a few for each request there.
-    let told = 300 * 2 * 12 + 3 * 300;
+    // Each host repeats the rate to two others each second; all together send one update to all
+    // hosts, and a few datagrams for each request to the target.
+    let updates = 300 * 2 * 12 + 3 * 300;
     let claims = 2 * 20 * 12;
     let sent = world.datagrams() - before;
-    assert!(sent <= told + claims, "{sent} of {}", told + claims);
+    assert!(sent <= updates + claims, "{sent} of {}", updates + claims);
 }
 
-/// What answers' headers say.
-macro_rules! figures {
+/// Rates parsed from the headers of answers.
+macro_rules! rates {
     ($($name:ident: $values:expr => $rate:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -288,11 +315,11 @@
     )*};
 }
 
-figures! {
-    no_figure: [] => Rate::Absent;
+rates! {
+    no_header: [] => Rate::Absent;
     a_whole_number: ["7"] => Rate::Named(7.0);
     a_decimal_number: [" 2.50 "] => Rate::Named(2.5);
-    nothing_at_all: ["0"] => Rate::Named(0.0);
+    zero: ["0"] => Rate::Named(0.0);
     many_digits: ["3.00000000000000000000000000000000000001"] => Rate::Named(3.0);
     two_headers: ["3.5", "2"] => Rate::Named(2.0);
     two_in_one_header: ["3.5, 4"] => Rate::Named(3.5);
@@ -301,13 +328,13 @@
     an_exponent: ["1e3"] => Rate::Unreadable("1e3".into());
     infinity: ["inf"] => Rate::Unreadable("inf".into());
     no_number: ["NaN"] => Rate::Unreadable("NaN".into());
-    an_empty_one: [""] => Rate::Unreadable("".into());
+    an_empty_value: [""] => Rate::Unreadable("".into());
     a_point_alone: ["."] => Rate::Unreadable(".".into());
-    one_of_two: ["3", "x"] => Rate::Unreadable("x".into());
+    one_of_two_unreadable: ["3", "x"] => Rate::Unreadable("x".into());
 }
 
 #[test]
-fn more_digits_than_a_number_has_are_not_read() {
+fn a_number_out_of_range_is_unreadable() {
     let text = "9".repeat(400);
     assert_eq!(Rate::new([Some(&*text)]), Rate::Unreadable(text.into()));
 }
@@ -321,7 +348,7 @@
     assert!(throttle.observe(later, 1, later - s(0.1), None).is_some());
     assert_eq!(throttle.observe(later, 1, later - s(0.5), Some(3.0)), None);
     assert_eq!(throttle.rate(1), None);
-    // Nor does what another host heard before.
+    // An older update of another host changes nothing either.
     assert!(!throttle.merge_update(later, &RateUpdate(1, Some(3.0), 500)));
     assert_eq!(throttle.rate(1), None);
     assert!(throttle.merge_update(later + s(1.0), &RateUpdate(1, Some(3.0), 0)));
@@ -329,7 +356,7 @@
 }
 
 #[test]
-fn a_keeper_begins_with_nothing() {
+fn an_allocator_starts_with_an_empty_bucket() {
     let begun = Instant::now();
     let mut bucket = Bucket::new(begun);
     assert_eq!(bucket.take(begun, 1.0, Assignment::Primary, 9), Err(s(1.0)));
@@ -344,7 +371,7 @@
 }
 
 #[test]
-fn a_keeper_that_was_paused_has_saved_up_little() {
+fn an_idle_allocator_accumulates_little() {
     let begun = Instant::now();
     let mut bucket = Bucket::new(begun);
     let woken = begun + s(60.0);
@@ -353,7 +380,7 @@
 }
 
 #[test]
-fn what_is_left_over_goes_to_other_objects() {
+fn overflow_requests_need_a_full_bucket() {
     let begun = Instant::now();
     let mut bucket = Bucket::new(begun);
     let soon = begun + s(1.0);
@@ -364,9 +391,10 @@
     );
 }
 
-/// A target that starts again under its identity knows nothing of before, and nothing that it named holds.
+/// A restarted target has no state of its previous process, so a rate that the previous process
+/// named no longer holds.
 #[test]
-fn a_target_that_is_back_under_its_identity_has_no_rate() {
+fn a_restarted_target_has_no_rate() {
     let now = Instant::now();
     let regions: BTreeMap<Arc<str>, Arc<str>> = [("z".into(), "r".into())].into();
     let mut fleet = Fleet::new(now, "h".into(), "z".into(), regions, 5.0);
@@ -374,7 +402,7 @@
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let register = |fleet: &mut Fleet, born| {
         fleet.register(now, registration(born));
-        let ask = TargetQuery {
+        let query = TargetQuery {
             service: &"books".into(),
             affinity_key: 1,
             object: None,
@@ -382,7 +410,7 @@
             tried: Vec::new(),
             body_bytes: 0,
         };
-        fleet.propose(now, &ask, |_| true).map(|(key, _)| key)
+        fleet.propose(now, &query, |_| true).map(|(key, _)| key)
     };
     let first = register(&mut fleet, 1).unwrap();
     fleet.observe_rate(now, first, now, Some(1.0));
@@ -390,10 +418,10 @@
         fleet.request_permission(now, (first, Assignment::Primary), &mut rng),
         Permission::Denied
     );
-    let second = register(&mut fleet, 2).unwrap();
-    assert_ne!(first, second);
+    let second_target = register(&mut fleet, 2).unwrap();
+    assert_ne!(first, second_target);
     assert_eq!(
-        fleet.request_permission(now, (second, Assignment::Primary), &mut rng),
+        fleet.request_permission(now, (second_target, Assignment::Primary), &mut rng),
         Permission::Granted
     );
     assert_eq!(fleet.rate_updates(now).count(), 0);
@@ -413,7 +441,7 @@
 }
 
 #[test]
-fn a_host_that_is_no_keeper_grants_nothing() {
+fn a_host_that_is_no_allocator_grants_nothing() {
     let now = Instant::now();
     let mut throttle = Throttle::new();
     let claim = Claim(1, RateUpdate(1, Some(100.0), 0), Assignment::Primary);
