--- a/src/steer/quarantine.rs
+++ b/src/steer/quarantine.rs
@@ -217,12 +217,12 @@
         true
     }
 
-    /// Counts a target at which an attempt broke that began at `begun`. Returns whether the stage
+    /// Counts a target at which an attempt broke that began at `started_at`. Returns whether the stage
     /// has changed.
-    fn count_break(&mut self, now: Instant, target: u64, begun: Instant) -> bool {
+    fn count_break(&mut self, now: Instant, target: u64, started_at: Instant) -> bool {
         let is_counted = match self.stage {
-            Stage::Noted => self.targets.is_empty() || begun >= self.last_break,
-            Stage::Suspected => begun >= self.stage_since + CLEARING_DELAY,
+            Stage::Noted => self.targets.is_empty() || started_at >= self.last_break,
+            Stage::Suspected => started_at >= self.stage_since + CLEARING_DELAY,
             Stage::Cleared | Stage::Refused => false,
         };
         let is_distinct = !self.targets.contains(&target) || now >= self.last_break + RESTART_TIME;
@@ -363,18 +363,18 @@
         }
     }
 
-    /// Records that an attempt that began at `begun` broke at a target before it had an answer.
+    /// Records that an attempt that began at `started_at` broke at a target before it had an answer.
     pub fn record_break(
         &mut self,
         now: Instant,
         fingerprint: Fingerprint,
         target: u64,
-        begun: Instant,
+        started_at: Instant,
     ) -> OutgoingNotices {
         let case = self.case_or_new(now, fingerprint);
         if case.stage == Stage::Refused {
             let mut to_all = None;
-            if begun >= case.stage_since {
+            if started_at >= case.stage_since {
                 case.failures += 1;
                 case.due = now + trial_delay(case.failures);
                 to_all = Some(Notice::Status(case.status(now, fingerprint)));
@@ -384,14 +384,14 @@
                 to_all,
             };
         }
-        if case.count_break(now, target, begun) {
+        if case.count_break(now, target, started_at) {
             let status = case.status(now, fingerprint);
             return OutgoingNotices {
                 to_counters: None,
                 to_all: Some(Notice::Status(status)),
             };
         }
-        let lasted = millis(now.saturating_duration_since(begun));
+        let lasted = millis(now.saturating_duration_since(started_at));
         let to_counters = (case.stage == Stage::Noted).then(|| {
             Notice::Broken(BrokenAttempt {
                 fingerprint,
@@ -440,10 +440,10 @@
 
     fn merge_break(&mut self, now: Instant, attempt: &BrokenAttempt) -> MergeResult {
         let lasted = Duration::from_millis(attempt.lasted_ms.into());
-        let begun = now.checked_sub(lasted).unwrap_or(now);
+        let started_at = now.checked_sub(lasted).unwrap_or(now);
         let case = self.case_or_new(now, attempt.fingerprint);
         let count_before = case.targets.len();
-        let has_changed = case.count_break(now, attempt.target, begun);
+        let has_changed = case.count_break(now, attempt.target, started_at);
         let status = has_changed.then(|| case.status(now, attempt.fingerprint));
         MergeResult {
             is_new: case.targets.len() > count_before,
--- a/tests/pause.rs
+++ b/tests/pause.rs
@@ -14,7 +14,7 @@
 fn return_times(time_until_room: Duration, rank: f64) -> Vec<Duration> {
     let return_time = |number| {
         RefusedRequest {
-            time_until_room: time_until_room,
+            time_until_room,
             rank,
         }
         .retry_after(f64::from(number) / f64::from(CALLERS))
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -190,7 +190,7 @@
     request: Fingerprint,
     target: usize,
     process: u64,
-    begun: Duration,
+    started_at: Duration,
     number: usize,
 }
 
@@ -328,7 +328,7 @@
             request,
             target,
             process: self.targets[target].0,
-            begun: now,
+            started_at: now,
             number,
         };
         self.attempts.insert(self.next, attempt);
@@ -371,7 +371,7 @@
                 self.start + now,
                 attempt.request,
                 digest,
-                self.start + attempt.begun,
+                self.start + attempt.started_at,
             );
             host.finish(attempt.request);
             let is_retried = host.may_retry(attempt.request) && attempt.number == 0;
