--- a/src/steer/engine.rs
+++ b/src/steer/engine.rs
@@ -12,6 +12,7 @@
 
 use rand::Rng;
 
+use super::admission_counts::AdmissionCounts;
 use super::attempt::Reason;
 use super::budgets::{ServiceBudgets, Switches};
 use super::fingerprint::Fingerprint;
@@ -23,7 +24,6 @@
 use super::quarantine::{Notice, Quarantine, MAX_VERDICT_WAIT};
 use super::shift::{self, Caps, Kind as Kindred, Shift};
 use super::split::Split;
-use super::tally::AdmissionCounts;
 use super::throttle::Throttle;
 use crate::border::settings::{self as border, Switch};
 use crate::catalog::{Catalog, HostKey, RegionKey, Repeat, ServiceKey, State, TargetKey, ZoneKey};
--- a/src/steer/mod.rs
+++ b/src/steer/mod.rs
@@ -1,5 +1,6 @@
 //! Decisions: where a request goes, and whether it goes at all. Pure: no I/O, no clock, no randomness of its own.
 
+mod admission_counts;
 pub mod allowance;
 pub mod attempt;
 mod budgets;
@@ -24,6 +25,5 @@
 pub mod shift;
 pub mod slow_start;
 pub mod split;
-mod tally;
 pub mod throttle;
 pub mod ticket;
--- a/src/steer/quarantine.rs
+++ b/src/steer/quarantine.rs
@@ -2,7 +2,8 @@
 //!
 //! Such a request is sent again, as a retry or by its caller, through any host, and crashes the
 //! targets of a service one after the other until no caller is served. Hosts identify requests by
-//! their [`Fingerprint`] and report to each other at which targets their connections broke:
+//! their [`Fingerprint`] and report to each other at which targets attempts broke, which means that
+//! the connection ended before there was an answer:
 //!
 //! - At one target: nothing changes, since every request in flight at a crashing target breaks.
 //! - At a second one, in an attempt that began after the first had broken: the request is
@@ -25,9 +26,9 @@
 
 use super::fingerprint::Fingerprint;
 
-/// Targets at which a request has to break until it is suspected.
+/// Number of targets at which a request's connections have to break until it is suspected.
 const SUSPECT_TARGETS: usize = 2;
-/// Targets at which a request has to break until it is refused.
+/// Number of targets at which a request's connections have to break until it is refused.
 const REFUSE_TARGETS: usize = 3;
 /// Time after which a crashed target may have restarted and may be crashed again.
 const RESTART_TIME: Duration = Duration::from_secs(1);
@@ -108,7 +109,7 @@
     /// Digests of the targets that are counted.
     #[serde(rename = "t")]
     pub targets: Vec<u64>,
-    /// Time since it broke at the first of them, in milliseconds.
+    /// Time since an attempt broke at the first of them, in milliseconds.
     #[serde(rename = "a")]
     pub age_ms: u64,
     /// Trials of the request, if it is refused.
@@ -159,12 +160,12 @@
     Refused(Duration),
 }
 
-/// State of a request that broke at a target, in order of precedence.
+/// Stage of a request whose attempts broke, in order of precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Stage {
     /// A target answered it.
     Cleared,
-    /// It broke at one target.
+    /// An attempt broke at one target.
     Noted,
     /// It runs in isolation.
     Suspected,
@@ -180,7 +181,7 @@
     stage_since: Instant,
     /// The targets that are counted, at most [`REFUSE_TARGETS`].
     targets: Vec<u64>,
-    /// When it broke at the first and at the last of them.
+    /// When attempts broke at the first and at the last of them.
     first_break: Instant,
     last_break: Instant,
     /// Whether an attempt that this host allowed is in flight.
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Moves to a stage if it is a later one, and returns whether it is.
+    /// Moves to a stage if it is a later one. Returns whether it was.
     fn advance(&mut self, now: Instant, stage: Stage) -> bool {
         if stage <= self.stage {
             return false;
@@ -217,8 +218,8 @@
         true
     }
 
-    /// Counts a target at which an attempt broke that began at `started_at`. Returns whether the stage
-    /// has changed.
+    /// Counts a target at which an attempt broke that began at `started_at`. Returns whether the
+    /// stage has changed.
     fn count_break(&mut self, now: Instant, target: u64, started_at: Instant) -> bool {
         let is_counted = match self.stage {
             Stage::Noted => self.targets.is_empty() || started_at >= self.last_break,
@@ -294,7 +295,7 @@
     }
 }
 
-/// The quarantined requests of one host, and those that broke at one target.
+/// The quarantined requests of one host, and those with an attempt that broke at one target.
 #[derive(Debug)]
 pub struct Quarantine {
     /// Seed that differs from host to host.
@@ -363,7 +364,8 @@
         }
     }
 
-    /// Records that an attempt that began at `started_at` broke at a target before it had an answer.
+    /// Records that an attempt that began at `started_at` broke at a target before it had an
+    /// answer.
     pub fn record_break(
         &mut self,
         now: Instant,
--- a/src/steer/throttle.rs
+++ b/src/steer/throttle.rs
@@ -189,7 +189,7 @@
     }
 
     /// Returns the time until the bucket has a token for a request. Overflow requests need a full
-    /// bucket, since the target's own objects leave the rest unused.
+    /// bucket, which shows that the target's own objects leave capacity unused.
     pub fn time_to_token(&self, now: Instant, rate: f64, assignment: Assignment) -> Duration {
         let needed = match assignment {
             Assignment::Primary => 1.0,
@@ -224,8 +224,8 @@
     bucket: Bucket,
     /// Granted requests that were not sent yet, and until when they may be sent.
     granted: (u16, Instant),
-    /// Until when no claims are sent to hosts, by their digests, as they had no tokens, did not
-    /// answer or are no allocators.
+    /// Until when this host sends no claims to other hosts, by their digests, as they had no
+    /// tokens, did not answer or are no allocators.
     pauses: BTreeMap<(u64, Assignment), Instant>,
     /// Until when no allocator may be asked.
     closed_until: BTreeMap<Assignment, Instant>,
