--- a/src/steer/mod.rs
+++ b/src/steer/mod.rs
@@ -1,5 +1,6 @@
 //! Routing and admission of requests. Pure: no I/O; time and random numbers are passed in by the caller.
 
+mod admission_counts;
 pub mod allowance;
 pub mod attempt;
 mod budgets;
@@ -24,6 +25,5 @@
 pub mod shift;
 pub mod slow_start;
 pub mod split;
-mod tally;
 pub mod throttle;
 pub mod ticket;
