--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -18,12 +18,12 @@
 use ragwortfold::catalog::{Cap, Catalog, HostKey, RegionKey, ServiceKey, Table, ZoneKey};
 use ragwortfold::steer::engine::{AttemptKind, Engine, Origin, RouteRequest, Verdict};
 use ragwortfold::steer::fingerprint::Fingerprint;
-use ragwortfold::steer::goal::{Standing, View};
+use ragwortfold::steer::goal::{View, ZoneStatus};
 use ragwortfold::steer::group::{End, Report};
 use ragwortfold::steer::lookup::Snapshot;
-use ragwortfold::steer::pass::Back;
 use ragwortfold::steer::quota::Quota;
-use ragwortfold::steer::shift::Ledger;
+use ragwortfold::steer::relay_permit::PermitUsage;
+use ragwortfold::steer::shift::MoveBudget;
 use ragwortfold::steer::split::Split;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -122,7 +122,7 @@
             split.shares().map(|(zone, share)| (zone, share * share)),
         );
         group.bench_function(BenchmarkId::new("toward", count), |bencher| {
-            bencher.iter(|| split.toward(black_box(&goal), 0.01));
+            bencher.iter(|| split.step_toward(black_box(&goal), 0.01));
         });
     }
     group.finish();
@@ -255,9 +255,9 @@
     };
     let base = Instant::now();
     let busy = || {
-        let mut ledger = Ledger::new();
+        let mut ledger = MoveBudget::new();
         for ms in 0..120_000 {
-            ledger.request(base + Duration::from_millis(ms));
+            ledger.record_request(base + Duration::from_millis(ms));
         }
         ledger
     };
@@ -267,11 +267,15 @@
         let mut now = end;
         bencher.iter(|| {
             now += Duration::from_millis(1);
-            ledger.request(now);
+            ledger.record_request(now);
         });
     });
     criterion.bench_function("ledger/spill", |bencher| {
-        bencher.iter_batched_ref(busy, |ledger| ledger.spill(end, cap), BatchSize::LargeInput);
+        bencher.iter_batched_ref(
+            busy,
+            |ledger| ledger.try_spill(end, cap),
+            BatchSize::LargeInput,
+        );
     });
     criterion.bench_function("quota/take", |bencher| {
         let mut quota = Quota::new(100.0, base, 1);
@@ -289,7 +293,7 @@
     let mut view = View::default();
     let mut free = BTreeMap::new();
     for (zone, _) in catalog.zones() {
-        view.zones.insert(zone, Standing::Alive);
+        view.zones.insert(zone, ZoneStatus::Alive);
         for (service, _) in catalog.services() {
             let slots = catalog.site(service, zone).map_or(0, |site| site.slots);
             view.slots.insert((service, zone), slots);
@@ -320,7 +324,7 @@
             "target"
         }
         Some(Verdict::Host(pass)) => {
-            engine.finish_pass(now, &pass, Back::All);
+            engine.finish_relay(now, &pass, PermitUsage::Unused);
             "host"
         }
         Some(Verdict::Refused(_)) => "refused",
--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -27,7 +27,7 @@
 use crate::steer::engine::{AttemptKind, Id, Origin, Refusal, RouteRequest, Verdict};
 use crate::steer::fingerprint::Fingerprint;
 use crate::steer::group;
-use crate::steer::pass::{Back, Pass};
+use crate::steer::relay_permit::{PermitUsage, RelayPermit};
 use crate::steer::throttle::Rate;
 
 /// Answers up to this size are held whole before any of them is passed on, in bytes.
@@ -60,7 +60,7 @@
     /// Whether its sender broke off the body that was passed on.
     cut: AtomicBool,
     timing: Mutex<Timing>,
-    key: Mutex<Option<dedupe::Run>>,
+    key: Mutex<Option<dedupe::RunPermit>>,
     /// The answer of a target that was unavailable, should no other try do better.
     fallback: Mutex<Option<Reply>>,
 }
@@ -96,7 +96,7 @@
     }
 
     /// Notes that this request runs an idempotency key, whose end must be told.
-    pub(crate) fn with_key(self, run: dedupe::Run) -> Self {
+    pub(crate) fn with_key(self, run: dedupe::RunPermit) -> Self {
         *lock(&self.key) = Some(run);
         self
     }
@@ -290,21 +290,21 @@
     }
 
     /// One try at an entry host of another zone.
-    fn try_host(&self, shared: &Shared, pass: Pass) -> Step {
+    fn try_host(&self, shared: &Shared, pass: RelayPermit) -> Step {
         let started = Instant::now();
         let key = match self.course().start(started, Destination::Host(pass.host)) {
             Ok(key) => key,
             Err(error) => {
                 spdlog::debug!("call: no further try: {error}");
-                shared.core.send(Event::Passed(pass, Back::All));
+                shared.core.send(Event::Passed(pass, PermitUsage::Unused));
                 return Step::Late;
             }
         };
         let (result, bytes) = self.call_host(shared, pass.host, relay::Purpose::Place);
         lock(&self.timing).elsewhere += started.elapsed();
         let back = match &result {
-            Err(relay::Failure { cause, .. }) if relay::is_unsent(*cause) => Back::All,
-            _ => Back::Nothing { bytes },
+            Err(relay::Failure { cause, .. }) if relay::is_unsent(*cause) => PermitUsage::Unused,
+            _ => PermitUsage::Used { bytes },
         };
         shared.core.send(Event::Passed(pass, back));
         self.settle_host(shared, key, result)
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -20,7 +20,7 @@
 use crate::control::{lease, publish};
 use crate::peer::frame::{Fetch, Message, Split as Share, Splits};
 use crate::peer::mesh::{Event, Mesh};
-use crate::steer::goal::{Standing, View};
+use crate::steer::goal::{View, ZoneStatus};
 use crate::steer::quarantine::Note;
 use crate::steer::split::Split;
 use crate::steer::throttle;
@@ -407,7 +407,7 @@
         for (zone, sight) in agent.sights() {
             let standing = match to_standing(sight) {
                 // Places fail together: nothing moves to a zone that may be the next one lost.
-                Standing::Alive if !agent.is_heard(zone) => Standing::Unknown,
+                ZoneStatus::Alive if !agent.is_heard(zone) => ZoneStatus::Unknown,
                 standing => standing,
             };
             view.zones.insert(zone, standing);
@@ -435,11 +435,11 @@
     }
 }
 
-fn to_standing(sight: Sight) -> Standing {
+fn to_standing(sight: Sight) -> ZoneStatus {
     match sight {
-        Sight::Alive => Standing::Alive,
-        Sight::Lost => Standing::Lost,
-        Sight::Unknown(_) => Standing::Unknown,
+        Sight::Alive => ZoneStatus::Alive,
+        Sight::Lost => ZoneStatus::Lost,
+        Sight::Unknown(_) => ZoneStatus::Unknown,
     }
 }
 
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -31,12 +31,12 @@
 use crate::control::{lease, publish};
 use crate::peer::mesh::{self, Mesh};
 use crate::steer::attempt::Reason;
-use crate::steer::dedupe::{Begin, End, Identity, Keys, Run};
+use crate::steer::dedupe::{Admission, IdempotencyTable, Identity, RunOutcome, RunPermit};
 use crate::steer::engine::{AttemptKind, Decision, Engine, Id, Refusal, RouteRequest, Verdict};
 use crate::steer::fingerprint::Fingerprint;
 use crate::steer::group;
-use crate::steer::pass::{Back, Pass};
 use crate::steer::quarantine::Note;
+use crate::steer::relay_permit::{PermitUsage, RelayPermit};
 use crate::steer::throttle::{News, Rate};
 use crate::steer::ticket::{Generation, Rotation};
 use crate::store::client::Host;
@@ -73,7 +73,7 @@
     /// A request has ended.
     Done(Id),
     /// A request left an entry host of another zone.
-    Passed(Pass, Back),
+    Passed(RelayPermit, PermitUsage),
     /// A waiting request is no longer wanted.
     Cancel(Id),
     /// A request wants a second copy after a while, if it has no answer by then.
@@ -89,12 +89,12 @@
         /// What tells it from another request with that key.
         identity: Identity,
         /// Gets the answer.
-        reply: Sender<Begin>,
+        reply: Sender<Admission>,
         /// Gets the end of the run that it joins.
-        waiter: Sender<End>,
+        waiter: Sender<RunOutcome>,
     },
     /// The run of a key ended.
-    End(Run, End),
+    End(RunPermit, RunOutcome),
     /// The outcome of a question about the planner lease.
     Leased(lease::Event),
     /// The plan that was found in the store.
@@ -177,7 +177,7 @@
         Ok(Verdict::Target { grant, .. }) => {
             handle.send(Event::Finish(grant, group::Report::unused()));
         }
-        Ok(Verdict::Host(pass)) => handle.send(Event::Passed(pass, Back::All)),
+        Ok(Verdict::Host(pass)) => handle.send(Event::Passed(pass, PermitUsage::Unused)),
         _ => {}
     }
 }
@@ -246,7 +246,7 @@
     parts: Parts,
     handle: Handle,
     engine: Engine,
-    keys: Keys<Sender<End>>,
+    keys: IdempotencyTable<Sender<RunOutcome>>,
     control: Control,
     dirty: bool,
     leaving: bool,
@@ -264,7 +264,7 @@
         Some(Self {
             engine: Engine::new(&parts.settings.steer, parts.incarnation)
                 .with_host(parts.settings.host.as_str().into()),
-            keys: Keys::new(parts.rotation),
+            keys: IdempotencyTable::new(parts.rotation),
             rng: Pcg64Mcg::seed_from_u64(parts.incarnation),
             asking: BTreeMap::new(),
             unreadable: BTreeSet::new(),
@@ -302,7 +302,7 @@
             }
             Event::Rate(target, at, rate) => self.take_rate(now, target, at, &rate),
             Event::Done(id) => self.engine.release_suspect_permit(id),
-            Event::Passed(pass, back) => self.engine.finish_pass(now, &pass, back),
+            Event::Passed(pass, back) => self.engine.finish_relay(now, &pass, back),
             Event::Hedge(call, after) => {
                 after!(after, [cx], hedge(call));
             }
@@ -320,7 +320,7 @@
                 let _ = reply.send(begin);
             }
             Event::End(run, end) => {
-                for waiter in self.keys.end(&run, end.clone()) {
+                for waiter in self.keys.complete(&run, end.clone()) {
                     let _ = waiter.send(end.clone());
                 }
             }
@@ -518,7 +518,8 @@
                 }
             }
             Some(Verdict::Host(pass)) => {
-                self.engine.finish_pass(cx.now(), &pass, Back::All);
+                self.engine
+                    .finish_relay(cx.now(), &pass, PermitUsage::Unused);
             }
             Some(Verdict::Refused(_)) => {}
             None => self.engine.cancel(id),
--- a/src/entry/front.rs
+++ b/src/entry/front.rs
@@ -290,7 +290,7 @@
     request.limit_body(deadline);
     let body = Body::read(request, head.length, hold, record.max_body)
         .map_err(|error| Reply::not_run(error.status(), &error.to_string(), None))?;
-    let place = lookup.place(client, 0);
+    let place = lookup.locate_client(client, 0);
     Ok(Start {
         id: shared.next_id(),
         fingerprint: fingerprint(&head, &body),
--- a/src/entry/keyed.rs
+++ b/src/entry/keyed.rs
@@ -13,16 +13,16 @@
 use super::Shared;
 use crate::catalog::Repeat;
 use crate::steer::attempt::{Outcome, Reason};
-use crate::steer::dedupe::{Answer, Begin, End, Identity, MAX_ANSWER};
+use crate::steer::dedupe::{Admission, Answer, Identity, RunOutcome, MAX_STORED_ANSWER_BYTES};
 use crate::steer::engine::Refusal;
-use crate::steer::ticket::{Generation, Home};
+use crate::steer::ticket::{Generation, TicketOwner};
 
 /// What the end of a key's run means for it.
-pub(crate) fn end(outcome: Outcome, reply: Option<&Reply>) -> End {
+pub(crate) fn end(outcome: Outcome, reply: Option<&Reply>) -> RunOutcome {
     match (outcome, reply) {
-        (Outcome::NotRun(_), _) => End::NotRun,
-        (Outcome::Answered, Some(reply)) => End::Answered(to_kept(reply)),
-        _ => End::Unknown,
+        (Outcome::NotRun(_), _) => RunOutcome::NotRun,
+        (Outcome::Answered, Some(reply)) => RunOutcome::Answered(to_kept(reply)),
+        _ => RunOutcome::Unknown,
     }
 }
 
@@ -35,7 +35,7 @@
         headers: reply.headers.clone(),
         body: body.to_vec(),
     };
-    (answer.size() <= MAX_ANSWER).then(|| Arc::new(answer))
+    (answer.size() <= MAX_STORED_ANSWER_BYTES).then(|| Arc::new(answer))
 }
 
 fn to_reply(answer: &Answer) -> Reply {
@@ -57,9 +57,9 @@
         return refuse(sender, Reply::not_run(428, text, None));
     };
     match shared.issuer.check(Instant::now(), ticket) {
-        Home::Here(generation) => begin(shared, start, sender, key, generation),
-        Home::Gone => tell(sender, Outcome::Unknown(Reason::StaleTicket), None),
-        Home::Elsewhere(host) => {
+        TicketOwner::ThisProcess(generation) => begin(shared, start, sender, key, generation),
+        TicketOwner::Expired => tell(sender, Outcome::Unknown(Reason::StaleTicket), None),
+        TicketOwner::OtherHost(host) => {
             let home = start.catalog.host_key(&host);
             let is_relayed = matches!(sender, Sender::Host(_));
             match home.filter(|_| !is_relayed) {
@@ -94,27 +94,29 @@
         waiter,
     });
     match answer.recv() {
-        Ok(Begin::Run(run)) => carry(shared, Call::new(start, sender).with_key(run)),
-        Ok(Begin::Join) => {
+        Ok(Admission::Run(run)) => carry(shared, Call::new(start, sender).with_key(run)),
+        Ok(Admission::Join) => {
             let left = start.deadline.saturating_duration_since(Instant::now());
             match told.recv_timeout(left) {
-                Ok(End::Answered(Some(answer))) => replay(sender, &answer),
-                Ok(End::Answered(None)) => tell(sender, Outcome::Unknown(Reason::NotKept), None),
-                Ok(End::NotRun) => tell(sender, Outcome::NotRun(Reason::Refused), None),
-                Ok(End::Unknown) => tell(sender, Outcome::Unknown(Reason::Relayed), None),
+                Ok(RunOutcome::Answered(Some(answer))) => replay(sender, &answer),
+                Ok(RunOutcome::Answered(None)) => {
+                    tell(sender, Outcome::Unknown(Reason::NotKept), None)
+                }
+                Ok(RunOutcome::NotRun) => tell(sender, Outcome::NotRun(Reason::Refused), None),
+                Ok(RunOutcome::Unknown) => tell(sender, Outcome::Unknown(Reason::Relayed), None),
                 Err(_) => tell(sender, Outcome::Unknown(Reason::Timeout), None),
             }
         }
-        Ok(Begin::Replay(answer)) => replay(sender, &answer),
-        Ok(Begin::Mismatch) => tell(sender, Outcome::NotRun(Reason::KeyReused), None),
-        Ok(Begin::Full { retry_after }) => {
+        Ok(Admission::Replay(answer)) => replay(sender, &answer),
+        Ok(Admission::Mismatch) => tell(sender, Outcome::NotRun(Reason::KeyReused), None),
+        Ok(Admission::Full { retry_after }) => {
             let refusal = Refusal {
                 reason: Reason::Crowded,
                 retry_after,
             };
             tell(sender, Outcome::NotRun(refusal.reason), Some(refusal));
         }
-        Ok(Begin::Unknown) => tell(sender, Outcome::Unknown(Reason::NotKept), None),
+        Ok(Admission::Unknown) => tell(sender, Outcome::Unknown(Reason::NotKept), None),
         Err(_) => tell(sender, Outcome::Unknown(Reason::Leaving), None),
     }
 }
--- a/src/steer/dedupe.rs
+++ b/src/steer/dedupe.rs
@@ -1,9 +1,9 @@
-//! Idempotency keys this incarnation has seen, and their outcomes.
+//! Idempotency keys received by this incarnation, and their outcomes.
 //!
-//! A key runs once: later requests with it join the running one or get its kept answer. Records are
-//! kept as long as a ticket of their generation is accepted (see [`super::ticket`]); after that
-//! the key itself is no longer accepted, so that forgetting it is safe. A full table refuses new
-//! keys and forgets nothing.
+//! A request with a key is executed once: repetitions join the running request or get its stored
+//! answer. Records are kept as long as a ticket of their generation is accepted (see
+//! [`super::ticket`]); after that the key itself is no longer accepted, so its record can safely be
+//! removed. A full table refuses new keys and evicts nothing.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,22 +14,23 @@
 use super::ticket::{Generation, Rotation};
 use crate::catalog::ServiceKey;
 
-/// Records kept when nothing else is said.
-pub const DEFAULT_RECORDS: usize = 65_536;
-/// Bytes kept when nothing else is said.
-pub const DEFAULT_BYTES: usize = 64 << 20;
-/// Largest answer that is kept, in bytes.
-pub const MAX_ANSWER: usize = 16 << 10;
-/// Requests that may wait for one key.
-pub const MAX_WAITERS: usize = 16;
-/// What a record costs beside its key and answer, in bytes (estimate).
-const OVERHEAD: usize = 256;
-/// Expired records dropped at each request, so that no single request pays for a generation.
-const PRUNE: usize = 32;
-/// What a refusal asks the caller to wait when only running requests fill the table.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
-
-/// An answer that is kept for a request's repetitions.
+/// Default limit on records.
+pub const DEFAULT_MAX_RECORDS: usize = 65_536;
+/// Default limit on stored bytes.
+pub const DEFAULT_MAX_BYTES: usize = 64 << 20;
+/// Largest answer that is stored, in bytes.
+pub const MAX_STORED_ANSWER_BYTES: usize = 16 << 10;
+/// Limit on requests that wait for the running request with the same key.
+pub const MAX_WAITERS_PER_KEY: usize = 16;
+/// Estimated size of a record without its key and answer, in bytes.
+const RECORD_OVERHEAD_BYTES: usize = 256;
+/// Limit on expired records removed at each request, so that no single request removes a whole
+/// generation.
+const MAX_PRUNED_PER_REQUEST: usize = 32;
+/// Minimum retry delay of a refusal, used when only running requests fill the table.
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
+
+/// Answer stored for repetitions of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// The HTTP status.
@@ -41,19 +42,19 @@
 }
 
 impl Answer {
-    /// Its size in bytes.
+    /// Returns the size of the headers and the body in bytes.
     pub fn size(&self) -> usize {
         let headers: usize = self.headers.iter().map(|(k, v)| k.len() + v.len()).sum();
         headers + self.body.len()
     }
 }
 
-/// Tells whether two requests with the same key are the same request.
+/// Hash that identifies a request, to detect different requests with the same key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Identity(u128);
 
 impl Identity {
-    /// The identity of a request. `length` and `body` are those that are known before it runs.
+    /// Computes the identity of a request. `length` and `body` are passed if known before it is executed.
     pub fn new(method: &str, path: &str, length: Option<u64>, body: Option<&[u8]>) -> Self {
         let mut hash = Xxh3::new();
         for part in [method.as_bytes(), path.as_bytes()] {
@@ -67,45 +68,46 @@
     }
 }
 
-/// The right to run a key, given to one request at a time.
+/// Permission to execute the request of a key, held by one request at a time.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Run {
-    name: Name,
+pub struct RunPermit {
+    record_key: RecordKey,
     serial: u64,
 }
 
-/// What a request with a key may do.
+/// Decision on a request with a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Begin {
-    /// Run, and tell its end to [`Keys::end`].
-    Run(Run),
-    /// Wait: the same request is running, and its end tells this one's waiter.
+pub enum Admission {
+    /// Execute the request and report its outcome to [`IdempotencyTable::complete`].
+    Run(RunPermit),
+    /// Wait: the same request is running, and [`IdempotencyTable::complete`] returns this waiter at its
+    /// end.
     Join,
-    /// Give the kept answer.
+    /// Return the stored answer.
     Replay(Arc<Answer>),
-    /// Refuse as not run (422): the key was used for another request.
+    /// Refuse as not executed (422): the key was used for a different request.
     Mismatch,
-    /// Refuse as not run.
+    /// Refuse as not executed: the table is full.
     Full {
-        /// When room may be found.
+        /// Time until the table may have room.
         retry_after: Duration,
     },
-    /// The key may have run, and nothing better is known.
+    /// The request may have been executed, and its answer is not available.
     Unknown,
 }
 
-/// How a run ended.
+/// Outcome of an executed request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
-    /// It is proved not to have run; the key may run again.
+pub enum RunOutcome {
+    /// It was certainly not executed; the key may be used again.
     NotRun,
-    /// It may have run.
+    /// It may have been executed.
     Unknown,
-    /// It was answered. The answer is absent if it is too large to keep.
+    /// It was answered. The answer is `None` if it is too large to store.
     Answered(Option<Arc<Answer>>),
 }
 
-type Name = (ServiceKey, Arc<str>);
+type RecordKey = (ServiceKey, Arc<str>);
 
 #[derive(Clone, Debug)]
 enum State<W> {
@@ -119,63 +121,63 @@
     serial: u64,
     identity: Identity,
     generation: Generation,
-    /// Bytes it holds or, while it runs, may come to hold.
+    /// Bytes used by the record or, while its request runs, reserved for it.
     bytes: usize,
     state: State<W>,
 }
 
-/// The keys of this incarnation. `W` names a waiting request.
+/// Idempotency keys of this incarnation. `W` identifies a waiting request.
 #[derive(Clone, Debug)]
-pub struct Keys<W> {
+pub struct IdempotencyTable<W> {
     rotation: Rotation,
     max_records: usize,
     max_bytes: usize,
-    records: BTreeMap<Name, Record<W>>,
-    by_generation: BTreeMap<Generation, BTreeSet<Name>>,
+    records: BTreeMap<RecordKey, Record<W>>,
+    by_generation: BTreeMap<Generation, BTreeSet<RecordKey>>,
     bytes: usize,
     serial: u64,
-    /// Keys of older generations are not accepted. Never falls.
-    oldest: Generation,
+    /// Oldest accepted generation. Never decreases.
+    oldest_accepted: Generation,
 }
 
-impl<W> Keys<W> {
-    /// An empty table; `rotation` is that of the tickets' issuer.
+impl<W> IdempotencyTable<W> {
+    /// Creates an empty table; `rotation` must be that of the tickets' issuer.
     pub fn new(rotation: Rotation) -> Self {
         Self {
             rotation,
-            max_records: DEFAULT_RECORDS,
-            max_bytes: DEFAULT_BYTES,
+            max_records: DEFAULT_MAX_RECORDS,
+            max_bytes: DEFAULT_MAX_BYTES,
             records: BTreeMap::new(),
             by_generation: BTreeMap::new(),
             bytes: 0,
             serial: 0,
-            oldest: Generation::default(),
+            oldest_accepted: Generation::default(),
         }
     }
 
-    /// Bounds the table.
+    /// Sets the limits on records and bytes.
     pub fn with_capacity(mut self, records: usize, bytes: usize) -> Self {
         self.max_records = records;
         self.max_bytes = bytes;
         self
     }
 
-    /// Records held.
+    /// Returns the number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no record is held.
+    /// Whether the table has no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Bytes held or reserved (estimate).
+    /// Returns the estimated number of bytes used or reserved.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// A request came whose ticket names this incarnation and `generation`.
+    /// Decides on a request whose ticket was issued by this incarnation in `generation`.
     pub fn begin(
         &mut self,
         now: Instant,
@@ -184,53 +186,58 @@
         generation: Generation,
         identity: Identity,
         waiter: W,
-    ) -> Begin {
-        self.oldest = self.oldest.max(self.rotation.oldest(now));
-        self.prune(PRUNE);
-        if generation < self.oldest || !self.rotation.accepts(now, generation) {
-            return Begin::Unknown;
+    ) -> Admission {
+        self.oldest_accepted = self.oldest_accepted.max(self.rotation.oldest_accepted(now));
+        self.prune(MAX_PRUNED_PER_REQUEST);
+        if generation < self.oldest_accepted || !self.rotation.accepts(now, generation) {
+            return Admission::Unknown;
         }
-        let name = (service, key);
-        if self.records.contains_key(&name) {
-            self.keep_until(&name, generation);
-            return self.repeat(&name, identity, waiter);
+        let record_key = (service, key);
+        if self.records.contains_key(&record_key) {
+            self.extend_lifetime(&record_key, generation);
+            return self.admit_repetition(&record_key, identity, waiter);
         }
-        self.insert(now, name, generation, identity)
+        self.admit_new(now, record_key, generation, identity)
     }
 
-    fn repeat(&mut self, name: &Name, identity: Identity, waiter: W) -> Begin {
-        let Some(record) = self.records.get_mut(name) else {
-            return Begin::Unknown;
+    fn admit_repetition(
+        &mut self,
+        record_key: &RecordKey,
+        identity: Identity,
+        waiter: W,
+    ) -> Admission {
+        let Some(record) = self.records.get_mut(record_key) else {
+            return Admission::Unknown;
         };
         if record.identity != identity {
-            return Begin::Mismatch;
+            return Admission::Mismatch;
         }
         match &mut record.state {
-            // It can't be refused as not run, since it does run.
-            State::Running(waiters) if waiters.len() >= MAX_WAITERS => Begin::Unknown,
+            // It can't be refused as not executed, since a request with the key is running.
+            State::Running(waiters) if waiters.len() >= MAX_WAITERS_PER_KEY => Admission::Unknown,
             State::Running(waiters) => {
                 waiters.push(waiter);
-                Begin::Join
+                Admission::Join
             }
-            State::Answered(Some(answer)) => Begin::Replay(answer.clone()),
-            State::Answered(None) | State::Unknown => Begin::Unknown,
+            State::Answered(Some(answer)) => Admission::Replay(answer.clone()),
+            State::Answered(None) | State::Unknown => Admission::Unknown,
         }
     }
 
-    fn insert(
+    fn admit_new(
         &mut self,
         now: Instant,
-        name: Name,
+        record_key: RecordKey,
         generation: Generation,
         identity: Identity,
-    ) -> Begin {
-        let bytes = OVERHEAD + name.1.len() + MAX_ANSWER;
-        if !self.fits(bytes) {
+    ) -> Admission {
+        let bytes = RECORD_OVERHEAD_BYTES + record_key.1.len() + MAX_STORED_ANSWER_BYTES;
+        if !self.has_room(bytes) {
             self.prune(usize::MAX);
         }
-        if !self.fits(bytes) {
+        if !self.has_room(bytes) {
             let retry_after = self.retry_after(now);
-            return Begin::Full { retry_after };
+            return Admission::Full { retry_after };
         }
         self.serial += 1;
         self.bytes += bytes;
@@ -241,22 +248,23 @@
             bytes,
             state: State::Running(Vec::new()),
         };
-        self.records.insert(name.clone(), record);
-        self.index(generation, name.clone());
+        self.records.insert(record_key.clone(), record);
+        self.add_to_generation(generation, record_key.clone());
         let serial = self.serial;
-        Begin::Run(Run { name, serial })
+        Admission::Run(RunPermit { record_key, serial })
     }
 
-    /// A run ended. Returns the requests that waited for it, which get the same end.
+    /// Records the outcome of an executed request. Returns the requests that waited for it and get the
+    /// same outcome.
     ///
-    /// An unknown end may be settled later by a second call; the end of a run whose key has been
-    /// forgotten is ignored.
-    pub fn end(&mut self, run: &Run, end: End) -> Vec<W> {
-        let Some(record) = self.records.get_mut(&run.name) else {
+    /// An unknown outcome may be replaced by a second call; the outcome of a request whose record was
+    /// removed is ignored.
+    pub fn complete(&mut self, run: &RunPermit, end: RunOutcome) -> Vec<W> {
+        let Some(record) = self.records.get_mut(&run.record_key) else {
             return Vec::new();
         };
-        let settled = matches!(record.state, State::Answered(_));
-        if record.serial != run.serial || settled {
+        let is_settled = matches!(record.state, State::Answered(_));
+        if record.serial != run.serial || is_settled {
             return Vec::new();
         }
         let waiters = match &mut record.state {
@@ -264,102 +272,110 @@
             State::Unknown | State::Answered(_) => Vec::new(),
         };
         match end {
-            End::NotRun => self.forget(&run.name),
-            End::Unknown => self.settle(&run.name, State::Unknown),
-            End::Answered(answer) => {
-                let answer = answer.filter(|answer| self.keeps(&run.name, answer));
-                self.settle(&run.name, State::Answered(answer));
+            RunOutcome::NotRun => self.remove_record(&run.record_key),
+            RunOutcome::Unknown => self.store_state(&run.record_key, State::Unknown),
+            RunOutcome::Answered(answer) => {
+                let answer = answer.filter(|answer| self.can_store_answer(&run.record_key, answer));
+                self.store_state(&run.record_key, State::Answered(answer));
             }
         }
         waiters
     }
 
-    /// Whether `answer` fits into what the record holds, or into the table for one that comes late.
-    fn keeps(&self, name: &Name, answer: &Answer) -> bool {
+    /// Whether `answer` fits into the record's reservation, or into the table if it arrives after the
+    /// reservation was released.
+    fn can_store_answer(&self, record_key: &RecordKey, answer: &Answer) -> bool {
         let size = answer.size();
-        let held = self.records.get(name).map_or(0, |record| record.bytes);
-        let needed = OVERHEAD + name.1.len() + size;
-        size <= MAX_ANSWER && self.bytes - held + needed <= self.max_bytes
+        let held_bytes = self
+            .records
+            .get(record_key)
+            .map_or(0, |record| record.bytes);
+        let needed_bytes = RECORD_OVERHEAD_BYTES + record_key.1.len() + size;
+        size <= MAX_STORED_ANSWER_BYTES && self.bytes - held_bytes + needed_bytes <= self.max_bytes
     }
 
-    /// Stores the end of a run and gives back what it had reserved.
-    fn settle(&mut self, name: &Name, state: State<W>) {
-        let Some(record) = self.records.get_mut(name) else {
+    /// Stores the outcome in the record and releases the rest of its reservation.
+    fn store_state(&mut self, record_key: &RecordKey, state: State<W>) {
+        let Some(record) = self.records.get_mut(record_key) else {
             return;
         };
         let answer = match &state {
             State::Answered(Some(answer)) => answer.size(),
             _ => 0,
         };
-        let bytes = OVERHEAD + name.1.len() + answer;
+        let bytes = RECORD_OVERHEAD_BYTES + record_key.1.len() + answer;
         self.bytes = self.bytes - record.bytes + bytes;
         record.bytes = bytes;
         record.state = state;
     }
 
-    fn fits(&self, bytes: usize) -> bool {
+    fn has_room(&self, bytes: usize) -> bool {
         self.records.len() < self.max_records && self.bytes + bytes <= self.max_bytes
     }
 
-    /// Time until the oldest generation with records is no longer accepted.
+    /// Returns the time until the oldest generation with records is no longer accepted.
     fn retry_after(&self, now: Instant) -> Duration {
-        let oldest = self.by_generation.keys().find(|&&g| g >= self.oldest);
+        let oldest = self
+            .by_generation
+            .keys()
+            .find(|&&g| g >= self.oldest_accepted);
         let remaining = oldest.map(|&generation| self.rotation.remaining(now, generation));
-        remaining.unwrap_or(RETRY_AFTER).max(RETRY_AFTER)
+        remaining.unwrap_or(MIN_RETRY_AFTER).max(MIN_RETRY_AFTER)
     }
 
-    /// Keeps a record as long as the newest ticket that its key came with is accepted.
-    fn keep_until(&mut self, name: &Name, generation: Generation) {
-        let Some(record) = self.records.get_mut(name) else {
+    /// Keeps a record as long as the newest ticket received with its key is accepted.
+    fn extend_lifetime(&mut self, record_key: &RecordKey, generation: Generation) {
+        let Some(record) = self.records.get_mut(record_key) else {
             return;
         };
         if record.generation >= generation {
             return;
         }
-        let before = record.generation;
+        let old_generation = record.generation;
         record.generation = generation;
-        self.unindex(before, name);
-        self.index(generation, name.clone());
+        self.remove_from_generation(old_generation, record_key);
+        self.add_to_generation(generation, record_key.clone());
     }
 
-    /// Drops at most `limit` records that are no longer accepted. Running ones stay to their end.
+    /// Removes at most `limit` records whose generation is no longer accepted. Records of running requests
+    /// are kept.
     fn prune(&mut self, limit: usize) {
-        let expired = self.by_generation.range(..self.oldest);
-        let settled = |name: &&Name| match self.records.get(*name) {
+        let expired = self.by_generation.range(..self.oldest_accepted);
+        let is_settled = |record_key: &&RecordKey| match self.records.get(*record_key) {
             Some(record) => !matches!(record.state, State::Running(_)),
             None => true,
         };
-        let names: Vec<Name> = expired
-            .flat_map(|(_, names)| names)
-            .filter(settled)
+        let record_keys: Vec<RecordKey> = expired
+            .flat_map(|(_, record_keys)| record_keys)
+            .filter(is_settled)
             .take(limit)
             .cloned()
             .collect();
-        for name in names {
-            self.forget(&name);
+        for record_key in record_keys {
+            self.remove_record(&record_key);
         }
     }
 
-    fn forget(&mut self, name: &Name) {
-        if let Some(record) = self.records.remove(name) {
+    fn remove_record(&mut self, record_key: &RecordKey) {
+        if let Some(record) = self.records.remove(record_key) {
             self.bytes -= record.bytes;
-            self.unindex(record.generation, name);
+            self.remove_from_generation(record.generation, record_key);
         }
     }
 
-    fn index(&mut self, generation: Generation, name: Name) {
+    fn add_to_generation(&mut self, generation: Generation, record_key: RecordKey) {
         self.by_generation
             .entry(generation)
             .or_default()
-            .insert(name);
+            .insert(record_key);
     }
 
-    fn unindex(&mut self, generation: Generation, name: &Name) {
-        let Some(names) = self.by_generation.get_mut(&generation) else {
+    fn remove_from_generation(&mut self, generation: Generation, record_key: &RecordKey) {
+        let Some(record_keys) = self.by_generation.get_mut(&generation) else {
             return;
         };
-        names.remove(name);
-        if names.is_empty() {
+        record_keys.remove(record_key);
+        if record_keys.is_empty() {
             self.by_generation.remove(&generation);
         }
     }
--- a/src/steer/engine.rs
+++ b/src/steer/engine.rs
@@ -15,13 +15,13 @@
 use super::attempt::Reason;
 use super::budgets::{Budgets, Switches};
 use super::fingerprint::Fingerprint;
-use super::goal::{goal, Hold, Standing, View};
+use super::goal::{compute_goal, FlapDamping, View, ZoneStatus};
 use super::group::{self, Group};
 use super::hedge;
 use super::lookup::Snapshot;
-use super::pass::{Back, Pass, Quotas};
 use super::quarantine::{Note, Quarantine, UNSURE};
-use super::shift::{self, Caps, Kind as MoveKind, Shift};
+use super::relay_permit::{PermitUsage, RelayPermit, RelayQuotas};
+use super::shift::{self, Caps, MoveKind, SplitController};
 use super::split::Split;
 use super::tally::Tally;
 use super::throttle::Throttle;
@@ -113,7 +113,7 @@
         hedge: Option<Duration>,
     },
     /// Send it to an entry host of another zone.
-    Host(Pass),
+    Host(RelayPermit),
     /// Refuse it; it was not executed.
     Refused(Refusal),
 }
@@ -141,11 +141,11 @@
     groups: BTreeMap<ServiceKey, Group>,
     waiting: BTreeMap<Id, ServiceKey>,
     /// Copies of queued requests that may be routed to another zone if this zone refuses them.
-    rerouteable: BTreeMap<Id, RouteRequest>,
+    reroutable: BTreeMap<Id, RouteRequest>,
     switches: Switches,
     budgets: BTreeMap<ServiceKey, Budgets>,
-    quotas: Quotas,
-    passes_by_host: BTreeMap<HostKey, u32>,
+    quotas: RelayQuotas,
+    relays_by_host: BTreeMap<HostKey, u32>,
     /// Moving average of the time that a request of a service occupies a slot, in seconds.
     hold_seconds: BTreeMap<ServiceKey, f64>,
     /// Free slots of other zones, as last reported.
@@ -153,13 +153,13 @@
     /// Time of the first configuration.
     configured_at: Option<Instant>,
     tallies: BTreeMap<ServiceKey, Tally>,
-    shifts: BTreeMap<(ServiceKey, RegionKey), Shift>,
+    split_controllers: BTreeMap<(ServiceKey, RegionKey), SplitController>,
     /// Time until which the move budget of a service and locality counts as exhausted, by kind of move.
     exhausted_until: BTreeMap<(ServiceKey, RegionKey, MoveKind), Instant>,
     /// Split for callers of the own region at the time this zone last had serving targets.
     last_serving_splits: BTreeMap<ServiceKey, Split>,
     view: View,
-    recovery: Hold,
+    recovery: FlapDamping,
     quarantine: Quarantine,
     /// Suspected requests that wait for the quarantine's decision, each with the end of its wait.
     undecided: Vec<(Instant, RouteRequest)>,
@@ -184,20 +184,20 @@
             serving_hosts: BTreeMap::new(),
             groups: BTreeMap::new(),
             waiting: BTreeMap::new(),
-            rerouteable: BTreeMap::new(),
+            reroutable: BTreeMap::new(),
             switches: Switches::new(steer),
             budgets: BTreeMap::new(),
-            quotas: Quotas::new(incarnation),
-            passes_by_host: BTreeMap::new(),
+            quotas: RelayQuotas::new(incarnation),
+            relays_by_host: BTreeMap::new(),
             hold_seconds: BTreeMap::new(),
             free_slots: BTreeMap::new(),
             configured_at: None,
             tallies: BTreeMap::new(),
-            shifts: BTreeMap::new(),
+            split_controllers: BTreeMap::new(),
             exhausted_until: BTreeMap::new(),
             last_serving_splits: BTreeMap::new(),
             view: View::default(),
-            recovery: Hold::new(ZONE_RECOVERY_PERIOD),
+            recovery: FlapDamping::new(ZONE_RECOVERY_PERIOD),
             quarantine: Quarantine::new(incarnation),
             undecided: Vec::new(),
             suspect_permits: BTreeMap::new(),
@@ -222,16 +222,16 @@
     pub fn service_loads(&mut self, now: Instant) -> BTreeMap<ServiceKey, Load> {
         let mut loads = BTreeMap::new();
         for (&service, group) in &self.groups {
-            let free = group.headroom();
+            let headroom = group.headroom();
             let tally = self.tallies.entry(service).or_insert(Tally::new(now));
             let (admitted, refused) = tally.rates(now);
             loads.insert(
                 service,
                 Load {
-                    live: (f64::from(free.slots) * (1.0 - free.ejected)) as f32,
-                    cold: free.cold as f32,
-                    in_flight: free.in_flight as f32,
-                    queued: free.queued as f32,
+                    live: (f64::from(headroom.slots) * (1.0 - headroom.ejected)) as f32,
+                    cold: headroom.cold as f32,
+                    in_flight: headroom.in_flight as f32,
+                    queued: headroom.queued as f32,
                     admitted,
                     refused,
                 },
@@ -243,7 +243,7 @@
     /// Returns the unused fraction of this host's quota of each link between regions since the last call,
     /// 0 to 1.
     pub fn link_headroom(&mut self, now: Instant) -> BTreeMap<(RegionKey, RegionKey), f64> {
-        self.quotas.rooms(now)
+        self.quotas.link_headroom(now)
     }
 
     /// Returns the target group of a service in this zone.
@@ -293,10 +293,10 @@
 
     /// Returns this host's non-empty splits.
     pub fn splits(&self) -> BTreeMap<(ServiceKey, RegionKey), Split> {
-        self.shifts
+        self.split_controllers
             .iter()
-            .filter(|(_, shift)| !shift.current().is_empty())
-            .map(|(&key, shift)| (key, shift.current().clone()))
+            .filter(|(_, controller)| !controller.current().is_empty())
+            .map(|(&key, controller)| (key, controller.current().clone()))
             .collect()
     }
 
@@ -304,11 +304,12 @@
     pub fn adopt_splits(&mut self, now: Instant, splits: BTreeMap<(ServiceKey, RegionKey), Split>) {
         for (key, split) in splits {
             let is_new = self
-                .shifts
+                .split_controllers
                 .get(&key)
-                .is_none_or(|shift| shift.current().is_empty());
+                .is_none_or(|controller| controller.current().is_empty());
             if is_new && !split.is_empty() {
-                self.shifts.insert(key, Shift::with_current(split, now));
+                self.split_controllers
+                    .insert(key, SplitController::with_current(split, now));
             }
         }
     }
@@ -316,8 +317,8 @@
     /// Sets the observed state of the zones.
     pub fn set_view(&mut self, now: Instant, mut view: View) {
         self.add_own_zone(&mut view);
-        for (&zone, standing) in &mut view.zones {
-            *standing = self.recovery.observe(now, zone, *standing);
+        for (&zone, status) in &mut view.zones {
+            *status = self.recovery.observe(now, zone, *status);
         }
         self.view = view;
         self.advance_splits(now);
@@ -328,7 +329,7 @@
         let Some(zone) = self.zone else {
             return;
         };
-        view.zones.insert(zone, Standing::Alive);
+        view.zones.insert(zone, ZoneStatus::Alive);
         for (&service, group) in &self.groups {
             view.slots.insert((service, zone), group.headroom().slots);
         }
@@ -337,7 +338,7 @@
     /// Whether no splits are computed yet, since other hosts may still publish theirs.
     pub fn is_settling(&self, now: Instant) -> bool {
         self.configured_at
-            .is_none_or(|started| now.saturating_duration_since(started) < SPLIT_SETTLING_TIME)
+            .is_none_or(|first| now.saturating_duration_since(first) < SPLIT_SETTLING_TIME)
     }
 
     /// Returns the view with zones of unknown state taken as alive and missing measurements replaced by
@@ -346,9 +347,9 @@
         let mut view = view.clone();
         for (service, _) in self.catalog.services() {
             for (zone, site) in self.catalog.sites(service) {
-                let standing = view.zones.entry(zone).or_insert(Standing::Unknown);
-                if *standing == Standing::Unknown {
-                    *standing = Standing::Alive;
+                let status = view.zones.entry(zone).or_insert(ZoneStatus::Unknown);
+                if *status == ZoneStatus::Unknown {
+                    *status = ZoneStatus::Alive;
                 }
                 view.slots.entry((service, zone)).or_insert(site.slots);
             }
@@ -367,17 +368,17 @@
         for (service, _) in catalog.services() {
             let caps = Caps::new(&catalog, service);
             for &locality in &regions {
-                let shift = self
-                    .shifts
+                let controller = self
+                    .split_controllers
                     .entry((service, locality))
-                    .or_insert_with(|| Shift::new(Split::default()));
-                let view = if shift.current().is_empty() {
+                    .or_insert_with(|| SplitController::new(Split::default()));
+                let view = if controller.current().is_empty() {
                     &assumed
                 } else {
                     &self.view
                 };
-                let goal = goal(&catalog, service, locality, view, shift.current());
-                shift.advance(now, &goal.split, goal.kind, &caps);
+                let goal = compute_goal(&catalog, service, locality, view, controller.current());
+                controller.advance(now, &goal.split, goal.kind, &caps);
             }
         }
         self.record_serving_splits();
@@ -389,10 +390,10 @@
             return;
         };
         for (&service, group) in &self.groups {
-            if let Some(shift) = self.shifts.get(&(service, own)) {
+            if let Some(controller) = self.split_controllers.get(&(service, own)) {
                 if group.headroom().slots > 0 {
                     self.last_serving_splits
-                        .insert(service, shift.current().clone());
+                        .insert(service, controller.current().clone());
                 }
             }
         }
@@ -401,8 +402,8 @@
     /// Returns the snapshot from which look-ups are answered until the next change.
     pub fn lookup_snapshot(&self) -> Option<Snapshot> {
         let splits = |service, locality| {
-            let shift = self.shifts.get(&(service, locality))?;
-            Some(shift.current().clone())
+            let controller = self.split_controllers.get(&(service, locality))?;
+            Some(controller.current().clone())
         };
         Some(Snapshot::new(
             &self.catalog,
@@ -498,7 +499,9 @@
             .entry(request.service)
             .or_insert_with(|| Budgets::new(now, &limits, switches));
         let headroom = match self.groups.get(&request.service).map(Group::headroom) {
-            Some(free) if free.queued == 0 && free.in_flight < free.limit => hedge::Headroom::Known,
+            Some(headroom) if headroom.queued == 0 && headroom.in_flight < headroom.limit => {
+                hedge::Headroom::Known
+            }
             _ => hedge::Headroom::Lacking,
         };
         let allowed = match request.kind {
@@ -522,25 +525,25 @@
         if request.kind == AttemptKind::Hedge {
             return Some(self.admit_hedge(now, request, rng));
         }
-        let home = self.home_zone(now, &request);
-        if home == self.zone {
+        let zone = self.home_zone(now, &request);
+        if zone == self.zone {
             let (id, retained) = (request.id, request.clone());
             return match self.admit_locally(now, request, rng) {
                 Some(Verdict::Refused(refusal)) => Some(self.reroute(now, &retained, refusal)),
                 verdict => {
                     if verdict.is_none() {
-                        self.rerouteable.insert(id, retained);
+                        self.reroutable.insert(id, retained);
                     }
                     verdict
                 }
             };
         }
-        let verdict = match home {
-            Some(zone) => self.issue_pass(now, &request, zone),
+        let verdict = match zone {
+            Some(zone) => self.issue_permit(now, &request, zone),
             None => Err(Refusal::new(Reason::NoTarget)),
         };
         Some(match verdict {
-            Ok(pass) => Verdict::Host(pass),
+            Ok(permit) => Verdict::Host(permit),
             Err(refusal) => self.spill_over(now, &request, refusal),
         })
     }
@@ -561,11 +564,11 @@
     /// Reroutes a request that this zone refused: to the zone to which the split moved its block, else to
     /// a zone with room.
     fn reroute(&mut self, now: Instant, request: &RouteRequest, refusal: Refusal) -> Verdict {
-        let pass = self
+        let permit = self
             .moved_to(request)
-            .map(|zone| self.issue_pass(now, request, zone));
-        match pass {
-            Some(Ok(pass)) => Verdict::Host(pass),
+            .map(|zone| self.issue_permit(now, request, zone));
+        match permit {
+            Some(Ok(permit)) => Verdict::Host(permit),
             _ => self.spill_over(now, request, refusal),
         }
     }
@@ -579,7 +582,7 @@
         }
         let before = self.last_serving_splits.get(&request.service)?;
         let now = self
-            .shifts
+            .split_controllers
             .get(&(request.service, request.locality))?
             .current();
         let own = self
@@ -601,13 +604,16 @@
 
     /// Returns the zone that should serve a request.
     fn home_zone(&mut self, now: Instant, request: &RouteRequest) -> Option<ZoneKey> {
-        let Some(shift) = self.shifts.get_mut(&(request.service, request.locality)) else {
+        let Some(controller) = self
+            .split_controllers
+            .get_mut(&(request.service, request.locality))
+        else {
             return self.nearest_zone(request);
         };
         if request.kind == AttemptKind::First {
-            shift.ledger().request(now);
+            controller.budget_mut().record_request(now);
         }
-        let split = shift.current();
+        let split = controller.current();
         if split.is_empty() {
             return self.nearest_zone(request);
         }
@@ -695,23 +701,26 @@
             return Verdict::Refused(refusal);
         }
         for zone in self.spill_over_zones(request) {
-            let Some(shift) = self.shifts.get_mut(&(request.service, request.locality)) else {
+            let Some(controller) = self
+                .split_controllers
+                .get_mut(&(request.service, request.locality))
+            else {
                 break;
             };
-            if shift.ledger().room(now, caps.cap(kind)) <= 0.0 {
+            if controller.budget_mut().available(now, caps.cap(kind)) <= 0.0 {
                 break;
             }
-            let Ok(pass) = self.issue_pass(now, request, zone) else {
+            let Ok(permit) = self.issue_permit(now, request, zone) else {
                 continue;
             };
             let decision = self
-                .shifts
+                .split_controllers
                 .get_mut(&(request.service, request.locality))
-                .map(|shift| shift.ledger().spill(now, caps.cap(kind)));
-            if decision == Some(shift::Decision::Spill) {
-                return Verdict::Host(pass);
+                .map(|controller| controller.budget_mut().try_spill(now, caps.cap(kind)));
+            if decision == Some(shift::SpillDecision::Spill) {
+                return Verdict::Host(permit);
             }
-            self.release_pass(now, &pass, Back::All);
+            self.release_permit(now, &permit, PermitUsage::Unused);
             self.exhausted_until
                 .insert(budget, now + EXHAUSTED_BUDGET_BACKOFF);
             break;
@@ -757,7 +766,7 @@
 
     /// Whether a zone may have free slots. Without a report, only zones of the own region count as free.
     fn may_have_room(&self, service: ServiceKey, zone: ZoneKey, region: RegionKey) -> bool {
-        if self.view.zones.get(&zone) == Some(&Standing::Lost) {
+        if self.view.zones.get(&zone) == Some(&ZoneStatus::Lost) {
             return false;
         }
         match self.free_slots.get(&(service, zone)) {
@@ -777,12 +786,12 @@
     }
 
     /// Chooses a host of another zone and charges the quotas for sending the request there.
-    fn issue_pass(
+    fn issue_permit(
         &mut self,
         now: Instant,
         request: &RouteRequest,
         zone: ZoneKey,
-    ) -> Result<Pass, Refusal> {
+    ) -> Result<RelayPermit, Refusal> {
         let host = self.choose_host(request, zone)?;
         let region = self.catalog.region_of(zone);
         let own = self.zone.map(|zone| self.catalog.region_of(zone));
@@ -790,20 +799,20 @@
         if own != Some(region) && self.switches.quota == Switch::On {
             let bytes = request.bytes as f64;
             self.quotas
-                .take(now, own, (request.service, region), hold_seconds, bytes)
+                .charge(now, own, (request.service, region), hold_seconds, bytes)
                 .map_err(|refused| Refusal {
                     reason: Reason::Limited,
                     retry_after: refused.retry_after.max(MIN_RETRY_AFTER),
                 })?;
         }
-        *self.passes_by_host.entry(host).or_default() += 1;
-        Ok(Pass {
+        *self.relays_by_host.entry(host).or_default() += 1;
+        Ok(RelayPermit {
             host,
             service: request.service,
             region,
-            work: hold_seconds,
+            slot_seconds: hold_seconds,
             bytes: request.bytes,
-            at: now,
+            issued_at: now,
         })
     }
 
@@ -823,7 +832,7 @@
             .iter()
             .filter(|host| !request.hosts.contains(host))
             .min_by_key(|&host| {
-                let load = self.passes_by_host.get(host).copied().unwrap_or_default();
+                let load = self.relays_by_host.get(host).copied().unwrap_or_default();
                 (
                     load,
                     (request.id ^ u64::from(host.into_raw().into_u32())) % 7,
@@ -840,47 +849,55 @@
             .unwrap_or(DEFAULT_HOLD_SECONDS)
     }
 
-    /// Returns the number of outstanding passes.
-    pub fn passes(&self) -> u32 {
-        self.passes_by_host.values().sum()
+    /// Returns the number of outstanding relay permits.
+    pub fn outstanding_relays(&self) -> u32 {
+        self.relays_by_host.values().sum()
     }
 
-    /// Returns a pass after its request has ended.
-    pub fn finish_pass(&mut self, now: Instant, pass: &Pass, back: Back) {
-        self.release_pass(now, pass, back);
+    /// Returns a relay permit after its request has ended.
+    pub fn finish_relay(&mut self, now: Instant, permit: &RelayPermit, usage: PermitUsage) {
+        self.release_permit(now, permit, usage);
     }
 
-    fn release_pass(&mut self, now: Instant, pass: &Pass, back: Back) {
-        if let Some(count) = self.passes_by_host.get_mut(&pass.host) {
+    fn release_permit(&mut self, now: Instant, permit: &RelayPermit, usage: PermitUsage) {
+        if let Some(count) = self.relays_by_host.get_mut(&permit.host) {
             *count = count.saturating_sub(1);
         }
         let own = self.zone.map(|zone| self.catalog.region_of(zone));
-        if own == Some(pass.region) || self.switches.quota == Switch::Off {
+        if own == Some(permit.region) || self.switches.quota == Switch::Off {
             return;
         }
-        let site = (pass.service, pass.region);
-        match back {
-            Back::All => {
-                let bytes = pass.bytes as f64;
-                self.quotas.put_back(now, own, site, pass.work, bytes);
+        let site = (permit.service, permit.region);
+        match usage {
+            PermitUsage::Unused => {
+                let bytes = permit.bytes as f64;
+                self.quotas
+                    .refund(now, own, site, permit.slot_seconds, bytes);
             }
-            Back::Nothing { bytes } => {
-                let more = bytes.saturating_sub(pass.bytes) as f64;
-                let held = self.max_hold_seconds(now, pass);
-                if !self.groups.contains_key(&pass.service) {
-                    self.record_hold_seconds(pass.service, held);
+            PermitUsage::Used { bytes } => {
+                let extra_bytes = bytes.saturating_sub(permit.bytes) as f64;
+                let measured_seconds = self.max_hold_seconds(now, permit);
+                if !self.groups.contains_key(&permit.service) {
+                    self.record_hold_seconds(permit.service, measured_seconds);
                 }
-                self.quotas.charge(now, own, site, held - pass.work, more);
+                self.quotas.charge_extra(
+                    now,
+                    own,
+                    site,
+                    measured_seconds - permit.slot_seconds,
+                    extra_bytes,
+                );
             }
         }
     }
 
     /// Returns the longest time that a request sent to another region can have occupied a slot, in seconds.
-    fn max_hold_seconds(&self, now: Instant, pass: &Pass) -> f64 {
-        let time = now.saturating_duration_since(pass.at);
-        let link = self
-            .zone
-            .and_then(|zone| self.catalog.link(self.catalog.region_of(zone), pass.region));
+    fn max_hold_seconds(&self, now: Instant, permit: &RelayPermit) -> f64 {
+        let time = now.saturating_duration_since(permit.issued_at);
+        let link = self.zone.and_then(|zone| {
+            self.catalog
+                .link(self.catalog.region_of(zone), permit.region)
+        });
         let latency = link.map_or(Duration::ZERO, |link| link.latency);
         time.saturating_sub(2 * latency).as_secs_f64()
     }
@@ -923,7 +940,7 @@
     pub fn cancel(&mut self, id: Id) {
         self.undecided.retain(|(_, request)| request.id != id);
         self.release_suspect_permit(id);
-        self.rerouteable.remove(&id);
+        self.reroutable.remove(&id);
         if let Some(service) = self.waiting.remove(&id) {
             if let Some(group) = self.groups.get_mut(&service) {
                 group.cancel(id);
@@ -950,7 +967,7 @@
         self.expire_rates(now);
         for (id, refusal) in refused {
             self.waiting.remove(&id);
-            let verdict = match self.rerouteable.remove(&id) {
+            let verdict = match self.reroutable.remove(&id) {
                 Some(request) => self.reroute(now, &request, refusal.into()),
                 None => Verdict::Refused(refusal.into()),
             };
@@ -971,7 +988,7 @@
         let mut decisions = Vec::with_capacity(ready.len());
         for (id, grant) in ready {
             self.waiting.remove(&id);
-            self.rerouteable.remove(&id);
+            self.reroutable.remove(&id);
             let service = self.catalog.target(grant.target()).service;
             self.tally(now, service).admitted += 1;
             decisions.push((id, self.target_verdict(now, grant)));
--- a/src/steer/goal.rs
+++ b/src/steer/goal.rs
@@ -1,134 +1,139 @@
-//! Where a split should go, from the catalog and what is known of zones.
+//! Computes the goal of a split from the catalog and the observed state of the zones.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use crate::catalog::{Catalog, RegionKey, ServiceKey, State, ZoneKey};
 
-use super::shift::Kind;
+use super::shift::MoveKind;
 use super::split::Split;
 
-/// Most doublings of the time for which a zone that keeps failing has to stay good.
-const MAX_DOUBLINGS: u32 = 4;
+/// Maximum number of doublings of the hold time of a zone that keeps failing.
+const MAX_HOLD_DOUBLINGS: u32 = 4;
 
-/// What is known of a zone.
+/// Observed status of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// It answers.
+pub enum ZoneStatus {
+    /// It responds.
     Alive,
     /// It is known to be lost.
     Lost,
-    /// Nothing recent is known.
+    /// There is no recent observation.
     Unknown,
 }
 
-/// What a host knows beside the configuration.
+/// State observed by a host, in addition to the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// The standing of each zone; one that is not named is unknown.
-    pub zones: BTreeMap<ZoneKey, Standing>,
-    /// Slots of the targets that serve, as last measured; none if the measurement is missing or old.
+    /// Status of each zone; a missing zone is unknown.
+    pub zones: BTreeMap<ZoneKey, ZoneStatus>,
+    /// Slots of the serving targets, as last measured; missing if there is no recent measurement.
     pub slots: BTreeMap<(ServiceKey, ZoneKey), u32>,
-    /// The splits of the last plan, if it is fresh and its epoch is accepted.
+    /// Splits of the last plan, if it is recent and its epoch is accepted.
     pub plan: BTreeMap<(ServiceKey, RegionKey), Split>,
 }
 
-/// Where to go, and under which cap.
+/// Goal of a split, and the kind of move that leads to it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Goal {
-    /// The split to reach.
+    /// Split to reach.
     pub split: Split,
-    /// The kind of move.
-    pub kind: Kind,
+    /// Kind of the move, which selects its cap.
+    pub kind: MoveKind,
 }
 
-/// What a zone is to a goal.
-enum Use {
-    /// It can take work, by this many slots.
+/// How a goal uses a zone.
+enum ZoneUse {
+    /// It can serve, with this number of slots.
     Open(u32),
-    /// The configuration takes it out: it is left by planned moves.
+    /// The configuration excludes it: its share is removed by planned moves.
     Closed,
-    /// It cannot take work: it is left by failover.
+    /// It cannot serve: its share is removed by failover.
     Lost,
-    /// Nothing is known of it: its share stays as it is.
+    /// Its state is unknown: its share stays unchanged.
     Frozen,
 }
 
-/// The zones of one service by their use.
+/// Zones of one service by their use.
 #[derive(Default)]
-struct Sorted {
+struct ZonesByUse {
     open: Vec<(ZoneKey, f64)>,
     frozen: Vec<ZoneKey>,
     lost: f64,
 }
 
-/// The goal of a service's split for callers in `locality`.
+/// Computes the goal of a service's split for callers in `locality`.
 ///
-/// Zones of the locality's own region share by their serving slots; if none of them can serve, those
-/// of other regions do, the nearest first, until they have the slots that the own region should
-/// have. A plan goes before that, if it names zones that can serve only. Draining and removed zones are left
-/// by planned moves. Lost zones are left by failover, which moves their share and no other. A zone
-/// without fresh measurements keeps the share it has.
-pub fn goal(
+/// Zones of the locality's own region share the traffic in proportion to their serving slots. If none
+/// of them can serve, zones of other regions do, nearest first, until they have as many slots as are
+/// configured in the own region. A plan takes precedence if it contains only zones that can serve.
+/// Draining and removed zones lose their share by planned moves. Lost zones lose it by failover, which
+/// moves no other share. A zone without recent measurements keeps its share.
+pub fn compute_goal(
     catalog: &Catalog,
     service: ServiceKey,
     locality: RegionKey,
     view: &View,
     current: &Split,
 ) -> Goal {
-    let zones = sort(catalog, service, view, current);
-    let open = desired(catalog, service, locality, view, &zones);
+    let zones = classify_zones(catalog, service, view, current);
+    let open = desired_split(catalog, service, locality, view, &zones);
     if zones.lost > 0.0 && !open.is_empty() {
         return Goal {
-            split: failover(catalog, service, view, current, &open),
-            kind: Kind::Failover,
+            split: failover_split(catalog, service, view, current, &open),
+            kind: MoveKind::Failover,
         };
     }
     Goal {
-        split: planned(catalog, locality, current, &zones, &open),
-        kind: Kind::Planned,
+        split: planned_split(catalog, locality, current, &zones, &open),
+        kind: MoveKind::Planned,
     }
 }
 
-fn sort(catalog: &Catalog, service: ServiceKey, view: &View, current: &Split) -> Sorted {
-    let mut sorted = Sorted::default();
+fn classify_zones(
+    catalog: &Catalog,
+    service: ServiceKey,
+    view: &View,
+    current: &Split,
+) -> ZonesByUse {
+    let mut zones = ZonesByUse::default();
     for (zone, _) in catalog.zones() {
-        match usage(catalog, service, view, zone) {
-            Use::Open(slots) => sorted.open.push((zone, f64::from(slots))),
-            Use::Closed => {}
-            Use::Lost => sorted.lost += current.share(zone),
-            Use::Frozen => sorted.frozen.push(zone),
+        match zone_use(catalog, service, view, zone) {
+            ZoneUse::Open(slots) => zones.open.push((zone, f64::from(slots))),
+            ZoneUse::Closed => {}
+            ZoneUse::Lost => zones.lost += current.share(zone),
+            ZoneUse::Frozen => zones.frozen.push(zone),
         }
     }
-    sorted
+    zones
 }
 
-fn usage(catalog: &Catalog, service: ServiceKey, view: &View, zone: ZoneKey) -> Use {
-    let standing = view.zones.get(&zone).copied();
-    if standing == Some(Standing::Lost) {
-        return Use::Lost;
+fn zone_use(catalog: &Catalog, service: ServiceKey, view: &View, zone: ZoneKey) -> ZoneUse {
+    let status = view.zones.get(&zone).copied();
+    if status == Some(ZoneStatus::Lost) {
+        return ZoneUse::Lost;
     }
     let slots = catalog.site(service, zone).map_or(0, |site| site.slots);
     if slots == 0 || catalog.zone_state(zone) != State::Serving {
-        return Use::Closed;
+        return ZoneUse::Closed;
     }
-    if standing != Some(Standing::Alive) {
-        return Use::Frozen;
+    if status != Some(ZoneStatus::Alive) {
+        return ZoneUse::Frozen;
     }
     match view.slots.get(&(service, zone)) {
-        Some(0) => Use::Lost,
-        Some(&slots) => Use::Open(slots),
-        None => Use::Frozen,
+        Some(0) => ZoneUse::Lost,
+        Some(&slots) => ZoneUse::Open(slots),
+        None => ZoneUse::Frozen,
     }
 }
 
-/// The split over zones that can serve; empty if there are none.
-fn desired(
+/// Returns the desired split over zones that can serve; empty if there are none.
+fn desired_split(
     catalog: &Catalog,
     service: ServiceKey,
     locality: RegionKey,
     view: &View,
-    zones: &Sorted,
+    zones: &ZonesByUse,
 ) -> Split {
     let is_open = |zone| zones.open.iter().any(|&(open, _)| open == zone);
     if let Some(plan) = view.plan.get(&(service, locality)) {
@@ -136,37 +141,37 @@
             return plan.clone();
         }
     }
-    let own = in_region(catalog, &zones.open, locality);
+    let own = zones_in_region(catalog, &zones.open, locality);
     if own.is_empty() {
-        abroad(catalog, service, locality, &zones.open)
+        nearest_other_regions(catalog, service, locality, &zones.open)
     } else {
         Split::new(catalog, own)
     }
 }
 
-/// The nearest zones of other regions which together have the slots that `locality` should have.
-fn abroad(
+/// Returns a split over the nearest other regions that together have the slots configured in `locality`.
+fn nearest_other_regions(
     catalog: &Catalog,
     service: ServiceKey,
     locality: RegionKey,
     open: &[(ZoneKey, f64)],
 ) -> Split {
-    let need = configured(catalog, service, locality);
+    let needed_slots = configured_slots(catalog, service, locality);
     let mut weights = Vec::new();
     let mut slots = 0.0;
-    for region in nearest(catalog, locality) {
-        if slots > 0.0 && slots >= need {
+    for region in regions_by_latency(catalog, locality) {
+        if slots > 0.0 && slots >= needed_slots {
             break;
         }
-        let zones = in_region(catalog, open, region);
+        let zones = zones_in_region(catalog, open, region);
         slots += zones.iter().map(|&(_, slots)| slots).sum::<f64>();
         weights.extend(zones);
     }
     Split::new(catalog, weights)
 }
 
-/// The slots that a service has in a region by the configuration, whatever their state.
-fn configured(catalog: &Catalog, service: ServiceKey, region: RegionKey) -> f64 {
+/// Returns the configured slots of a service in a region, regardless of their state.
+fn configured_slots(catalog: &Catalog, service: ServiceKey, region: RegionKey) -> f64 {
     catalog
         .sites(service)
         .filter(|&(zone, _)| catalog.region_of(zone) == region)
@@ -175,8 +180,8 @@
         .sum()
 }
 
-/// The other regions by the latency of the link from `from`; those without a link come last.
-pub(crate) fn nearest(catalog: &Catalog, from: RegionKey) -> Vec<RegionKey> {
+/// Returns the other regions ordered by the latency of the link from `from`; those without a link come last.
+pub(crate) fn regions_by_latency(catalog: &Catalog, from: RegionKey) -> Vec<RegionKey> {
     let mut regions: Vec<RegionKey> = catalog
         .regions()
         .map(|(region, _)| region)
@@ -190,70 +195,72 @@
     regions
 }
 
-fn in_region(
+fn zones_in_region(
     catalog: &Catalog,
     zones: &[(ZoneKey, f64)],
     region: RegionKey,
 ) -> Vec<(ZoneKey, f64)> {
-    let own = |&&(zone, _): &&(ZoneKey, f64)| catalog.region_of(zone) == region;
-    zones.iter().filter(own).copied().collect()
+    let is_in_region = |&&(zone, _): &&(ZoneKey, f64)| catalog.region_of(zone) == region;
+    zones.iter().filter(is_in_region).copied().collect()
 }
 
-/// The current split with the share of lost zones spread like `open`.
-fn failover(
+/// Returns the current split with the share of lost zones distributed in proportion to `open`.
+fn failover_split(
     catalog: &Catalog,
     service: ServiceKey,
     view: &View,
     current: &Split,
     open: &Split,
 ) -> Split {
-    let is_lost = |zone| matches!(usage(catalog, service, view, zone), Use::Lost);
+    let is_lost = |zone| matches!(zone_use(catalog, service, view, zone), ZoneUse::Lost);
     let (lost, kept): (Vec<_>, Vec<_>) = current.shares().partition(|&(zone, _)| is_lost(zone));
     let lost: f64 = lost.iter().map(|&(_, share)| share).sum();
-    let spread = open.shares().map(|(zone, share)| (zone, lost * share));
-    Split::new(catalog, kept.into_iter().chain(spread))
+    let redistributed = open.shares().map(|(zone, share)| (zone, lost * share));
+    Split::new(catalog, kept.into_iter().chain(redistributed))
 }
 
-/// Zones of which nothing is known keep their share, the others share the rest like `open`.
-fn planned(
+/// Returns a split in which frozen zones keep their share and the rest is distributed in proportion to `open`.
+fn planned_split(
     catalog: &Catalog,
     locality: RegionKey,
     current: &Split,
-    zones: &Sorted,
+    zones: &ZonesByUse,
     open: &Split,
 ) -> Split {
     let is_own = |zone: &ZoneKey| catalog.region_of(*zone) == locality;
-    let own_unknown = zones.frozen.iter().any(is_own);
-    let own_open = open.shares().any(|(zone, _)| is_own(&zone));
-    if open.is_empty() || (own_unknown && !own_open) {
+    let is_own_frozen = zones.frozen.iter().any(is_own);
+    let is_own_open = open.shares().any(|(zone, _)| is_own(&zone));
+    if open.is_empty() || (is_own_frozen && !is_own_open) {
         return current.clone();
     }
     let frozen = zones.frozen.iter().map(|&zone| (zone, current.share(zone)));
-    let rest = 1.0 - frozen.clone().map(|(_, share)| share).sum::<f64>();
-    let spread = open.shares().map(|(zone, share)| (zone, rest * share));
-    Split::new(catalog, frozen.chain(spread))
+    let remaining_share = 1.0 - frozen.clone().map(|(_, share)| share).sum::<f64>();
+    let redistributed = open
+        .shares()
+        .map(|(zone, share)| (zone, remaining_share * share));
+    Split::new(catalog, frozen.chain(redistributed))
 }
 
-/// Keeps zones that came back from being used before they have stayed good for a while.
+/// Flap damping: keeps recovered zones out of use until they have stayed healthy for a hold time.
 #[derive(Clone, Debug)]
-pub struct Hold {
+pub struct FlapDamping {
     period: Duration,
-    zones: BTreeMap<ZoneKey, Relapse>,
+    zones: BTreeMap<ZoneKey, ZoneRecovery>,
 }
 
-/// A zone that was lost.
+/// Recovery state of a zone that was lost.
 #[derive(Clone, Copy, Debug, Default)]
-struct Relapse {
-    /// Since when it has been good without a break.
-    good: Option<Instant>,
+struct ZoneRecovery {
+    /// Start of the current uninterrupted healthy period.
+    healthy_since: Option<Instant>,
     /// Whether it is in use again.
-    settled: bool,
-    /// How often it was lost after it had been in use.
+    is_in_use: bool,
+    /// Number of times it was lost while in use.
     losses: u32,
 }
 
-impl Hold {
-    /// A zone has to stay good for `period`, twice as long after each further loss.
+impl FlapDamping {
+    /// Creates a damping with the hold time `period`, which doubles with each further loss of a zone.
     pub fn new(period: Duration) -> Self {
         Self {
             period,
@@ -261,47 +268,48 @@
         }
     }
 
-    /// The standing to act by, given the one seen now. To be called regularly for each zone.
-    pub fn observe(&mut self, now: Instant, zone: ZoneKey, seen: Standing) -> Standing {
-        if seen == Standing::Lost {
-            self.lose(zone);
-            return Standing::Lost;
+    /// Returns the damped status of a zone, given the observed one. Must be called regularly for each zone.
+    pub fn observe(&mut self, now: Instant, zone: ZoneKey, seen: ZoneStatus) -> ZoneStatus {
+        if seen == ZoneStatus::Lost {
+            self.record_loss(zone);
+            return ZoneStatus::Lost;
         }
-        let Some(relapse) = self.zones.get_mut(&zone) else {
+        let Some(recovery) = self.zones.get_mut(&zone) else {
             return seen;
         };
-        if seen == Standing::Unknown {
-            relapse.good = None;
-            return if relapse.settled {
+        if seen == ZoneStatus::Unknown {
+            recovery.healthy_since = None;
+            return if recovery.is_in_use {
                 seen
             } else {
-                Standing::Lost
+                ZoneStatus::Lost
             };
         }
-        let good = now.saturating_duration_since(*relapse.good.get_or_insert(now));
-        let doublings = relapse.losses.saturating_sub(1).min(MAX_DOUBLINGS);
+        let healthy_time =
+            now.saturating_duration_since(*recovery.healthy_since.get_or_insert(now));
+        let doublings = recovery.losses.saturating_sub(1).min(MAX_HOLD_DOUBLINGS);
         let wait = self.period * (1 << doublings);
-        relapse.settled |= good >= wait;
-        let settled = relapse.settled;
-        if good >= wait * (1 << MAX_DOUBLINGS) {
+        recovery.is_in_use |= healthy_time >= wait;
+        let is_in_use = recovery.is_in_use;
+        if healthy_time >= wait * (1 << MAX_HOLD_DOUBLINGS) {
             self.zones.remove(&zone);
         }
-        if settled {
-            Standing::Alive
+        if is_in_use {
+            ZoneStatus::Alive
         } else {
-            Standing::Lost
+            ZoneStatus::Lost
         }
     }
 
-    fn lose(&mut self, zone: ZoneKey) {
-        let relapse = self.zones.entry(zone).or_insert(Relapse {
-            settled: true,
-            ..Relapse::default()
+    fn record_loss(&mut self, zone: ZoneKey) {
+        let recovery = self.zones.entry(zone).or_insert(ZoneRecovery {
+            is_in_use: true,
+            ..ZoneRecovery::default()
         });
-        if relapse.settled {
-            relapse.losses += 1;
+        if recovery.is_in_use {
+            recovery.losses += 1;
         }
-        relapse.settled = false;
-        relapse.good = None;
+        recovery.is_in_use = false;
+        recovery.healthy_since = None;
     }
 }
--- a/src/steer/group.rs
+++ b/src/steer/group.rs
@@ -530,7 +530,7 @@
         let member = &mut self.members[position];
         let is_full = member.in_flight >= member.limit.whole(member.warm.fraction());
         if let Some(load) = report.load {
-            member.estimate.report(now, load, member.in_flight);
+            member.estimate.record_load(now, load, member.in_flight);
         }
         member.in_flight -= 1;
         self.in_flight -= 1;
@@ -539,9 +539,9 @@
             End::Answered => {
                 member.consecutive_failures = 0;
                 member.backoff_until = None;
-                member.estimate.record(now, report.latency);
+                member.estimate.record_latency(now, report.latency);
                 member.warm.answer(now);
-                let ratio = member.estimate.ratio(self.baseline_latency);
+                let ratio = member.estimate.latency_ratio(self.baseline_latency);
                 member.limit.answer(now, is_full, ratio, report.load);
                 self.mean_hold_seconds += (seconds - self.mean_hold_seconds) * HOLD_SECONDS_WEIGHT;
             }
@@ -556,7 +556,7 @@
                     .latency()
                     .is_some_and(|known| seconds > known)
                 {
-                    member.estimate.record(now, report.latency);
+                    member.estimate.record_latency(now, report.latency);
                 }
             }
         }
@@ -588,7 +588,7 @@
         }
         member.eject.record(sign);
         let standing = Standing {
-            ratio: member.estimate.ratio(stats.median_latency),
+            ratio: member.estimate.latency_ratio(stats.median_latency),
             samples: member.estimate.samples(),
             success: stats.mean_success_rate,
             down: member.health == Health::Down,
@@ -598,7 +598,7 @@
         let allowed = f64::from(stats.slots) * MAX_EJECTED_SHARE;
         if member.is_serving() && ejected_after <= allowed && member.eject.is_outlier(&standing) {
             member.eject.eject(now, rng);
-            member.estimate.forget();
+            member.estimate.reset_latency();
             self.refresh_stats(now);
         }
     }
@@ -766,7 +766,7 @@
                 .sum(),
             median_latency: median_latency.unwrap_or(self.stats.median_latency),
             median_foreign_load: median(
-                members_in_rotation().map(|member| member.estimate.others()),
+                members_in_rotation().map(|member| member.estimate.reported_foreign_load()),
             )
             .unwrap_or(0.0),
             mean_success_rate: members_in_rotation()
--- a/src/steer/group/member.rs
+++ b/src/steer/group/member.rs
@@ -122,7 +122,7 @@
             } else {
                 0
             },
-            foreign_load: member.estimate.foreign(now, stats.median_foreign_load),
+            foreign_load: member.estimate.foreign_load(now, stats.median_foreign_load),
             weight: member.estimate.slowness(now, stats.median_latency) / f64::from(member.slots),
             warm_fraction: warm_fraction(config, member),
         }
--- a/src/steer/quota.rs
+++ b/src/steer/quota.rs
@@ -1,79 +1,80 @@
-//! What this host may send to another region or over a link.
+//! Quotas for requests that a host sends to another region or over a link.
 //!
-//! Each host owns a *static part* of a limit: the limit times the utilization, divided by the number
-//! of hosts that the configuration lets send. These parts are safe with nobody talking. A part that is
-//! not used may be given up for a time, and whoever holds the planner lease lends it to others as a
+//! Each host owns a *static part* of a limit: the limit times the utilization, divided by the number of
+//! configured hosts that may send. The static parts are safe without any communication. A host may
+//! release an unused part for a time, and the holder of the planner lease lends it to other hosts as a
 //! bonus, which expires on the borrower's own clock.
 //!
-//! The sum of all quotas in use stays within the limit, whoever is cut off, paused or replaced:
-//! - A holder gives each unit up to one pool at a time, and counts the time from its own answer, which is
-//!   later than the pool's question. The pool counts from its question.
-//! - A pool lends a unit to one borrower at a time, only until some margin before the holder takes it
-//!   back. The borrower counts from before its own request.
-//! - A host that starts does not know what its predecessor gave up, so it uses [`KEPT`] of its part, which
-//!   is never given up, until any loan has expired.
+//! The sum of all usable quotas stays within the limit even if hosts are disconnected, paused or replaced:
+//! - A holder releases each unit to one pool at a time and measures the time from its own answer, which is
+//!   later than the pool's question. The pool measures from its question.
+//! - A pool lends a unit to one borrower at a time, and only until some margin before the holder reclaims
+//!   it. The borrower measures from before its own request.
+//! - A host that starts does not know what its predecessor released, so until any loan has expired it uses
+//!   only [`MIN_KEPT_SHARE`] of its part, which is never released.
 //!
-//! Clocks may stand still for no process while time passes, but may run fast or slow by [`DRIFT`].
+//! This requires that no clock stands still while time passes; clock rates may be off by
+//! [`MAX_CLOCK_DRIFT`].
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
 use crate::catalog::{Catalog, HostKey, RegionKey, State};
 
-/// The part of a static part that is never given up.
-pub const KEPT: f64 = 0.5;
-/// The longest time for which a static part may be given up, on the holder's clock.
-pub const MAX_GIVEN: Duration = Duration::from_secs(15);
-/// The largest error of a clock's rate, as a part of the time measured.
-pub const DRIFT: f64 = 0.01;
-/// Time left between the end of a loan and the return of what was lent.
-const MARGIN: Duration = Duration::from_millis(100);
-/// Time over which unused quota is saved up.
-const BURST: Duration = Duration::from_millis(100);
-/// The least that can be saved up: one request.
-const MIN_DEPTH: f64 = 1.0;
-/// Most loans, requests or promises that are kept at once.
-const MAX_KEPT: usize = 64;
-/// The longest wait that a refusal names.
-const MAX_RETRY: Duration = Duration::from_secs(60);
-
-/// The static part of each of `hosts` senders, in units per second.
-pub fn part(limit: f64, utilization: f64, hosts: usize) -> f64 {
+/// Fraction of a static part that is never released.
+pub const MIN_KEPT_SHARE: f64 = 0.5;
+/// Longest time for which a static part may be released, on the holder's clock.
+pub const MAX_RELEASE_TIME: Duration = Duration::from_secs(15);
+/// Maximum error of a clock's rate, as a fraction of the measured time.
+pub const MAX_CLOCK_DRIFT: f64 = 0.01;
+/// Margin between the end of a loan and the time at which the holder reclaims the released part.
+const LOAN_RETURN_MARGIN: Duration = Duration::from_millis(100);
+/// Time over which unused quota accumulates.
+const BURST_WINDOW: Duration = Duration::from_millis(100);
+/// Minimum depth of the token bucket: one request.
+const MIN_BUCKET_DEPTH: f64 = 1.0;
+/// Limit on stored loans, bonuses, releases and unanswered requests or questions, each.
+const MAX_PENDING: usize = 64;
+/// Longest retry delay of a refusal.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
+
+/// Returns the static part of each of `hosts` senders, in units per second.
+pub fn static_part(limit: f64, utilization: f64, hosts: usize) -> f64 {
     limit * utilization / hosts.max(1) as f64
 }
 
-/// How many configured hosts may send to a region: those outside of it.
-pub fn outside(catalog: &Catalog, region: RegionKey) -> usize {
-    configured(catalog, |from| from != region)
+/// Returns the number of configured hosts that may send to a region: those outside of it.
+pub fn hosts_outside(catalog: &Catalog, region: RegionKey) -> usize {
+    count_configured_hosts(catalog, |from| from != region)
 }
 
-/// How many configured hosts may send over a link that leaves a region: those in it.
-pub fn inside(catalog: &Catalog, region: RegionKey) -> usize {
-    configured(catalog, |from| from == region)
+/// Returns the number of configured hosts that may send over a link from a region: those inside it.
+pub fn hosts_inside(catalog: &Catalog, region: RegionKey) -> usize {
+    count_configured_hosts(catalog, |from| from == region)
 }
 
-fn configured(catalog: &Catalog, counts: impl Fn(RegionKey) -> bool) -> usize {
+fn count_configured_hosts(catalog: &Catalog, is_counted: impl Fn(RegionKey) -> bool) -> usize {
     catalog
         .hosts()
         .filter(|(_, host)| host.state != State::Off)
-        .filter(|(_, host)| counts(catalog.region_of(host.zone)))
+        .filter(|(_, host)| is_counted(catalog.region_of(host.zone)))
         .count()
 }
 
-/// The quota is used up.
+/// Refusal because the quota is used up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("quota is used up, retry after {retry_after:?}")]
 pub struct Refusal {
-    /// When there may be quota again.
+    /// Time until quota may be available again.
     pub retry_after: Duration,
 }
 
-/// The number of a question or a request, never used twice.
+/// Unique number of a question or a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Serial {
     /// The incarnation or epoch that issued it.
     pub issuer: u64,
-    /// Counts up from 1.
+    /// Counter, starting at 1.
     pub count: u64,
 }
 
@@ -88,42 +89,42 @@
     }
 }
 
-/// A rate that is gained or missed until some time.
+/// A rate that is borrowed, released or lent until some time.
 #[derive(Clone, Copy, Debug)]
-struct Term {
+struct TimedRate {
     rate: f64,
     until: Instant,
 }
 
-/// One host's quota for one region or link, in units (requests or bytes) per second.
+/// Token bucket of one host for one region or link, in units per second: slot-seconds, requests or bytes.
 #[derive(Clone, Debug)]
 pub struct Quota {
-    part: f64,
+    static_part: f64,
     tokens: f64,
     refilled: Instant,
     started: Option<Instant>,
-    given: Vec<Term>,
-    bonus: Vec<Term>,
-    asked: BTreeMap<Serial, Instant>,
+    released: Vec<TimedRate>,
+    bonuses: Vec<TimedRate>,
+    pending_requests: BTreeMap<Serial, Instant>,
     serial: Serial,
 }
 
 impl Quota {
-    /// A quota of a host that has no predecessor. No two processes may have the same incarnation.
+    /// Creates the quota of a host without a predecessor. No two processes may have the same incarnation.
     pub fn new(part: f64, now: Instant, incarnation: u64) -> Self {
         Self {
-            part,
+            static_part: part,
             tokens: 0.0,
             refilled: now,
             started: None,
-            given: Vec::new(),
-            bonus: Vec::new(),
-            asked: BTreeMap::new(),
+            released: Vec::new(),
+            bonuses: Vec::new(),
+            pending_requests: BTreeMap::new(),
             serial: Serial::new(incarnation),
         }
     }
 
-    /// A quota of a host that may have replaced one of the same name.
+    /// Creates the quota of a host that may have replaced one of the same name.
     pub fn with_start(part: f64, now: Instant, incarnation: u64) -> Self {
         Self {
             started: Some(now),
@@ -131,190 +132,200 @@
         }
     }
 
-    /// Changes the static part, after a change of configuration.
-    pub fn set_part(&mut self, now: Instant, part: f64) {
+    /// Sets the static part after a change of the configuration.
+    pub fn set_static_part(&mut self, now: Instant, part: f64) {
         self.refill(now);
-        self.part = part;
-        self.tokens = self.tokens.min(self.depth(now));
+        self.static_part = part;
+        self.tokens = self.tokens.min(self.bucket_depth(now));
     }
 
-    /// What may be sent now, in units per second.
+    /// Returns the usable rate, in units per second.
     pub fn rate(&self, now: Instant) -> f64 {
-        let given: f64 = live(&self.given, now).sum();
-        let bonus: f64 = live(&self.bonus, now).sum();
-        (self.own(now) - given).max(0.0) + bonus
+        let released: f64 = active_rates(&self.released, now).sum();
+        let bonuses: f64 = active_rates(&self.bonuses, now).sum();
+        (self.usable_part(now) - released).max(0.0) + bonuses
     }
 
-    /// Takes `cost` units. More than is saved up may be taken at once, and is then owed.
+    /// Takes `cost` units. A cost above the bucket's depth needs a full bucket, and the difference is owed.
     ///
     /// # Errors
     ///
     /// The quota is used up; nothing is taken.
     pub fn take(&mut self, now: Instant, cost: f64) -> Result<(), Refusal> {
         self.refill(now);
-        let need = cost.min(self.depth(now));
-        if self.tokens >= need {
+        let needed = cost.min(self.bucket_depth(now));
+        if self.tokens >= needed {
             self.tokens -= cost;
             return Ok(());
         }
         let rate = self.rate(now);
-        let wait = (need - self.tokens) / rate;
+        let wait = (needed - self.tokens) / rate;
         let wait = if wait.is_finite() { wait } else { f64::MAX };
         Err(Refusal {
-            retry_after: Duration::from_secs_f64(wait.min(MAX_RETRY.as_secs_f64())),
+            retry_after: Duration::from_secs_f64(wait.min(MAX_RETRY_AFTER.as_secs_f64())),
         })
     }
 
-    /// Gives back what was taken for something that certainly did not run.
-    pub fn put_back(&mut self, now: Instant, cost: f64) {
+    /// Returns units taken for a request that certainly was not executed. A negative cost is charged.
+    pub fn refund(&mut self, now: Instant, cost: f64) {
         self.refill(now);
-        self.tokens = (self.tokens + cost).min(self.depth(now));
+        self.tokens = (self.tokens + cost).min(self.bucket_depth(now));
     }
 
-    /// Starts a request for a bonus, and gives the number under which it may be granted.
-    pub fn request(&mut self, now: Instant) -> Serial {
-        ask(&mut self.asked, &mut self.serial, now)
+    /// Starts a request for a bonus, and returns the number under which it may be granted.
+    pub fn request_bonus(&mut self, now: Instant) -> Serial {
+        record_question(&mut self.pending_requests, &mut self.serial, now)
     }
 
-    /// Takes a bonus for a time that counts from before the request. Tells whether it is of use: the
-    /// request is known, was not answered before, and the time has not passed.
-    pub fn grant(&mut self, now: Instant, request: Serial, loan: Loan) -> bool {
+    /// Accepts a bonus whose lifetime is measured from the request. Returns whether it was accepted: the
+    /// request is known and was not answered before, and the lifetime has not passed.
+    pub fn accept_bonus(&mut self, now: Instant, request: Serial, loan: Loan) -> bool {
         self.refill(now);
-        let Some(asked) = self.asked.remove(&request) else {
+        let Some(asked_at) = self.pending_requests.remove(&request) else {
             return false;
         };
-        let until = asked + loan.lifetime;
-        if until <= now || self.bonus.len() >= MAX_KEPT {
+        let until = asked_at + loan.lifetime;
+        if until <= now || self.bonuses.len() >= MAX_PENDING {
             return false;
         }
-        self.bonus.push(Term {
+        self.bonuses.push(TimedRate {
             rate: loan.rate,
             until,
         });
         true
     }
 
-    /// Gives up to `rate` of the static part up for `lifetime`, and tells how much. It stays given
-    /// up even if the answer is lost.
-    pub fn give(&mut self, now: Instant, rate: f64, lifetime: Duration) -> f64 {
+    /// Releases up to `rate` of the static part for `lifetime`, and returns the released rate. It stays
+    /// released even if the answer is lost.
+    pub fn release(&mut self, now: Instant, rate: f64, lifetime: Duration) -> f64 {
         self.refill(now);
-        let given: f64 = live(&self.given, now).sum();
-        let room = (self.own(now) - given - self.part * KEPT).max(0.0);
-        let rate = rate.min(room);
-        if rate <= 0.0 || self.given.len() >= MAX_KEPT {
+        let released: f64 = active_rates(&self.released, now).sum();
+        let releasable =
+            (self.usable_part(now) - released - self.static_part * MIN_KEPT_SHARE).max(0.0);
+        let rate = rate.min(releasable);
+        if rate <= 0.0 || self.released.len() >= MAX_PENDING {
             return 0.0;
         }
-        let until = now + lifetime.min(MAX_GIVEN);
-        self.given.push(Term { rate, until });
-        self.tokens = self.tokens.min(self.depth(now));
+        let until = now + lifetime.min(MAX_RELEASE_TIME);
+        self.released.push(TimedRate { rate, until });
+        self.tokens = self.tokens.min(self.bucket_depth(now));
         rate
     }
 
-    /// The static part as far as this incarnation may use it.
-    fn own(&self, now: Instant) -> f64 {
-        if self.free_from().is_some_and(|free| now < free) {
-            self.part * KEPT
+    /// Returns the part of the static part that this incarnation may use.
+    fn usable_part(&self, now: Instant) -> f64 {
+        if self.predecessor_loans_end().is_some_and(|end| now < end) {
+            self.static_part * MIN_KEPT_SHARE
         } else {
-            self.part
+            self.static_part
         }
     }
 
-    /// When all that a predecessor may have given up is back.
-    fn free_from(&self) -> Option<Instant> {
-        Some(self.started? + MAX_GIVEN.mul_f64(1.0 + 2.0 * DRIFT) + MARGIN)
+    /// Returns the time at which all loans of a predecessor's part have ended.
+    fn predecessor_loans_end(&self) -> Option<Instant> {
+        Some(
+            self.started?
+                + MAX_RELEASE_TIME.mul_f64(1.0 + 2.0 * MAX_CLOCK_DRIFT)
+                + LOAN_RETURN_MARGIN,
+        )
     }
 
-    fn depth(&self, now: Instant) -> f64 {
-        (self.rate(now) * BURST.as_secs_f64()).max(MIN_DEPTH)
+    fn bucket_depth(&self, now: Instant) -> f64 {
+        (self.rate(now) * BURST_WINDOW.as_secs_f64()).max(MIN_BUCKET_DEPTH)
     }
 
-    /// Adds what was gained since the last time, at the rates that held meanwhile.
+    /// Adds the tokens since the last refill, at the rates that applied meanwhile.
     fn refill(&mut self, now: Instant) {
         let now = now.max(self.refilled);
         let from = self.refilled;
-        let ends = self.given.iter().chain(&self.bonus).map(|term| term.until);
-        let mut times: Vec<Instant> = ends.chain(self.free_from()).collect();
-        times.retain(|&time| from < time && time < now);
-        times.push(now);
-        times.sort();
+        let change_times = self
+            .released
+            .iter()
+            .chain(&self.bonuses)
+            .map(|rate| rate.until);
+        let mut boundaries: Vec<Instant> =
+            change_times.chain(self.predecessor_loans_end()).collect();
+        boundaries.retain(|&time| from < time && time < now);
+        boundaries.push(now);
+        boundaries.sort();
         let mut at = from;
-        for time in times {
+        for time in boundaries {
             self.tokens += self.rate(at) * (time - at).as_secs_f64();
             at = time;
         }
         self.refilled = now;
-        self.given.retain(|term| term.until > now);
-        self.bonus.retain(|term| term.until > now);
-        self.tokens = self.tokens.min(self.depth(now));
+        self.released.retain(|rate| rate.until > now);
+        self.bonuses.retain(|rate| rate.until > now);
+        self.tokens = self.tokens.min(self.bucket_depth(now));
     }
 }
 
-/// The rates of the terms that have not ended.
-fn live(terms: &[Term], now: Instant) -> impl Iterator<Item = f64> + '_ {
-    let is_live = move |term: &&Term| now < term.until;
-    terms.iter().filter(is_live).map(|term| term.rate)
+/// Returns the rates that have not ended.
+fn active_rates(rates: &[TimedRate], now: Instant) -> impl Iterator<Item = f64> + '_ {
+    let is_active = move |rate: &&TimedRate| now < rate.until;
+    rates.iter().filter(is_active).map(|rate| rate.rate)
 }
 
-/// A bonus: a rate for a time that counts from before its request.
+/// A bonus: a rate for a limited time, measured from the borrower's request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Loan {
     /// Units per second.
     pub rate: f64,
-    /// On the borrower's clock.
+    /// Lifetime on the borrower's clock.
     pub lifetime: Duration,
 }
 
-/// What a holder gave up, and what of it is lent.
+/// Quota that a holder released, and the loans made of it.
 #[derive(Clone, Debug)]
 struct Offer {
     rate: f64,
     until: Instant,
-    debts: Vec<Term>,
+    loans: Vec<TimedRate>,
 }
 
 impl Offer {
-    /// What can be lent until a time.
-    fn room(&self, until: Instant) -> f64 {
-        if self.until < until || self.debts.len() >= MAX_KEPT {
+    /// Returns the rate that can be lent until a time.
+    fn lendable(&self, until: Instant) -> f64 {
+        if self.until < until || self.loans.len() >= MAX_PENDING {
             return 0.0;
         }
-        let lent: f64 = self.debts.iter().map(|debt| debt.rate).sum();
+        let lent: f64 = self.loans.iter().map(|loan| loan.rate).sum();
         (self.rate - lent).max(0.0)
     }
 }
 
-/// The planner's pool of given-up quota for one region or link.
+/// The planner's pool of released quota for one region or link.
 ///
-/// Pools of several processes that each take themselves for the planner do no harm: a holder gives each
-/// unit to one of them only.
+/// Pools of several processes that all act as planner are safe: a holder releases each unit to only one of
+/// them.
 #[derive(Clone, Debug)]
 pub struct Pool {
-    asked: BTreeMap<Serial, Instant>,
+    pending_questions: BTreeMap<Serial, Instant>,
     answered: BTreeSet<(Serial, HostKey)>,
     offers: Vec<Offer>,
     serial: Serial,
 }
 
 impl Pool {
-    /// An empty pool of the planner that holds the lease of an epoch.
+    /// Creates the empty pool of the planner that holds the lease of an epoch.
     pub fn new(epoch: u64) -> Self {
         Self {
-            asked: BTreeMap::new(),
+            pending_questions: BTreeMap::new(),
             answered: BTreeSet::new(),
             offers: Vec::new(),
             serial: Serial::new(epoch),
         }
     }
 
-    /// Starts a round of questions to holders, and gives the number under which they answer.
-    pub fn ask(&mut self, now: Instant) -> Serial {
+    /// Starts a round of questions to holders, and returns the number under which they answer.
+    pub fn ask_holders(&mut self, now: Instant) -> Serial {
         self.prune(now);
-        ask(&mut self.asked, &mut self.serial, now)
+        record_question(&mut self.pending_questions, &mut self.serial, now)
     }
 
-    /// Takes a holder's answer: it gave `rate` up for `lifetime` on its own clock, from a time after the
-    /// question. A repeated answer, or one to an unknown question, is ignored.
-    pub fn give(
+    /// Accepts a holder's answer: it released `rate` for `lifetime` on its own clock, from a time after the
+    /// question. Returns false for a repeated answer or an unknown question, which is ignored.
+    pub fn accept_offer(
         &mut self,
         now: Instant,
         question: Serial,
@@ -323,33 +334,36 @@
         lifetime: Duration,
     ) -> bool {
         self.prune(now);
-        let Some(&asked) = self.asked.get(&question) else {
+        let Some(&asked_at) = self.pending_questions.get(&question) else {
             return false;
         };
         if rate <= 0.0 || !self.answered.insert((question, holder)) {
             return false;
         }
-        let until = asked + lifetime.min(MAX_GIVEN).mul_f64(1.0 - 2.0 * DRIFT);
+        let until = asked_at
+            + lifetime
+                .min(MAX_RELEASE_TIME)
+                .mul_f64(1.0 - 2.0 * MAX_CLOCK_DRIFT);
         self.offers.push(Offer {
             rate,
             until,
-            debts: Vec::new(),
+            loans: Vec::new(),
         });
         true
     }
 
     /// Lends up to `rate` for `lifetime`.
     ///
-    /// The loan ends, on any clock, some margin before what it is made of is taken back, and that is not
-    /// lent again before.
+    /// The loan ends, on any clock, some margin before the holders reclaim the released quota, which is not
+    /// lent again until then.
     pub fn lend(&mut self, now: Instant, rate: f64, lifetime: Duration) -> Option<Loan> {
         self.prune(now);
-        let until = end(now, lifetime);
+        let until = loan_end(now, lifetime);
         let mut lent = 0.0;
         for offer in &mut self.offers {
-            let rate = offer.room(until).min(rate - lent);
+            let rate = offer.lendable(until).min(rate - lent);
             if rate > 0.0 {
-                offer.debts.push(Term { rate, until });
+                offer.loans.push(TimedRate { rate, until });
                 lent += rate;
             }
         }
@@ -359,36 +373,41 @@
         })
     }
 
-    /// What could be lent now for `lifetime`, in all.
-    pub fn free(&self, now: Instant, lifetime: Duration) -> f64 {
-        let until = end(now, lifetime);
-        self.offers.iter().map(|offer| offer.room(until)).sum()
+    /// Returns the total rate that can be lent now for `lifetime`.
+    pub fn lendable(&self, now: Instant, lifetime: Duration) -> f64 {
+        let until = loan_end(now, lifetime);
+        self.offers.iter().map(|offer| offer.lendable(until)).sum()
     }
 
-    /// Drops what has ended, and questions too old for an answer to be of use.
+    /// Removes ended offers and loans, and questions whose answers would be too late.
     fn prune(&mut self, now: Instant) {
         self.offers.retain(|offer| offer.until > now);
         for offer in &mut self.offers {
-            offer.debts.retain(|debt| debt.until > now);
+            offer.loans.retain(|loan| loan.until > now);
         }
-        self.asked.retain(|_, asked| now < *asked + MAX_GIVEN);
-        let asked = &self.asked;
+        self.pending_questions
+            .retain(|_, asked_at| now < *asked_at + MAX_RELEASE_TIME);
+        let pending_questions = &self.pending_questions;
         self.answered
-            .retain(|(question, _)| asked.contains_key(question));
+            .retain(|(question, _)| pending_questions.contains_key(question));
     }
 }
 
-/// Notes the time of a new question, and forgets the oldest when there are too many.
-fn ask(asked: &mut BTreeMap<Serial, Instant>, serial: &mut Serial, now: Instant) -> Serial {
+/// Records the time of a new question or request, and drops the oldest if there are too many.
+fn record_question(
+    asked_at: &mut BTreeMap<Serial, Instant>,
+    serial: &mut Serial,
+    now: Instant,
+) -> Serial {
     let number = serial.next();
-    asked.insert(number, now);
-    if asked.len() > MAX_KEPT {
-        asked.pop_first();
+    asked_at.insert(number, now);
+    if asked_at.len() > MAX_PENDING {
+        asked_at.pop_first();
     }
     number
 }
 
-/// When a loan made now has ended on any clock.
-fn end(now: Instant, lifetime: Duration) -> Instant {
-    now + lifetime.mul_f64(1.0 + 2.0 * DRIFT) + MARGIN
+/// Returns the time at which a loan made now has ended on any clock.
+fn loan_end(now: Instant, lifetime: Duration) -> Instant {
+    now + lifetime.mul_f64(1.0 + 2.0 * MAX_CLOCK_DRIFT) + LOAN_RETURN_MARGIN
 }
--- a/src/steer/shift.rs
+++ b/src/steer/shift.rs
@@ -1,7 +1,8 @@
-//! How fast a split may move: one budget for planned moves, failover and spill-over.
+//! Rate limits on changes of a split: one budget for planned moves, failover and spill-over.
 //!
 //! Each host keeps its own budget on its own monotonic clock. A move is a share of the host's own
-//! traffic, so the sum over hosts, weighted by their traffic, obeys the cap without any agreement.
+//! traffic, so the sum over all hosts, weighted by their traffic, stays within the cap without any
+//! coordination.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -10,39 +11,39 @@
 
 use super::split::Split;
 
-/// Time over which what happens is always kept as one.
-const GRAIN: Duration = Duration::from_millis(20);
-/// Buckets are merged until they span the age of the younger one divided by this.
-const RESOLUTION: u32 = 16;
-/// Buckets are merged whenever this many were added.
-const BATCH: usize = 64;
-/// How long a bucket is kept; no cap has a longer window.
-const HORIZON: Duration = Duration::from_secs(86_400);
-/// A smaller move is made only if it reaches the goal.
-const MIN_MOVE: f64 = 0.0005;
-/// Slack for rounding when a budget is compared.
-const ROUNDING: f64 = 1e-9;
+/// Time during which events are counted in one bucket.
+const BUCKET_SPAN: Duration = Duration::from_millis(20);
+/// Adjacent buckets are merged while their span is at most their age divided by this.
+const MERGE_AGE_DIVISOR: u32 = 16;
+/// Number of added buckets after which old ones are merged.
+const BUCKETS_PER_MERGE: usize = 64;
+/// Maximum age of a bucket; no cap has a longer window.
+const MAX_BUCKET_AGE: Duration = Duration::from_secs(86_400);
+/// Minimum size of a move that doesn't reach the goal.
+const MIN_PARTIAL_MOVE: f64 = 0.0005;
+/// Tolerance for rounding errors when a cap is checked.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// Why a split moves.
+/// Kind of a move, which selects its cap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
-    /// Away from what still works: under the service's own cap.
+pub enum MoveKind {
+    /// Away from a zone that still works, under the service's own cap.
     Planned,
-    /// Away from what is lost: under the failover cap.
+    /// Away from a lost zone, under the failover cap.
     Failover,
 }
 
-/// The caps on moves of one service's traffic.
+/// Caps on moves of one service's traffic.
 #[derive(Clone, Copy, Debug)]
 pub struct Caps {
-    /// The cap on planned moves.
+    /// Cap on planned moves.
     pub planned: Cap,
-    /// The cap on all moves while there is failover.
+    /// Cap on all moves during failover.
     pub failover: Cap,
 }
 
 impl Caps {
-    /// The caps of a service.
+    /// Returns the caps of a service.
     pub fn new(catalog: &Catalog, service: ServiceKey) -> Self {
         Self {
             planned: catalog.service(service).shift,
@@ -50,25 +51,25 @@
         }
     }
 
-    /// The cap on moves of a kind.
-    pub fn cap(&self, kind: Kind) -> Cap {
+    /// Returns the cap for a kind of move.
+    pub fn cap(&self, kind: MoveKind) -> Cap {
         match kind {
-            Kind::Planned => self.planned,
-            Kind::Failover => self.failover,
+            MoveKind::Planned => self.planned,
+            MoveKind::Failover => self.failover,
         }
     }
 }
 
-/// Whether a request may be served outside its split.
+/// Decision whether a request may be served outside its split.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Decision {
-    /// It may, and is counted.
+pub enum SpillDecision {
+    /// It may; the budget is charged.
     Spill,
-    /// The budget is spent.
+    /// It may not, since the budget is exhausted.
     Refuse,
 }
 
-/// What happened within a short time.
+/// Counts of a short period.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     first: Instant,
@@ -79,35 +80,35 @@
     requests: u64,
 }
 
-/// What counts in a window.
+/// Totals of a window.
 #[derive(Clone, Copy, Debug, Default)]
-struct Sum {
+struct WindowTotals {
     moved: f64,
     charged: f64,
     spilled: u64,
     requests: u64,
 }
 
-/// What was moved, by time: the budget of one service and locality.
+/// Move budget of one service and locality: a history of moves that enforces the caps.
 ///
 /// It bounds the sum of moves in any window of a cap's length. Moves and spilled requests count
-/// until a window after the last one of their bucket; requests only as long as the whole bucket is in
-/// the window. So coarse buckets err to the safe side.
+/// until a window after the last event of their bucket; requests count only while the whole bucket is
+/// in the window. Coarse buckets therefore err on the safe side.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger {
+pub struct MoveBudget {
     buckets: VecDeque<Bucket>,
     added: usize,
     started: Option<Instant>,
 }
 
-impl Ledger {
-    /// A ledger without a past: nothing was served before.
+impl MoveBudget {
+    /// Creates a budget without history, for traffic that was not served before.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A ledger whose past before `started` is unknown, as after a restart. It allows nothing until
-    /// a window has passed.
+    /// Creates a budget whose history before `started` is unknown, as after a restart. It allows no move
+    /// until a window has passed.
     pub fn with_start(started: Instant) -> Self {
         Self {
             started: Some(started),
@@ -115,94 +116,94 @@
         }
     }
 
-    /// What may move now under `cap`, as a share of the traffic.
-    pub fn room(&self, now: Instant, cap: Cap) -> f64 {
-        if self.is_blind(now, cap.window) {
+    /// Returns the share of the traffic that may move now under `cap`.
+    pub fn available(&self, now: Instant, cap: Cap) -> f64 {
+        if self.has_unknown_past(now, cap.window) {
             return 0.0;
         }
-        let sum = self.sum(now, cap.window);
-        (cap.share - sum.moved - sum.charged).max(0.0)
+        let totals = self.window_totals(now, cap.window);
+        (cap.share - totals.moved - totals.charged).max(0.0)
     }
 
     /// Counts a move of a share of the traffic.
-    pub fn add(&mut self, now: Instant, share: f64) {
-        self.bucket(now).moved += share;
+    pub fn record_move(&mut self, now: Instant, share: f64) {
+        self.current_bucket(now).moved += share;
     }
 
     /// Counts a request of the host's own traffic.
-    pub fn request(&mut self, now: Instant) {
-        self.bucket(now).requests += 1;
+    pub fn record_request(&mut self, now: Instant) {
+        self.current_bucket(now).requests += 1;
     }
 
-    /// Decides whether a request, counted before by [`Ledger::request`], may be served outside its split.
+    /// Decides whether a request, counted before by [`MoveBudget::record_request`], may be served outside its split.
     ///
-    /// Spilled requests, as a share of the requests in the window, and moves together stay within the
-    /// cap; and so does their sum with each spilled request weighted by the traffic of its own time.
-    pub fn spill(&mut self, now: Instant, cap: Cap) -> Decision {
-        if self.is_blind(now, cap.window) {
-            return Decision::Refuse;
+    /// The sum of moves and spilled requests stays within the cap, both with spilled requests as a share of
+    /// the requests in the window and with each weighted by the traffic at the time of its own spill.
+    pub fn try_spill(&mut self, now: Instant, cap: Cap) -> SpillDecision {
+        if self.has_unknown_past(now, cap.window) {
+            return SpillDecision::Refuse;
         }
-        let sum = self.sum(now, cap.window);
-        if sum.requests == 0 {
-            return Decision::Refuse;
+        let totals = self.window_totals(now, cap.window);
+        if totals.requests == 0 {
+            return SpillDecision::Refuse;
         }
-        let charge = 1.0 / sum.requests as f64;
-        let counted = sum.moved + (sum.spilled + 1) as f64 * charge;
-        let charged = sum.moved + sum.charged + charge;
-        if counted.max(charged) > cap.share + ROUNDING {
-            return Decision::Refuse;
+        let request_share = 1.0 / totals.requests as f64;
+        let with_current_weights = totals.moved + (totals.spilled + 1) as f64 * request_share;
+        let with_original_weights = totals.moved + totals.charged + request_share;
+        if with_current_weights.max(with_original_weights) > cap.share + ROUNDING_TOLERANCE {
+            return SpillDecision::Refuse;
         }
-        let bucket = self.bucket(now);
+        let bucket = self.current_bucket(now);
         bucket.spilled += 1;
-        bucket.charged += charge;
-        Decision::Spill
+        bucket.charged += request_share;
+        SpillDecision::Spill
     }
 
-    /// How many buckets are kept.
+    /// Returns the number of buckets.
     pub fn len(&self) -> usize {
         self.buckets.len()
     }
 
-    /// Whether nothing was counted yet.
+    /// Whether no event was recorded yet.
     pub fn is_empty(&self) -> bool {
         self.buckets.is_empty()
     }
 
-    /// Whether the window reaches back to a time that is not known.
-    fn is_blind(&self, now: Instant, window: Duration) -> bool {
+    /// Whether the window includes a time before the known history.
+    fn has_unknown_past(&self, now: Instant, window: Duration) -> bool {
         self.started
             .is_some_and(|started| now.saturating_duration_since(started) <= window)
     }
 
-    /// All that counts in the window.
-    fn sum(&self, now: Instant, window: Duration) -> Sum {
-        let mut sum = Sum::default();
-        for bucket in self.recent(now, window) {
+    /// Returns the totals of the window.
+    fn window_totals(&self, now: Instant, window: Duration) -> WindowTotals {
+        let mut totals = WindowTotals::default();
+        for bucket in self.buckets_in_window(now, window) {
             if now.saturating_duration_since(bucket.first) <= window {
-                sum.requests += bucket.requests;
+                totals.requests += bucket.requests;
             }
-            sum.spilled += bucket.spilled;
-            sum.moved += bucket.moved;
-            sum.charged += bucket.charged;
+            totals.spilled += bucket.spilled;
+            totals.moved += bucket.moved;
+            totals.charged += bucket.charged;
         }
-        sum
+        totals
     }
 
-    fn recent(&self, now: Instant, window: Duration) -> impl Iterator<Item = &Bucket> {
+    fn buckets_in_window(&self, now: Instant, window: Duration) -> impl Iterator<Item = &Bucket> {
         self.buckets
             .iter()
             .rev()
             .take_while(move |bucket| now.saturating_duration_since(bucket.last) <= window)
     }
 
-    /// The bucket for what happens now.
-    fn bucket(&mut self, now: Instant) -> &mut Bucket {
+    /// Returns the bucket for events at `now`.
+    fn current_bucket(&mut self, now: Instant) -> &mut Bucket {
         let now = self.buckets.back().map_or(now, |last| last.last.max(now));
-        let fits = |last: &Bucket| now.duration_since(last.first) < GRAIN;
+        let fits = |last: &Bucket| now.duration_since(last.first) < BUCKET_SPAN;
         if !self.buckets.back().is_some_and(fits) {
             self.added += 1;
-            if self.added >= BATCH {
-                self.merge(now);
+            if self.added >= BUCKETS_PER_MERGE {
+                self.merge_old_buckets(now);
             }
             self.buckets.push_back(Bucket {
                 first: now,
@@ -213,27 +214,27 @@
                 requests: 0,
             });
         }
-        let at = self.buckets.len() - 1;
-        let bucket = &mut self.buckets[at];
+        let last_index = self.buckets.len() - 1;
+        let bucket = &mut self.buckets[last_index];
         bucket.last = now;
         bucket
     }
 
-    /// Merges old buckets, and drops those past the horizon.
-    fn merge(&mut self, now: Instant) {
+    /// Merges old buckets, and drops those older than [`MAX_BUCKET_AGE`].
+    fn merge_old_buckets(&mut self, now: Instant) {
         let mut merged: VecDeque<Bucket> = VecDeque::with_capacity(self.buckets.len() + 1);
         for bucket in self.buckets.drain(..) {
             let age = now.saturating_duration_since(bucket.last);
-            if age > HORIZON {
+            if age > MAX_BUCKET_AGE {
                 continue;
             }
             match merged.back_mut() {
-                Some(before) if bucket.last - before.first <= age / RESOLUTION => {
-                    before.last = bucket.last;
-                    before.moved += bucket.moved;
-                    before.charged += bucket.charged;
-                    before.spilled += bucket.spilled;
-                    before.requests += bucket.requests;
+                Some(previous) if bucket.last - previous.first <= age / MERGE_AGE_DIVISOR => {
+                    previous.last = bucket.last;
+                    previous.moved += bucket.moved;
+                    previous.charged += bucket.charged;
+                    previous.spilled += bucket.spilled;
+                    previous.requests += bucket.requests;
                 }
                 _ => merged.push_back(bucket),
             }
@@ -243,48 +244,49 @@
     }
 }
 
-/// A host's own split of one service and locality, and its way to the goal.
+/// Moves a host's own split of one service and locality towards its goal within the move budget.
 #[derive(Clone, Debug)]
-pub struct Shift {
+pub struct SplitController {
     current: Split,
-    ledger: Ledger,
+    budget: MoveBudget,
 }
 
-impl Shift {
-    /// Starts where nothing was served before, or nobody can be asked: at `home`, the host's own zone.
+impl SplitController {
+    /// Starts with the split `home`, for traffic that was not served before or whose split no peer can
+    /// provide.
     pub fn new(home: Split) -> Self {
         Self {
             current: home,
-            ledger: Ledger::new(),
+            budget: MoveBudget::new(),
         }
     }
 
-    /// Starts with the split that peers or the plan have now. What moved before is not known, so the
-    /// first move waits for a window.
+    /// Starts with the current split of peers or of the plan. Earlier moves are not known, so the first
+    /// move waits for a window.
     ///
-    /// Where peers know the split that the host's predecessor served by, that is the one to take: a
-    /// difference from it is a move that no budget sees.
+    /// If peers know the split that the host's predecessor used, `current` must be that split: a
+    /// difference from it is a move that no budget counts.
     pub fn with_current(current: Split, now: Instant) -> Self {
         Self {
             current,
-            ledger: Ledger::with_start(now),
+            budget: MoveBudget::with_start(now),
         }
     }
 
-    /// The split to serve by.
+    /// Returns the split in use.
     pub fn current(&self) -> &Split {
         &self.current
     }
 
-    /// The budget, on which spill-over draws too.
-    pub fn ledger(&mut self) -> &mut Ledger {
-        &mut self.ledger
+    /// Returns the move budget, which is also charged for spill-over.
+    pub fn budget_mut(&mut self) -> &mut MoveBudget {
+        &mut self.budget
     }
 
-    /// Moves towards `goal` as far as the budget goes, and tells the share of blocks that moved.
+    /// Moves towards `goal` as far as the budget allows, and returns the share of blocks that moved.
     ///
-    /// An empty goal moves nothing. An empty split becomes the goal at once, as it carried no traffic.
-    pub fn advance(&mut self, now: Instant, goal: &Split, kind: Kind, caps: &Caps) -> f64 {
+    /// An empty goal moves nothing. An empty split is replaced by the goal at once, as it carried no traffic.
+    pub fn advance(&mut self, now: Instant, goal: &Split, kind: MoveKind, caps: &Caps) -> f64 {
         if goal.is_empty() {
             return 0.0;
         }
@@ -292,14 +294,14 @@
             self.current = goal.clone();
             return 0.0;
         }
-        let left = self.current.moved(goal);
-        let step = left.min(self.ledger.room(now, caps.cap(kind)));
-        if left == 0.0 || step < MIN_MOVE.min(left) {
+        let remaining = self.current.moved_share(goal);
+        let step = remaining.min(self.budget.available(now, caps.cap(kind)));
+        if remaining == 0.0 || step < MIN_PARTIAL_MOVE.min(remaining) {
             return 0.0;
         }
-        let next = self.current.toward(goal, step);
-        let moved = self.current.moved(&next);
-        self.ledger.add(now, moved);
+        let next = self.current.step_toward(goal, step);
+        let moved = self.current.moved_share(&next);
+        self.budget.record_move(now, moved);
         self.current = next;
         moved
     }
--- a/src/steer/split.rs
+++ b/src/steer/split.rs
@@ -1,8 +1,8 @@
-//! Shares of sites, and the choice of a site for a client block.
+//! Shares of zones, and the assignment of client blocks to zones.
 //!
-//! A block is steered by weighted rendezvous hashing: each zone draws an exponential variate from the
-//! block and the zone's name, divides it by its share, and the least wins. The draw depends on
-//! names only, so that all hosts choose alike from equal splits.
+//! A block is assigned by weighted rendezvous hashing: for each zone, an exponential variate is derived
+//! from the block and the zone's name and divided by the zone's share, and the lowest score wins. The
+//! variates depend on names only, so all hosts with equal splits make the same assignment.
 
 use std::sync::Arc;
 
@@ -10,32 +10,32 @@
 
 use crate::catalog::{Catalog, ZoneKey};
 
-/// Shares below this are dropped when a split is made.
+/// Smaller shares are dropped when a split is created.
 const MIN_SHARE: f64 = 1e-9;
-/// Halvings in the search for a step of a given size.
-const HALVINGS: u32 = 48;
-/// Slack for rounding when two distances are compared.
-const ROUNDING: f64 = 1e-12;
+/// Bisection steps in the search for a move of a given size.
+const BISECTION_STEPS: u32 = 48;
+/// Tolerance for rounding errors when distances are compared.
+const ROUNDING_TOLERANCE: f64 = 1e-12;
 
-/// One zone's part of a split.
+/// Share of one zone in a split.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Part {
+struct ZoneShare {
     zone: ZoneKey,
     seed: u64,
     share: f64,
 }
 
-/// Shares of zones, which sum to 1; or empty, when nothing is known.
+/// Shares of zones, which sum to 1; empty if nothing is known.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Split {
-    parts: Arc<[Part]>,
+    parts: Arc<[ZoneShare]>,
 }
 
 impl Split {
-    /// A split in proportion to `weights`; those that are not positive are left out, those of one
-    /// zone are added up.
+    /// Creates a split in proportion to `weights`. Weights that are not positive are dropped, and those
+    /// of the same zone are added up.
     pub fn new(catalog: &Catalog, weights: impl IntoIterator<Item = (ZoneKey, f64)>) -> Self {
-        let parts = weights.into_iter().map(|(zone, share)| Part {
+        let parts = weights.into_iter().map(|(zone, share)| ZoneShare {
             zone,
             seed: xxh3_64(catalog.zone(zone).name.as_bytes()),
             share,
@@ -43,21 +43,21 @@
         Self::with_parts(parts.collect())
     }
 
-    fn with_parts(mut parts: Vec<Part>) -> Self {
+    fn with_parts(mut parts: Vec<ZoneShare>) -> Self {
         parts.retain(|part| part.share.is_finite() && part.share > 0.0);
         parts.sort_by_key(|part| part.zone);
         parts.dedup_by(|next, kept| {
-            let same = next.zone == kept.zone;
-            if same {
+            let is_same = next.zone == kept.zone;
+            if is_same {
                 kept.share += next.share;
             }
-            same
+            is_same
         });
-        scale(&mut parts);
-        let before = parts.len();
+        normalize(&mut parts);
+        let count = parts.len();
         parts.retain(|part| part.share >= MIN_SHARE);
-        if parts.len() < before {
-            scale(&mut parts);
+        if parts.len() < count {
+            normalize(&mut parts);
         }
         Self {
             parts: parts.into(),
@@ -69,85 +69,85 @@
         self.parts.is_empty()
     }
 
-    /// The zones with a share, in the order of their keys.
+    /// Returns the zones with their shares, in the order of their keys.
     pub fn shares(&self) -> impl Iterator<Item = (ZoneKey, f64)> + '_ {
         self.parts.iter().map(|part| (part.zone, part.share))
     }
 
-    /// The share of a zone, 0 if it has none.
+    /// Returns the share of a zone, 0 if it has none.
     pub fn share(&self, zone: ZoneKey) -> f64 {
         match self.parts.binary_search_by_key(&zone, |part| part.zone) {
-            Ok(at) => self.parts[at].share,
+            Ok(index) => self.parts[index].share,
             Err(_) => 0.0,
         }
     }
 
-    /// The total variation distance: the least share that has to move to come from one to the other.
+    /// Returns the total variation distance: the minimum share that has to move between the two splits.
     pub fn distance(&self, other: &Self) -> f64 {
-        let sum: f64 = union(self, other)
+        let sum: f64 = pair_shares(self, other)
             .iter()
             .map(|pair| (pair.from - pair.to).abs())
             .sum();
         sum / 2.0
     }
 
-    /// The share of blocks whose choice differs between the two splits.
+    /// Returns the share of blocks whose zone differs between the two splits.
     ///
-    /// It is [`Split::distance`] as long as the ratios among the zones that only gain, or among
-    /// those that only lose, stay as they are (a zone leaves, or comes back); else it is larger, at
-    /// most `2 d / (1 + d)`. No hashing without memory of earlier splits does better in general.
-    pub fn moved(&self, other: &Self) -> f64 {
+    /// It equals the distance `d` of [`Split::distance`] if the ratios among the zones that gain, or among
+    /// those that lose, stay the same, as when one zone leaves or returns. Otherwise it is larger, at most
+    /// `2 d / (1 + d)`. No hashing without memory of earlier splits is better in general.
+    pub fn moved_share(&self, other: &Self) -> f64 {
         if self.is_empty() || other.is_empty() {
             return if self == other { 0.0 } else { 1.0 };
         }
-        let pairs = union(self, other);
-        let kept: f64 = pairs.iter().map(|pair| kept(pair, &pairs)).sum();
+        let pairs = pair_shares(self, other);
+        let kept: f64 = pairs.iter().map(|pair| kept_share(pair, &pairs)).sum();
         (1.0 - kept).max(0.0)
     }
 
-    /// The split on the straight way to `goal` at which the share `by` of all blocks has moved; the
-    /// goal itself if it is no farther.
-    pub fn toward(&self, goal: &Self, by: f64) -> Self {
-        if self.moved(goal) <= by + ROUNDING {
+    /// Returns the split on the line to `goal` at which the share `max_moved` of all blocks has moved, or
+    /// the goal itself if it is closer.
+    pub fn step_toward(&self, goal: &Self, max_moved: f64) -> Self {
+        if self.moved_share(goal) <= max_moved + ROUNDING_TOLERANCE {
             return goal.clone();
         }
-        if self.is_empty() || goal.is_empty() || by <= 0.0 {
+        if self.is_empty() || goal.is_empty() || max_moved <= 0.0 {
             return self.clone();
         }
         let (mut low, mut high) = (0.0, 1.0);
-        for _ in 0..HALVINGS {
+        for _ in 0..BISECTION_STEPS {
             let middle = (low + high) / 2.0;
-            if self.moved(&self.blend(goal, middle)) <= by {
+            if self.moved_share(&self.interpolate(goal, middle)) <= max_moved {
                 low = middle;
             } else {
                 high = middle;
             }
         }
-        self.blend(goal, low)
+        self.interpolate(goal, low)
     }
 
-    /// The split at the part `at` (0 to 1) of the straight way to `goal`.
-    fn blend(&self, goal: &Self, at: f64) -> Self {
-        let parts = union(self, goal).into_iter().map(|pair| Part {
+    /// Interpolates linearly between this split (`position` 0) and `goal` (1).
+    fn interpolate(&self, goal: &Self, position: f64) -> Self {
+        let parts = pair_shares(self, goal).into_iter().map(|pair| ZoneShare {
             zone: pair.zone,
             seed: pair.seed,
-            share: pair.from + at * (pair.to - pair.from),
+            share: pair.from + position * (pair.to - pair.from),
         });
         Self::with_parts(parts.collect())
     }
 
-    /// The zone of a block among those that are usable; the others' blocks are spread in proportion
-    /// to the shares of the usable ones.
+    /// Returns the zone of a block among the usable zones. Blocks of unusable zones are distributed in
+    /// proportion to the shares of the usable ones.
     pub fn choose(&self, block: u64, usable: impl Fn(ZoneKey) -> bool) -> Option<ZoneKey> {
         let mut chosen = None;
-        let mut least = f64::INFINITY;
+        let mut lowest_score = f64::INFINITY;
         for part in self.parts.iter() {
             if !usable(part.zone) {
                 continue;
             }
-            let score = exponential(block, part.seed) / part.share;
-            if score < least {
-                least = score;
+            let score = exponential_variate(block, part.seed) / part.share;
+            if score < lowest_score {
+                lowest_score = score;
                 chosen = Some(part.zone);
             }
         }
@@ -155,28 +155,28 @@
     }
 }
 
-/// A zone's shares in two splits.
-struct Pair {
+/// Shares of one zone in two splits.
+struct SharePair {
     zone: ZoneKey,
     seed: u64,
     from: f64,
     to: f64,
 }
 
-/// The zones of both splits with both shares, in the order of their keys.
-fn union(from: &Split, to: &Split) -> Vec<Pair> {
-    let mut pairs: Vec<Pair> = from
+/// Returns the zones of both splits with both shares: those of `from` in the order of their keys, then those only in `to`.
+fn pair_shares(from: &Split, to: &Split) -> Vec<SharePair> {
+    let mut pairs: Vec<SharePair> = from
         .parts
         .iter()
-        .map(|part| Pair {
+        .map(|part| SharePair {
             zone: part.zone,
             seed: part.seed,
             from: part.share,
             to: to.share(part.zone),
         })
         .collect();
-    let new = to.parts.iter().filter(|part| from.share(part.zone) == 0.0);
-    pairs.extend(new.map(|part| Pair {
+    let added = to.parts.iter().filter(|part| from.share(part.zone) == 0.0);
+    pairs.extend(added.map(|part| SharePair {
         zone: part.zone,
         seed: part.seed,
         from: 0.0,
@@ -185,8 +185,8 @@
     pairs
 }
 
-/// The share of blocks that choose `winner` under both splits.
-fn kept(winner: &Pair, pairs: &[Pair]) -> f64 {
+/// Returns the share of blocks that are assigned to `winner` by both splits.
+fn kept_share(winner: &SharePair, pairs: &[SharePair]) -> f64 {
     if winner.from == 0.0 || winner.to == 0.0 {
         return 0.0;
     }
@@ -197,15 +197,15 @@
     1.0 / sum
 }
 
-fn scale(parts: &mut [Part]) {
+fn normalize(parts: &mut [ZoneShare]) {
     let sum: f64 = parts.iter().map(|part| part.share).sum();
     for part in parts {
         part.share /= sum;
     }
 }
 
-/// An exponential variate of mean 1 for a block and a zone.
-fn exponential(block: u64, seed: u64) -> f64 {
+/// Returns an exponential variate with mean 1 for a block and a zone.
+fn exponential_variate(block: u64, seed: u64) -> f64 {
     let hash = xxh3_64_with_seed(&block.to_le_bytes(), seed);
     let uniform = ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
     -uniform.ln()
--- a/src/steer/ticket.rs
+++ b/src/steer/ticket.rs
@@ -1,62 +1,62 @@
-//! Tickets: what binds an idempotency key to one incarnation of one host.
+//! Tickets, which bind an idempotency key to one incarnation of one host.
 //!
-//! The text is `HOST.INCARNATION-GENERATION`; the last dot splits, since a host's name may hold
-//! dots. A generation is a span of the incarnation's life. Its tickets are accepted for a bounded
-//! time, so that records of keys need not be kept for ever (see [`super::dedupe`]).
+//! The format is `HOST.INCARNATION-GENERATION`; the last dot separates the host, since a host's name may
+//! contain dots. A generation is a period of the incarnation's lifetime. Its tickets are accepted for a
+//! bounded time, so that records of keys need not be kept forever (see [`super::dedupe`]).
 
 use std::fmt;
 use std::str::FromStr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Length of a generation when nothing else is said.
-pub const DEFAULT_PERIOD: Duration = Duration::from_secs(300);
-/// Generations accepted when nothing else is said: the current one and those before it.
-pub const DEFAULT_ACCEPTED: u32 = 3;
-/// Longest text of a ticket, in bytes.
-pub const MAX_LENGTH: usize = 300;
-/// How many generations a ticket may be ahead: the thread that issued it may have read its clock
-/// later than the one that checks it.
-const LEAD: u32 = 1;
-
-/// A span of an incarnation's life, counted from 0.
+/// Default length of a generation.
+pub const DEFAULT_GENERATION_PERIOD: Duration = Duration::from_secs(300);
+/// Default number of accepted generations: the current one and those before it.
+pub const DEFAULT_ACCEPTED_GENERATIONS: u32 = 3;
+/// Maximum length of a ticket's text, in bytes.
+pub const MAX_TICKET_BYTES: usize = 300;
+/// Number of generations that a ticket may be ahead of the current one: the thread that issued it may
+/// have read the clock later than the thread that checks it.
+const MAX_GENERATIONS_AHEAD: u32 = 1;
+
+/// Number of a period of an incarnation's lifetime, counted from 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Generation(pub u32);
 
-/// Names the one process that may dispatch the keys that bear it.
+/// Identifies the only process that may dispatch requests whose keys carry the ticket.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Ticket {
-    /// The host.
+    /// Name of the issuing host.
     pub host: Arc<str>,
-    /// The process on that host.
+    /// Incarnation of the issuing process.
     pub incarnation: u64,
-    /// When it was issued.
+    /// Generation in which it was issued.
     pub generation: Generation,
 }
 
-/// What is wrong with the text of a ticket.
+/// Error in the text of a ticket.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// The text is longer than [`MAX_LENGTH`].
-    #[error("ticket: {0} bytes, at most {MAX_LENGTH} allowed")]
+    #[error("ticket: {0} bytes, at most {MAX_TICKET_BYTES} allowed")]
     TooLong(usize),
-    /// No dot parts the host from the incarnation.
+    /// There is no dot between the host and the incarnation.
     #[error("ticket: no '.' between host and incarnation")]
     NoDot,
     /// There is no host before the dot.
     #[error("ticket: no host before the last '.'")]
     NoHost,
-    /// The host holds a character that no name has.
+    /// The host contains a character that is not allowed in names.
     #[error("ticket: character {0:?} in the host")]
     BadHost(char),
-    /// No dash parts the incarnation from the generation.
+    /// There is no dash between the incarnation and the generation.
     #[error("ticket: no '-' between incarnation and generation")]
     NoDash,
     /// The incarnation isn't a number in plain decimal digits.
-    #[error("ticket: incarnation {0:?} is no number")]
+    #[error("ticket: incarnation {0:?} is not a decimal number")]
     BadIncarnation(Arc<str>),
     /// The generation isn't a number in plain decimal digits.
-    #[error("ticket: generation {0:?} is no number")]
+    #[error("ticket: generation {0:?} is not a decimal number")]
     BadGeneration(Arc<str>),
 }
 
@@ -71,16 +71,16 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        if text.len() > MAX_LENGTH {
+        if text.len() > MAX_TICKET_BYTES {
             return Err(Error::TooLong(text.len()));
         }
         let (host, rest) = text.rsplit_once('.').ok_or(Error::NoDot)?;
-        check_host(host)?;
+        validate_host(host)?;
         let (incarnation, generation) = rest.split_once('-').ok_or(Error::NoDash)?;
         let incarnation =
-            number(incarnation).ok_or_else(|| Error::BadIncarnation(incarnation.into()))?;
+            parse_decimal(incarnation).ok_or_else(|| Error::BadIncarnation(incarnation.into()))?;
         let generation =
-            number(generation).ok_or_else(|| Error::BadGeneration(generation.into()))?;
+            parse_decimal(generation).ok_or_else(|| Error::BadGeneration(generation.into()))?;
         Ok(Self {
             host: host.into(),
             incarnation,
@@ -89,28 +89,28 @@
     }
 }
 
-fn check_host(host: &str) -> Result<(), Error> {
+fn validate_host(host: &str) -> Result<(), Error> {
     if host.is_empty() {
         return Err(Error::NoHost);
     }
-    let bad = |c: &char| c.is_control() || c.is_whitespace();
-    match host.chars().find(bad) {
+    let is_invalid = |c: &char| c.is_control() || c.is_whitespace();
+    match host.chars().find(is_invalid) {
         Some(c) => Err(Error::BadHost(c)),
         None => Ok(()),
     }
 }
 
-/// Parses plain decimal digits, so that each number has one text.
-fn number<T: FromStr>(text: &str) -> Option<T> {
-    let plain = text.bytes().all(|byte| byte.is_ascii_digit());
-    let padded = text.len() > 1 && text.starts_with('0');
-    if !plain || padded {
+/// Parses decimal digits without a sign or leading zeros, so that each number has exactly one text.
+fn parse_decimal<T: FromStr>(text: &str) -> Option<T> {
+    let is_decimal = text.bytes().all(|byte| byte.is_ascii_digit());
+    let is_padded = text.len() > 1 && text.starts_with('0');
+    if !is_decimal || is_padded {
         return None;
     }
     text.parse().ok()
 }
 
-/// How generations follow each other. The issuer and the records of keys must share it.
+/// Schedule of generations. The issuer and the idempotency table must use the same one.
 #[derive(Clone, Copy, Debug)]
 pub struct Rotation {
     start: Instant,
@@ -119,43 +119,43 @@
 }
 
 impl Rotation {
-    /// Generation 0 begins at `start`.
+    /// Creates a schedule whose generation 0 begins at `start`.
     pub fn new(start: Instant) -> Self {
         Self {
             start,
-            period: DEFAULT_PERIOD,
-            accepted: DEFAULT_ACCEPTED,
+            period: DEFAULT_GENERATION_PERIOD,
+            accepted: DEFAULT_ACCEPTED_GENERATIONS,
         }
     }
 
-    /// Each generation lasts `period`, and tickets of the last `accepted` ones are accepted. Both
-    /// are at least one (millisecond, generation).
+    /// Sets the length of a generation and the number of accepted generations, with minimums of one
+    /// millisecond and one generation.
     pub fn with_period(mut self, period: Duration, accepted: u32) -> Self {
         self.period = period.max(Duration::from_millis(1));
         self.accepted = accepted.max(1);
         self
     }
 
-    /// The generation at `now`.
+    /// Returns the generation at `now`.
     pub fn current(&self, now: Instant) -> Generation {
         let age = now.saturating_duration_since(self.start);
         let count = age.as_nanos() / self.period.as_nanos();
         Generation(u32::try_from(count).unwrap_or(u32::MAX))
     }
 
-    /// The oldest generation whose tickets are accepted at `now`.
-    pub fn oldest(&self, now: Instant) -> Generation {
+    /// Returns the oldest generation whose tickets are accepted at `now`.
+    pub fn oldest_accepted(&self, now: Instant) -> Generation {
         let current = self.current(now).0;
         Generation(current.saturating_sub(self.accepted - 1))
     }
 
     /// Whether tickets of `generation` are accepted at `now`.
     pub fn accepts(&self, now: Instant, generation: Generation) -> bool {
-        let newest = self.current(now).0.saturating_add(LEAD);
-        generation >= self.oldest(now) && generation.0 <= newest
+        let newest = self.current(now).0.saturating_add(MAX_GENERATIONS_AHEAD);
+        generation >= self.oldest_accepted(now) && generation.0 <= newest
     }
 
-    /// Time from `now` until tickets of `generation` are no longer accepted.
+    /// Returns the time from `now` until tickets of `generation` are no longer accepted.
     pub fn remaining(&self, now: Instant, generation: Generation) -> Duration {
         let periods = generation.0.saturating_add(self.accepted);
         let life = self.period.saturating_mul(periods);
@@ -163,19 +163,19 @@
     }
 }
 
-/// Whose ticket it is.
+/// Owner of a ticket.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Home {
-    /// This process accepts it.
-    Here(Generation),
-    /// This host issued it, but no process may dispatch its keys any more: the outcome of a key
-    /// that bears it is unknown.
-    Gone,
-    /// Another host's: relay to that host, or the outcome is unknown.
-    Elsewhere(Arc<str>),
+pub enum TicketOwner {
+    /// This process issued the ticket and accepts it.
+    ThisProcess(Generation),
+    /// This host issued the ticket, but its incarnation has ended or its generation is not accepted. The
+    /// outcome of requests with such keys is unknown.
+    Expired,
+    /// The named host issued the ticket: the request must be relayed to it, or its outcome is unknown.
+    OtherHost(Arc<str>),
 }
 
-/// Issues the tickets of this process.
+/// Issues and checks tickets of this process.
 #[derive(Clone, Debug)]
 pub struct Issuer {
     host: Arc<str>,
@@ -184,8 +184,8 @@
 }
 
 impl Issuer {
-    /// The issuer of `host`. `incarnation` must differ from that of every earlier process of the
-    /// host: the time of its start with random low bits.
+    /// Creates the issuer of `host`. `incarnation` must differ from that of every earlier process of the
+    /// host: the start time with random low bits.
     pub fn new(host: Arc<str>, incarnation: u64, rotation: Rotation) -> Self {
         Self {
             host,
@@ -194,7 +194,7 @@
         }
     }
 
-    /// The ticket to hand out at `now`.
+    /// Issues the ticket for `now`.
     pub fn issue(&self, now: Instant) -> Ticket {
         Ticket {
             host: self.host.clone(),
@@ -203,17 +203,17 @@
         }
     }
 
-    /// Tells whose `ticket` is.
-    pub fn check(&self, now: Instant, ticket: &Ticket) -> Home {
+    /// Returns the owner of `ticket`.
+    pub fn check(&self, now: Instant, ticket: &Ticket) -> TicketOwner {
         if ticket.host != self.host {
-            return Home::Elsewhere(ticket.host.clone());
+            return TicketOwner::OtherHost(ticket.host.clone());
         }
         if ticket.incarnation != self.incarnation {
-            return Home::Gone;
+            return TicketOwner::Expired;
         }
         if !self.rotation.accepts(now, ticket.generation) {
-            return Home::Gone;
+            return TicketOwner::Expired;
         }
-        Home::Here(ticket.generation)
+        TicketOwner::ThisProcess(ticket.generation)
     }
 }
--- a/tests/dedupe.rs
+++ b/tests/dedupe.rs
@@ -13,9 +13,10 @@
     AttemptId, AttemptTracker, Destination, FailurePoint, Outcome, Reason, Stage, Step,
 };
 use ragwortfold::steer::dedupe::{
-    Answer, Begin, End, Identity, Keys, Run, MAX_ANSWER, MAX_WAITERS,
+    Admission, Answer, IdempotencyTable, Identity, RunOutcome, RunPermit, MAX_STORED_ANSWER_BYTES,
+    MAX_WAITERS_PER_KEY,
 };
-use ragwortfold::steer::ticket::{Error, Generation, Home, Issuer, Rotation, Ticket};
+use ragwortfold::steer::ticket::{Error, Generation, Issuer, Rotation, Ticket, TicketOwner};
 
 const PERIOD: Duration = Duration::from_secs(10);
 const ACCEPTED: u32 = 2;
@@ -62,27 +63,30 @@
     let issuer = Issuer::new("ent-1".into(), 7, rotation(start));
     let ticket = issuer.issue(start + PERIOD);
     let home = |seconds| issuer.check(start + Duration::from_secs(seconds), &ticket);
-    let here = Home::Here(Generation(1));
+    let here = TicketOwner::ThisProcess(Generation(1));
     assert_eq!(
         [home(0), home(10), home(29)],
         [here.clone(), here.clone(), here]
     );
-    assert_eq!(home(30), Home::Gone);
+    assert_eq!(home(30), TicketOwner::Expired);
     let ahead = Ticket {
         generation: Generation(2),
         ..ticket.clone()
     };
-    assert_eq!(issuer.check(start, &ahead), Home::Gone);
+    assert_eq!(issuer.check(start, &ahead), TicketOwner::Expired);
     let older = Ticket {
         incarnation: 6,
         ..ticket.clone()
     };
-    assert_eq!(issuer.check(start + PERIOD, &older), Home::Gone);
+    assert_eq!(issuer.check(start + PERIOD, &older), TicketOwner::Expired);
     let other = Ticket {
         host: "ent-2".into(),
         ..ticket
     };
-    assert_eq!(issuer.check(start, &other), Home::Elsewhere("ent-2".into()));
+    assert_eq!(
+        issuer.check(start, &other),
+        TicketOwner::OtherHost("ent-2".into())
+    );
 }
 
 fn service(n: u32) -> ServiceKey {
@@ -104,7 +108,7 @@
 /// One table of keys with a shorthand for requests of one service.
 struct Table {
     start: Instant,
-    keys: Keys<u32>,
+    keys: IdempotencyTable<u32>,
 }
 
 impl Table {
@@ -112,7 +116,7 @@
         let start = Instant::now();
         Self {
             start,
-            keys: Keys::new(rotation(start)),
+            keys: IdempotencyTable::new(rotation(start)),
         }
     }
 
@@ -121,16 +125,16 @@
         self
     }
 
-    fn begin(&mut self, seconds: u64, key: &str, generation: u32, waiter: u32) -> Begin {
+    fn begin(&mut self, seconds: u64, key: &str, generation: u32, waiter: u32) -> Admission {
         let now = self.start + Duration::from_secs(seconds);
         let generation = Generation(generation);
         self.keys
             .begin(now, service(0), key.into(), generation, print("/"), waiter)
     }
 
-    fn run(&mut self, key: &str) -> Run {
+    fn run(&mut self, key: &str) -> RunPermit {
         match self.begin(0, key, 0, 0) {
-            Begin::Run(run) => run,
+            Admission::Run(run) => run,
             other => panic!("does not run: {other:?}"),
         }
     }
@@ -140,56 +144,61 @@
 fn running_key_is_joined_and_then_replayed() {
     let mut table = Table::new();
     let run = table.run("k");
-    assert_eq!(table.begin(0, "k", 0, 1), Begin::Join);
+    assert_eq!(table.begin(0, "k", 0, 1), Admission::Join);
     let answer = answer(3);
     assert_eq!(
-        table.keys.end(&run, End::Answered(Some(answer.clone()))),
+        table
+            .keys
+            .complete(&run, RunOutcome::Answered(Some(answer.clone()))),
         [1]
     );
-    assert_eq!(table.begin(1, "k", 0, 2), Begin::Replay(answer));
+    assert_eq!(table.begin(1, "k", 0, 2), Admission::Replay(answer));
 }
 
 #[test]
 fn waiter_too_many_is_not_told_not_run() {
     let mut table = Table::new();
     table.run("k");
-    for waiter in 0..MAX_WAITERS as u32 {
-        assert_eq!(table.begin(0, "k", 0, waiter), Begin::Join);
+    for waiter in 0..MAX_WAITERS_PER_KEY as u32 {
+        assert_eq!(table.begin(0, "k", 0, waiter), Admission::Join);
     }
-    assert_eq!(table.begin(0, "k", 0, 99), Begin::Unknown);
+    assert_eq!(table.begin(0, "k", 0, 99), Admission::Unknown);
 }
 
 #[test]
 fn not_run_key_may_run_again_and_its_old_run_has_no_say() {
     let mut table = Table::new();
     let old = table.run("k");
-    table.keys.end(&old, End::NotRun);
+    table.keys.complete(&old, RunOutcome::NotRun);
     assert!(table.keys.is_empty() && table.keys.bytes() == 0);
     table.run("k");
-    table.keys.end(&old, End::NotRun);
-    assert_eq!(table.begin(0, "k", 0, 1), Begin::Join);
+    table.keys.complete(&old, RunOutcome::NotRun);
+    assert_eq!(table.begin(0, "k", 0, 1), Admission::Join);
 }
 
 #[test]
 fn unknown_is_settled_by_a_late_answer() {
     let mut table = Table::new();
     let run = table.run("k");
-    table.keys.end(&run, End::Unknown);
-    assert_eq!(table.begin(0, "k", 0, 1), Begin::Unknown);
-    table.keys.end(&run, End::Answered(Some(answer(1))));
-    assert_eq!(table.begin(0, "k", 0, 1), Begin::Replay(answer(1)));
-    table.keys.end(&run, End::NotRun);
-    assert_eq!(table.begin(0, "k", 0, 1), Begin::Replay(answer(1)));
+    table.keys.complete(&run, RunOutcome::Unknown);
+    assert_eq!(table.begin(0, "k", 0, 1), Admission::Unknown);
+    table
+        .keys
+        .complete(&run, RunOutcome::Answered(Some(answer(1))));
+    assert_eq!(table.begin(0, "k", 0, 1), Admission::Replay(answer(1)));
+    table.keys.complete(&run, RunOutcome::NotRun);
+    assert_eq!(table.begin(0, "k", 0, 1), Admission::Replay(answer(1)));
 }
 
 #[test]
 fn large_answer_is_not_kept() {
     let mut table = Table::new();
     let run = table.run("k");
-    table
-        .keys
-        .end(&run, End::Answered(Some(answer(MAX_ANSWER + 1))));
-    assert_eq!(table.begin(0, "k", 0, 1), Begin::Unknown);
+    table.keys.complete(
+        &run,
+        RunOutcome::Answered(Some(answer(MAX_STORED_ANSWER_BYTES + 1))),
+    );
+    assert_eq!(table.begin(0, "k", 0, 1), Admission::Unknown);
 }
 
 #[test]
@@ -202,11 +211,11 @@
             .keys
             .begin(now, service(n), "k".into(), generation, print, 1)
     };
-    assert_eq!(begin(0, print("/other")), Begin::Mismatch);
+    assert_eq!(begin(0, print("/other")), Admission::Mismatch);
     let body = Identity::new("POST", "/", Some(2), Some(b"[]"));
-    assert_eq!(begin(0, body), Begin::Mismatch);
+    assert_eq!(begin(0, body), Admission::Mismatch);
     assert!(
-        matches!(begin(1, print("/other")), Begin::Run(_)),
+        matches!(begin(1, print("/other")), Admission::Run(_)),
         "keys are scoped by service"
     );
 }
@@ -216,28 +225,32 @@
     let mut table = Table::new().with_capacity(2, usize::MAX);
     for key in ["a", "b"] {
         let run = table.run(key);
-        table.keys.end(&run, End::Unknown);
+        table.keys.complete(&run, RunOutcome::Unknown);
     }
     let retry_after = Duration::from_secs(15);
-    assert_eq!(table.begin(5, "c", 0, 1), Begin::Full { retry_after });
-    assert_eq!(table.begin(5, "a", 0, 1), Begin::Unknown);
-    assert!(matches!(table.begin(20, "c", 2, 1), Begin::Run(_)));
+    assert_eq!(table.begin(5, "c", 0, 1), Admission::Full { retry_after });
+    assert_eq!(table.begin(5, "a", 0, 1), Admission::Unknown);
+    assert!(matches!(table.begin(20, "c", 2, 1), Admission::Run(_)));
     assert_eq!(
         (table.keys.len(), table.begin(20, "a", 0, 1)),
-        (1, Begin::Unknown)
+        (1, Admission::Unknown)
     );
 }
 
 #[test]
 fn bytes_are_bounded_and_answers_in_reserve_are_kept() {
-    let mut table = Table::new().with_capacity(usize::MAX, MAX_ANSWER + 1000);
+    let mut table = Table::new().with_capacity(usize::MAX, MAX_STORED_ANSWER_BYTES + 1000);
     let run = table.run("a");
-    assert!(matches!(table.begin(0, "b", 0, 1), Begin::Full { .. }));
-    table
-        .keys
-        .end(&run, End::Answered(Some(answer(MAX_ANSWER))));
-    assert_eq!(table.begin(0, "a", 0, 1), Begin::Replay(answer(MAX_ANSWER)));
-    assert!(table.keys.bytes() <= MAX_ANSWER + 1000);
+    assert!(matches!(table.begin(0, "b", 0, 1), Admission::Full { .. }));
+    table.keys.complete(
+        &run,
+        RunOutcome::Answered(Some(answer(MAX_STORED_ANSWER_BYTES))),
+    );
+    assert_eq!(
+        table.begin(0, "a", 0, 1),
+        Admission::Replay(answer(MAX_STORED_ANSWER_BYTES))
+    );
+    assert!(table.keys.bytes() <= MAX_STORED_ANSWER_BYTES + 1000);
 }
 
 #[test]
@@ -245,7 +258,7 @@
     let mut table = Table::new();
     for n in 0..40 {
         let run = table.run(&n.to_string());
-        table.keys.end(&run, End::Unknown);
+        table.keys.complete(&run, RunOutcome::Unknown);
     }
     table.begin(20, "new", 2, 1);
     assert_eq!(table.keys.len(), 9);
@@ -258,33 +271,37 @@
     let mut table = Table::new();
     for n in 100..200 {
         let run = table.run(&n.to_string());
-        table.keys.end(&run, End::Unknown);
+        table.keys.complete(&run, RunOutcome::Unknown);
     }
-    let Begin::Run(run) = table.begin(15, "201", 1, 1) else {
+    let Admission::Run(run) = table.begin(15, "201", 1, 1) else {
         panic!("does not run");
     };
-    table
-        .keys
-        .end(&run, End::Answered(Some(answer(MAX_ANSWER))));
+    table.keys.complete(
+        &run,
+        RunOutcome::Answered(Some(answer(MAX_STORED_ANSWER_BYTES))),
+    );
     let bytes = table.keys.bytes();
     table = table.with_capacity(usize::MAX, bytes);
-    assert!(matches!(table.begin(15, "202", 1, 1), Begin::Full { .. }));
-    assert!(matches!(table.begin(20, "202", 2, 1), Begin::Run(_)));
+    assert!(matches!(
+        table.begin(15, "202", 1, 1),
+        Admission::Full { .. }
+    ));
+    assert!(matches!(table.begin(20, "202", 2, 1), Admission::Run(_)));
 }
 
 #[test]
 fn generation_not_yet_issued_is_not_accepted() {
     let mut table = Table::new();
-    assert_eq!(table.begin(0, "k", 2, 1), Begin::Unknown);
+    assert_eq!(table.begin(0, "k", 2, 1), Admission::Unknown);
 }
 
 #[test]
 fn key_is_kept_as_long_as_its_newest_ticket() {
     let mut table = Table::new();
     let run = table.run("k");
-    table.keys.end(&run, End::Unknown);
-    assert_eq!(table.begin(15, "k", 1, 1), Begin::Unknown);
-    assert_eq!(table.begin(25, "k", 1, 1), Begin::Unknown);
+    table.keys.complete(&run, RunOutcome::Unknown);
+    assert_eq!(table.begin(15, "k", 1, 1), Admission::Unknown);
+    assert_eq!(table.begin(25, "k", 1, 1), Admission::Unknown);
     assert_eq!(table.keys.len(), 1);
 }
 
@@ -292,9 +309,9 @@
 fn clock_that_steps_back_revives_no_key() {
     let mut table = Table::new();
     let run = table.run("k");
-    table.keys.end(&run, End::Unknown);
+    table.keys.complete(&run, RunOutcome::Unknown);
     table.begin(25, "other", 2, 1);
-    assert_eq!(table.begin(5, "k", 0, 1), Begin::Unknown);
+    assert_eq!(table.begin(5, "k", 0, 1), Admission::Unknown);
 }
 
 // Histories: clients send few keys to several hosts while hosts die, restart and lose each other.
@@ -366,7 +383,7 @@
             .prop_map(|(key, via, faulty)| Event::Send { key, via, faulty }),
         6 => (run.clone(), cause(), any::<bool>(), any::<bool>())
             .prop_map(|(run, cause, ran, budget)| Event::Break { run, cause, ran, budget }),
-        3 => (run.clone(), 0..MAX_ANSWER * 5 / 4).prop_map(|(run, size)| Event::Answer { run, size }),
+        3 => (run.clone(), 0..MAX_STORED_ANSWER_BYTES * 5 / 4).prop_map(|(run, size)| Event::Answer { run, size }),
         1 => (run, any::<bool>()).prop_map(|(run, ran)| Event::GiveUp { run, ran }),
         1 => (host.clone(), any::<bool>()).prop_map(|(host, ran)| Event::Restart { host, ran }),
         1 => (host.clone(), host).prop_map(|(a, b)| Event::Cut { a, b }),
@@ -385,14 +402,14 @@
 struct Running {
     host: usize,
     request: usize,
-    run: Run,
+    run: RunPermit,
     course: AttemptTracker,
     outstanding: AttemptId,
 }
 
 struct Host {
     issuer: Issuer,
-    keys: Keys<usize>,
+    keys: IdempotencyTable<usize>,
 }
 
 /// All hosts, the clients' requests, and a count of real runs at the targets.
@@ -412,7 +429,8 @@
     let name = format!("ent-{n}");
     Host {
         issuer: Issuer::new(name.as_str().into(), incarnation, rotation),
-        keys: Keys::new(rotation).with_capacity(RECORDS, RECORDS * (MAX_ANSWER + 300)),
+        keys: IdempotencyTable::new(rotation)
+            .with_capacity(RECORDS, RECORDS * (MAX_STORED_ANSWER_BYTES + 300)),
     }
 }
 
@@ -462,14 +480,14 @@
             told: Vec::new(),
         });
         let home = match self.hosts[via].issuer.check(self.now, &ticket) {
-            Home::Elsewhere(name) => name[4..].parse().expect("a host of the test"),
+            TicketOwner::OtherHost(name) => name[4..].parse().expect("a host of the test"),
             _ => via,
         };
         if !self.links[via][home] {
             return self.tell(request, Outcome::Unknown(Reason::HomeUnreachable));
         }
         match self.hosts[home].issuer.check(self.now, &ticket) {
-            Home::Here(generation) => self.begin(home, request, generation, faulty),
+            TicketOwner::ThisProcess(generation) => self.begin(home, request, generation, faulty),
             _ => self.tell(request, Outcome::Unknown(Reason::StaleTicket)),
         }
     }
@@ -486,22 +504,22 @@
             print,
             request,
         );
-        assert!(keys.len() <= RECORDS && keys.bytes() <= RECORDS * (MAX_ANSWER + 300));
+        assert!(keys.len() <= RECORDS && keys.bytes() <= RECORDS * (MAX_STORED_ANSWER_BYTES + 300));
         match begin {
-            Begin::Run(run) => self.dispatch(host, request, run),
-            Begin::Join => {}
-            Begin::Replay(_) => {
+            Admission::Run(run) => self.dispatch(host, request, run),
+            Admission::Join => {}
+            Admission::Replay(_) => {
                 let key = self.requests[request].key;
                 assert_eq!(self.ran[key], 1, "replayed without a run");
                 self.tell(request, Outcome::Answered);
             }
-            Begin::Mismatch => self.tell(request, Outcome::NotRun(Reason::KeyReused)),
-            Begin::Full { .. } => self.tell(request, Outcome::NotRun(Reason::Crowded)),
-            Begin::Unknown => self.tell(request, Outcome::Unknown(Reason::NotKept)),
+            Admission::Mismatch => self.tell(request, Outcome::NotRun(Reason::KeyReused)),
+            Admission::Full { .. } => self.tell(request, Outcome::NotRun(Reason::Crowded)),
+            Admission::Unknown => self.tell(request, Outcome::Unknown(Reason::NotKept)),
         }
     }
 
-    fn dispatch(&mut self, host: usize, request: usize, run: Run) {
+    fn dispatch(&mut self, host: usize, request: usize, run: RunPermit) {
         let deadline = self.now + Duration::from_secs(30);
         let mut course = AttemptTracker::new(Repeat::Never, deadline);
         let outstanding = course.start(self.now, place()).expect("a first try");
@@ -572,12 +590,12 @@
 
     fn finish(&mut self, running: Running, outcome: Outcome, size: usize) {
         let end = match outcome {
-            Outcome::Answered if size > 0 => End::Answered(Some(answer(size))),
-            Outcome::Answered => End::Answered(None),
-            Outcome::NotRun(_) => End::NotRun,
-            Outcome::Unknown(_) => End::Unknown,
+            Outcome::Answered if size > 0 => RunOutcome::Answered(Some(answer(size))),
+            Outcome::Answered => RunOutcome::Answered(None),
+            Outcome::NotRun(_) => RunOutcome::NotRun,
+            Outcome::Unknown(_) => RunOutcome::Unknown,
         };
-        let waiters = self.hosts[running.host].keys.end(&running.run, end);
+        let waiters = self.hosts[running.host].keys.complete(&running.run, end);
         for request in waiters.into_iter().chain([running.request]) {
             self.tell(request, outcome);
         }
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -1,4 +1,4 @@
-//! Which way a request goes: the rules one by one, then many hosts together.
+//! Routing rules of the engine one by one, then many hosts on random histories.
 
 #![allow(clippy::unwrap_used)]
 
@@ -19,15 +19,15 @@
 use ragwortfold::steer::attempt::Reason;
 use ragwortfold::steer::engine::{AttemptKind, Engine, Origin, RouteRequest, Verdict};
 use ragwortfold::steer::fingerprint::Fingerprint;
-use ragwortfold::steer::goal::{Standing, View};
+use ragwortfold::steer::goal::{View, ZoneStatus};
 use ragwortfold::steer::group::{End, Grant, Health, Report, State};
-use ragwortfold::steer::pass::Back;
+use ragwortfold::steer::relay_permit::PermitUsage;
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 use serde_json::{json, Value};
 
 /// Two zones in each of three regions, three hosts a zone, two targets with four slots.
-const PLACES: Size = Size {
+const TOPOLOGY: Size = Size {
     regions: 3,
     zones: 2,
     hosts: 3,
@@ -35,7 +35,7 @@
     targets: 2,
 };
 
-/// The host `r0-z0-h0`, and what it is told.
+/// The engine of host `r0-z0-h0` with the state that is published to it.
 struct Rig {
     engine: Engine,
     catalog: Arc<Catalog>,
@@ -52,13 +52,13 @@
 const ZONES: [&str; 6] = ["r0-z0", "r0-z1", "r1-z0", "r1-z1", "r2-z0", "r2-z1"];
 
 impl Rig {
-    /// All is alive, with free slots everywhere, and the first split is made.
+    /// All zones are alive with free slots, and the first split exists.
     fn new() -> Self {
         Self::with(|_| {})
     }
 
     fn with(change: impl FnOnce(&mut Value)) -> Self {
-        let mut value = configuration(PLACES);
+        let mut value = configuration(TOPOLOGY);
         change(&mut value);
         let catalog = Arc::new(lay(&Catalog::default(), value));
         let mut rig = Self {
@@ -74,12 +74,12 @@
         };
         for name in ZONES {
             let zone = zone(&rig.catalog, name);
-            rig.view.zones.insert(zone, Standing::Alive);
+            rig.view.zones.insert(zone, ZoneStatus::Alive);
             rig.view.slots.insert((service(&rig.catalog), zone), 8);
         }
         rig.configure();
-        rig.pass(2000);
-        rig.tell();
+        rig.advance_ms(2000);
+        rig.publish_state();
         rig
     }
 
@@ -89,30 +89,30 @@
     }
 
     fn reconfigure(&mut self, change: impl FnOnce(&mut Value)) {
-        let mut value = configuration(PLACES);
+        let mut value = configuration(TOPOLOGY);
         change(&mut value);
         self.catalog = Arc::new(lay(&self.catalog, value));
         self.configure();
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance_ms(&mut self, ms: u64) {
         self.now += Duration::from_millis(ms);
     }
 
-    fn tell(&mut self) {
+    fn publish_state(&mut self) {
         self.engine.set_live(self.now, self.live.clone());
-        self.tell_free();
+        self.publish_free_slots();
         self.engine.set_view(self.now, self.view.clone());
     }
 
-    fn tell_free(&mut self) {
+    fn publish_free_slots(&mut self) {
         let service = service(&self.catalog);
         let free = self.free.iter();
         let free = free.map(|(name, &free)| ((service, zone(&self.catalog, name)), free));
         self.engine.set_free_slots(free.collect());
     }
 
-    /// A first request of a caller in `r0`.
+    /// Builds a first attempt of a caller in `r0`.
     fn request(&mut self) -> RouteRequest {
         self.next += 1;
         RouteRequest {
@@ -130,50 +130,50 @@
         }
     }
 
-    fn ask(&mut self, ask: RouteRequest) -> Option<Verdict> {
-        self.engine.submit(self.now, ask, &mut self.rng)
+    fn submit(&mut self, request: RouteRequest) -> Option<Verdict> {
+        self.engine.submit(self.now, request, &mut self.rng)
     }
 
-    /// Where a changed request goes; it is over at once.
-    fn go(&mut self, change: impl FnOnce(&mut RouteRequest)) -> Way {
-        self.pass(self.step);
-        let mut ask = self.request();
-        change(&mut ask);
-        let id = ask.id;
-        match self.ask(ask) {
+    /// Sends a modified request, ends it immediately and returns its routing.
+    fn send(&mut self, change: impl FnOnce(&mut RouteRequest)) -> Routing {
+        self.advance_ms(self.step);
+        let mut request = self.request();
+        change(&mut request);
+        let id = request.id;
+        match self.submit(request) {
             Some(Verdict::Target { grant, .. }) => {
                 self.finish(grant);
-                Way::Target
+                Routing::Target
             }
             Some(Verdict::Host(pass)) => {
                 let zone = self.catalog.host(pass.host).zone;
                 let host = pass.host;
                 self.engine
-                    .finish_pass(self.now, &pass, Back::Nothing { bytes: 0 });
-                Way::Host(self.catalog.zone(zone).name.to_string(), host)
+                    .finish_relay(self.now, &pass, PermitUsage::Used { bytes: 0 });
+                Routing::Host(self.catalog.zone(zone).name.to_string(), host)
             }
             Some(Verdict::Refused(refusal)) => {
                 assert!(refusal.retry_after >= Duration::from_millis(250));
-                Way::Refused(refusal.reason)
+                Routing::Refused(refusal.reason)
             }
             None => {
                 self.engine.cancel(id);
-                Way::Wait
+                Routing::Wait
             }
         }
     }
 
-    /// Where many requests go, counted.
-    fn many(
+    /// Sends many requests and counts their routings.
+    fn send_many(
         &mut self,
         count: usize,
         change: impl Fn(&mut RouteRequest),
     ) -> BTreeMap<String, usize> {
-        let mut ways = BTreeMap::new();
+        let mut routings = BTreeMap::new();
         for _ in 0..count {
-            *ways.entry(self.go(&change).to_string()).or_default() += 1;
+            *routings.entry(self.send(&change).to_string()).or_default() += 1;
         }
-        ways
+        routings
     }
 
     fn finish(&mut self, grant: Grant) {
@@ -193,8 +193,8 @@
         site.map(|site| site.targets.clone()).unwrap_or_default()
     }
 
-    /// The own zone's targets take no more work.
-    fn lose_own(&mut self) {
+    /// Drains all targets of the own zone.
+    fn drain_own_targets(&mut self) {
         for target in self.own_targets() {
             self.engine
                 .set_health(self.now, target, Health::Down, Some(State::Draining));
@@ -213,16 +213,16 @@
     }
 }
 
-/// Where a request went.
+/// Routing of a request.
 #[derive(Debug, PartialEq)]
-enum Way {
+enum Routing {
     Target,
     Host(String, HostKey),
     Refused(Reason),
     Wait,
 }
 
-impl std::fmt::Display for Way {
+impl std::fmt::Display for Routing {
     fn fmt(&self, to: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Target => write!(to, "target"),
@@ -233,135 +233,135 @@
     }
 }
 
-fn count(ways: &BTreeMap<String, usize>, name: &str) -> usize {
-    ways.get(name).copied().unwrap_or_default()
+fn count(routings: &BTreeMap<String, usize>, name: &str) -> usize {
+    routings.get(name).copied().unwrap_or_default()
 }
 
-/// Names a test and its body.
+/// Defines tests by name and body.
 macro_rules! case {
     ($($name:ident: $body:expr;)*) => {$( #[test] fn $name() { $body } )*};
 }
 
 case! {
-    own_zone_goes_first_whatever_the_split_chooses: {
+    own_zone_is_preferred_over_the_split: {
         let mut rig = Rig::new();
         assert!(rig.split().share(zone(&rig.catalog, "r0-z1")) > 0.4);
-        assert_eq!(count(&rig.many(50, |_| {}), "target"), 50);
+        assert_eq!(count(&rig.send_many(50, |_| {}), "target"), 50);
     };
-    callers_of_another_region_go_where_their_split_says: {
+    callers_of_another_region_are_routed_by_their_split: {
         let mut rig = Rig::new();
         rig.step = 100;
         let r1 = region(&rig.catalog, "r1");
-        let ways = rig.many(20, |ask| ask.locality = r1);
-        assert_eq!(count(&ways, "r1-z0") + count(&ways, "r1-z1"), 20, "{ways:?}");
+        let routings = rig.send_many(20, |request| request.locality = r1);
+        assert_eq!(count(&routings, "r1-z0") + count(&routings, "r1-z1"), 20, "{routings:?}");
     };
-    requests_relayed_to_the_home_of_their_ticket_go_by_the_split: {
+    requests_relayed_to_the_host_of_their_ticket_are_routed_by_the_split: {
         let mut rig = Rig::new();
         rig.step = 100;
-        let own = rig.many(20, |_| {});
+        let own = rig.send_many(20, |_| {});
         assert_eq!(count(&own, "r0-z1"), 0, "{own:?}");
-        let home = rig.many(100, |ask| ask.origin = Origin::TicketRelay);
+        let home = rig.send_many(100, |request| request.origin = Origin::TicketRelay);
         let away = count(&home, "r0-z1");
         assert!((30..70).contains(&away), "{home:?}");
     };
     relayed_requests_never_leave_the_zone: {
         let mut rig = Rig::new();
-        rig.many(100, |_| {});
-        rig.lose_own();
-        let ways = rig.many(20, |ask| ask.origin = Origin::Host);
-        assert_eq!(count(&ways, "no-target"), 20, "{ways:?}");
+        rig.send_many(100, |_| {});
+        rig.drain_own_targets();
+        let routings = rig.send_many(20, |request| request.origin = Origin::Host);
+        assert_eq!(count(&routings, "no-target"), 20, "{routings:?}");
     };
     loss_of_all_own_targets_spills_under_the_failover_cap: {
         let mut rig = Rig::new();
-        rig.many(100, |_| {});
-        rig.lose_own();
-        let ways = rig.many(100, |_| {});
+        rig.send_many(100, |_| {});
+        rig.drain_own_targets();
+        let routings = rig.send_many(100, |_| {});
         // The sum of 1/n for n from 101 reaches 0.25 with the 28th.
-        assert_eq!(count(&ways, "r0-z1"), 28, "{ways:?}");
+        assert_eq!(count(&routings, "r0-z1"), 28, "{routings:?}");
     };
-    tried_targets_spill_under_the_planned_cap_counted_once: {
+    requests_that_tried_all_targets_spill_under_the_planned_cap_counted_once: {
         let mut rig = Rig::new();
-        rig.many(100, |_| {});
+        rig.send_many(100, |_| {});
         let tried = rig.own_targets();
-        let ways = rig.many(60, |ask| ask.targets = tried.clone());
+        let routings = rig.send_many(60, |request| request.targets = tried.clone());
         // The sum of 1/n for n from 101 reaches 0.05 with the fifth.
-        assert_eq!(count(&ways, "r0-z1"), 5, "{ways:?}");
+        assert_eq!(count(&routings, "r0-z1"), 5, "{routings:?}");
     };
-    targets_out_by_configuration_spill_under_the_planned_cap: {
+    targets_removed_by_configuration_spill_under_the_planned_cap: {
         let mut rig = Rig::new();
-        rig.many(100, |_| {});
+        rig.send_many(100, |_| {});
         rig.reconfigure(|value| value["availability_zones"]["r0-z0"]["state"] = json!("draining"));
         let before = rig.split();
         let moved = before.share(zone(&rig.catalog, "r0-z0"));
-        let ways = rig.many(60, |_| {});
+        let routings = rig.send_many(60, |_| {});
         assert!(moved > 0.4);
-        assert!(count(&ways, "r0-z1") <= 5, "{ways:?}");
+        assert!(count(&routings, "r0-z1") <= 5, "{routings:?}");
     };
-    another_region_must_be_known_to_have_room: {
+    another_region_needs_a_report_of_free_slots: {
         let mut rig = Rig::new();
-        rig.many(100, |_| {});
+        rig.send_many(100, |_| {});
         rig.free = [("r0-z1", 0)].into();
-        rig.tell_free();
-        rig.lose_own();
-        let ways = rig.many(10, |_| {});
-        assert_eq!(count(&ways, "no-target"), 10, "{ways:?}");
+        rig.publish_free_slots();
+        rig.drain_own_targets();
+        let routings = rig.send_many(10, |_| {});
+        assert_eq!(count(&routings, "no-target"), 10, "{routings:?}");
         rig.free.insert("r1-z0", 1);
-        rig.tell_free();
-        assert_eq!(count(&rig.many(10, |_| {}), "r1-z0"), 10);
+        rig.publish_free_slots();
+        assert_eq!(count(&rig.send_many(10, |_| {}), "r1-z0"), 10);
     };
-    sibling_not_known_to_be_full_will_do: {
+    zone_of_the_own_region_needs_no_report_of_free_slots: {
         let mut rig = Rig::new();
-        rig.many(100, |_| {});
+        rig.send_many(100, |_| {});
         rig.free.clear();
-        rig.tell_free();
-        rig.lose_own();
-        assert_eq!(count(&rig.many(10, |_| {}), "r0-z1"), 10);
+        rig.publish_free_slots();
+        rig.drain_own_targets();
+        assert_eq!(count(&rig.send_many(10, |_| {}), "r0-z1"), 10);
     };
-    refusal_by_the_ledger_gives_the_quota_back: {
+    refusal_by_the_move_budget_returns_the_quota: {
         let mut rig = Rig::new();
         rig.free.insert("r0-z1", 0);
-        rig.tell_free();
-        rig.lose_own();
+        rig.publish_free_slots();
+        rig.drain_own_targets();
         rig.engine.link_headroom(rig.now);
-        let ways = rig.many(2, |_| {});
-        assert_eq!(count(&ways, "no-target"), 2, "{ways:?}");
-        rig.pass(1000);
+        let routings = rig.send_many(2, |_| {});
+        assert_eq!(count(&routings, "no-target"), 2, "{routings:?}");
+        rig.advance_ms(1000);
         assert!(rig.engine.link_headroom(rig.now).values().all(|&room| room == 1.0));
-        assert_eq!(rig.engine.passes(), 0);
+        assert_eq!(rig.engine.outstanding_relays(), 0);
     };
-    spent_link_quota_refuses: {
+    exhausted_link_quota_refuses: {
         let mut rig = Rig::with(|value| value["links"]["r0-r1"]["requests_per_s"] = json!(1));
         let r1 = region(&rig.catalog, "r1");
-        rig.pass(20_000);
-        let ways = rig.many(20, |ask| ask.locality = r1);
-        assert_eq!(count(&ways, "r1-z0") + count(&ways, "r1-z1"), 1, "{ways:?}");
+        rig.advance_ms(20_000);
+        let routings = rig.send_many(20, |request| request.locality = r1);
+        assert_eq!(count(&routings, "r1-z0") + count(&routings, "r1-z1"), 1, "{routings:?}");
     };
-    hedge_neither_leaves_nor_waits: {
+    hedge_neither_leaves_the_zone_nor_queues: {
         let mut rig = Rig::new();
-        rig.many(100, |_| {});
+        rig.send_many(100, |_| {});
         let r1 = region(&rig.catalog, "r1");
-        assert_eq!(rig.go(|ask| { ask.kind = AttemptKind::Hedge; ask.locality = r1; }), Way::Target);
+        assert_eq!(rig.send(|request| { request.kind = AttemptKind::Hedge; request.locality = r1; }), Routing::Target);
         let tried = rig.own_targets();
-        let ways = rig.many(3, |ask| { ask.kind = AttemptKind::Hedge; ask.targets = tried.clone(); });
-        assert_eq!(count(&ways, "r0-z1") + count(&ways, "wait"), 0, "{ways:?}");
+        let routings = rig.send_many(3, |request| { request.kind = AttemptKind::Hedge; request.targets = tried.clone(); });
+        assert_eq!(count(&routings, "r0-z1") + count(&routings, "wait"), 0, "{routings:?}");
         let mut held = vec![];
         loop {
-            let ask = rig.request();
-            match rig.ask(ask) {
+            let request = rig.request();
+            match rig.submit(request) {
                 Some(Verdict::Target { grant, .. }) => held.push(grant),
                 _ => break,
             }
         }
-        assert!(matches!(rig.go(|ask| ask.kind = AttemptKind::Hedge), Way::Refused(_)));
+        assert!(matches!(rig.send(|request| request.kind = AttemptKind::Hedge), Routing::Refused(_)));
     };
     retry_goes_elsewhere_when_no_other_target_is_left: {
         let mut rig = Rig::new();
-        rig.many(100, |_| {});
+        rig.send_many(100, |_| {});
         let tried = rig.own_targets();
-        let other = rig.go(|ask| { ask.kind = AttemptKind::Retry; ask.targets = tried[..1].to_vec(); });
-        assert_eq!(other, Way::Target);
-        let none = rig.go(|ask| { ask.kind = AttemptKind::Retry; ask.targets = tried.clone(); });
-        assert!(matches!(none, Way::Host(zone, _) if zone == "r0-z1"));
+        let other = rig.send(|request| { request.kind = AttemptKind::Retry; request.targets = tried[..1].to_vec(); });
+        assert_eq!(other, Routing::Target);
+        let none = rig.send(|request| { request.kind = AttemptKind::Retry; request.targets = tried.clone(); });
+        assert!(matches!(none, Routing::Host(zone, _) if zone == "r0-z1"));
     };
     refused_relay_tries_one_more_host_of_the_zone_then_others: {
         let mut rig = Rig::new();
@@ -369,44 +369,44 @@
         let r1 = region(&rig.catalog, "r1");
         let hosts = rig.hosts_of("r1-z0");
         let block = (0..).find(|&block| {
-            let Way::Host(zone, _) = rig.go(|ask| { ask.locality = r1; ask.block = block; }) else {
+            let Routing::Host(zone, _) = rig.send(|request| { request.locality = r1; request.block = block; }) else {
                 return false;
             };
             zone == "r1-z0"
         });
-        rig.many(100, |ask| ask.locality = r1);
-        let mut ways = vec![];
+        rig.send_many(100, |request| request.locality = r1);
+        let mut routings = vec![];
         for tried in 1..3 {
-            let way = rig.go(|ask| {
-                ask.kind = AttemptKind::Retry;
-                ask.locality = r1;
-                ask.block = block.expect("a block");
-                ask.hosts = hosts[..tried].to_vec();
+            let routing = rig.send(|request| {
+                request.kind = AttemptKind::Retry;
+                request.locality = r1;
+                request.block = block.expect("a block");
+                request.hosts = hosts[..tried].to_vec();
             });
-            ways.push(way);
+            routings.push(routing);
         }
-        let Way::Host(first, host) = &ways[0] else { panic!("{ways:?}") };
+        let Routing::Host(first, host) = &routings[0] else { panic!("{routings:?}") };
         assert!(first == "r1-z0" && !hosts[..1].contains(host));
-        assert!(matches!(&ways[1], Way::Host(zone, _) if zone != "r1-z0"), "{ways:?}");
+        assert!(matches!(&routings[1], Routing::Host(zone, _) if zone != "r1-z0"), "{routings:?}");
     };
-    chosen_zone_without_live_hosts_is_left_under_the_failover_cap: {
+    chosen_zone_without_live_hosts_is_avoided_under_the_failover_cap: {
         let mut rig = Rig::new();
         rig.step = 100;
         let r1 = region(&rig.catalog, "r1");
         rig.step = 30;
-        rig.pass(20_000);
-        rig.many(100, |ask| ask.locality = r1);
+        rig.advance_ms(20_000);
+        rig.send_many(100, |request| request.locality = r1);
         for host in rig.hosts_of("r1-z0") {
             rig.live.remove(&host);
         }
         rig.engine.set_live(rig.now, rig.live.clone());
         rig.free = [("r0-z1", 8), ("r1-z1", 8)].into();
-        rig.tell_free();
-        let ways = rig.many(100, |ask| ask.locality = r1);
-        assert_eq!(count(&ways, "r1-z0"), 0);
-        let refused = count(&ways, "unreachable");
-        // Half of the requests look for another zone, and 0.25 of them all may go.
-        assert!(refused > 5 && refused < 35, "{ways:?}");
+        rig.publish_free_slots();
+        let routings = rig.send_many(100, |request| request.locality = r1);
+        assert_eq!(count(&routings, "r1-z0"), 0);
+        let refused = count(&routings, "unreachable");
+        // Half of the requests need another zone, and 0.25 of all requests may move.
+        assert!(refused > 5 && refused < 35, "{routings:?}");
     };
     draining_hosts_get_no_requests: {
         let mut rig = Rig::new();
@@ -419,80 +419,80 @@
         let r1 = region(&rig.catalog, "r1");
         let leaving: BTreeSet<HostKey> = rig.hosts_of("r1-z0")[..2].iter().copied().collect();
         for _ in 0..30 {
-            let way = rig.go(|ask| ask.locality = r1);
-            assert!(matches!(&way, Way::Host(_, host) if !leaving.contains(host)), "{way:?}");
+            let routing = rig.send(|request| request.locality = r1);
+            assert!(matches!(&routing, Routing::Host(_, host) if !leaving.contains(host)), "{routing:?}");
         }
     };
-    blocks_that_the_split_moved_follow_it_without_charge: {
+    blocks_that_the_split_moved_are_rerouted_without_charge: {
         let mut rig = Rig::new();
-        rig.many(100, |_| {});
+        rig.send_many(100, |_| {});
         let own = zone(&rig.catalog, "r0-z0");
         let before = rig.split();
-        rig.lose_own();
-        rig.pass(100);
-        rig.tell();
+        rig.drain_own_targets();
+        rig.advance_ms(100);
+        rig.publish_state();
         let after = rig.split();
         assert!(before.share(own) - after.share(own) > 0.2);
         let (mut moved, mut kept) = (0, 0);
         for block in 0..200 {
             let was = before.choose(block, |_| true) == Some(own);
             let is = after.choose(block, |_| true) == Some(own);
-            let way = rig.go(|ask| ask.block = block);
-            let left = matches!(way, Way::Host(..));
-            // The move took the whole budget, so that nothing is left for others.
+            let routing = rig.send(|request| request.block = block);
+            let left = matches!(routing, Routing::Host(..));
+            // The move used the whole budget, so no other block may leave.
             assert_eq!(left, was && !is, "{block}");
             moved += usize::from(left);
             kept += usize::from(was && is);
         }
         assert!(moved > 20 && kept > 20);
     };
-    once_the_split_has_left_a_lost_zone_all_follow: {
+    all_requests_follow_a_split_that_left_a_lost_zone: {
         let mut rig = Rig::new();
-        rig.lose_own();
+        rig.drain_own_targets();
         for _ in 0..10 {
-            rig.pass(5000);
-            rig.tell();
+            rig.advance_ms(5000);
+            rig.publish_state();
         }
         assert_eq!(rig.split().share(zone(&rig.catalog, "r0-z0")), 0.0);
-        assert_eq!(count(&rig.many(100, |_| {}), "r0-z1"), 100);
+        assert_eq!(count(&rig.send_many(100, |_| {}), "r0-z1"), 100);
     };
-    quiet_service_may_retry_within_the_floor: {
+    idle_service_may_retry_within_the_floor: {
         let mut rig = Rig::new();
-        let ways = rig.many(4, |ask| ask.kind = AttemptKind::Retry);
-        assert_eq!((count(&ways, "target"), count(&ways, "limited")), (3, 1), "{ways:?}");
+        let routings = rig.send_many(4, |request| request.kind = AttemptKind::Retry);
+        assert_eq!((count(&routings, "target"), count(&routings, "limited")), (3, 1), "{routings:?}");
     };
-    changed_retry_share_is_in_force: {
+    changed_retry_share_applies: {
         let mut rig = Rig::new();
-        rig.many(100, |_| {});
+        rig.send_many(100, |_| {});
         rig.reconfigure(|value| value["limits"]["retry_share"] = json!(0.5));
-        let ways = rig.many(60, |ask| ask.kind = AttemptKind::Retry);
-        assert_eq!(count(&ways, "target"), 53, "{ways:?}");
+        let routings = rig.send_many(60, |request| request.kind = AttemptKind::Retry);
+        assert_eq!(count(&routings, "target"), 53, "{routings:?}");
     };
-    nothing_leaves_before_the_first_split: {
+    no_request_leaves_the_zone_before_the_first_split: {
         let mut rig = Rig::new();
         rig.engine = Engine::new(&Steer::default(), 2);
         rig.configure();
-        rig.tell();
-        assert_eq!(count(&rig.many(20, |_| {}), "target"), 20);
-        rig.lose_own();
-        assert_eq!(count(&rig.many(20, |_| {}), "no-target"), 20);
+        rig.publish_state();
+        assert_eq!(count(&rig.send_many(20, |_| {}), "target"), 20);
+        rig.drain_own_targets();
+        assert_eq!(count(&rig.send_many(20, |_| {}), "no-target"), 20);
     };
-    host_that_adopted_its_split_waits_a_window: {
+    host_that_adopted_its_split_waits_for_a_window: {
         let mut rig = Rig::new();
         let splits = rig.engine.splits();
         rig.engine = Engine::new(&Steer::default(), 2);
         rig.configure();
         rig.engine.adopt_splits(rig.now, splits);
-        rig.pass(2000);
-        rig.tell();
-        rig.many(100, |_| {});
-        rig.lose_own();
-        assert_eq!(count(&rig.many(20, |_| {}), "no-target"), 20);
+        rig.advance_ms(2000);
+        rig.publish_state();
+        rig.send_many(100, |_| {});
+        rig.drain_own_targets();
+        assert_eq!(count(&rig.send_many(20, |_| {}), "no-target"), 20);
     };
 }
 
-/// What happens to places that all work: only the configuration moves traffic.
-fn quiet() -> impl Strategy<Value = Event> {
+/// Events without faults: only the configuration moves traffic.
+fn event_without_faults() -> impl Strategy<Value = Event> {
     prop_oneof![
         6 => (1u8..250).prop_map(Event::Run),
         1 => any::<u8>().prop_map(Event::Restart),
@@ -503,15 +503,15 @@
     ]
 }
 
-fn faulty() -> impl Strategy<Value = Event> {
+fn event_with_faults() -> impl Strategy<Value = Event> {
     prop_oneof![
-        6 => quiet(),
+        6 => event_without_faults(),
         2 => any::<u8>().prop_map(Event::Cut),
         2 => any::<u8>().prop_map(Event::Lose),
     ]
 }
 
-fn play(seed: u64, events: Vec<Event>) {
+fn run_history(seed: u64, events: Vec<Event>) {
     let mut fleet = Fleet::new(seed);
     for event in events {
         fleet.apply(event);
@@ -519,67 +519,67 @@
     fleet.conclude();
 }
 
-const POISON: Fingerprint = Fingerprint(7 << 40);
+const CRASHING: Fingerprint = Fingerprint(7 << 40);
 
-/// A rig at which a request broke off at so many targets, one after the other.
-fn rig_with_poison(crashes: usize) -> Rig {
+/// Returns a rig in which a request crashed `crashes` targets, one after the other.
+fn rig_with_crashes(crashes: usize) -> Rig {
     let mut rig = Rig::new();
     for number in 0..crashes {
         let begun = rig.now;
-        rig.pass(400);
+        rig.advance_ms(400);
         let targets = rig.own_targets();
         let target = targets[number % targets.len()];
-        rig.engine.record_crash(rig.now, POISON, target, begun);
-        rig.pass(1000);
+        rig.engine.record_crash(rig.now, CRASHING, target, begun);
+        rig.advance_ms(1000);
     }
     rig
 }
 
-/// A try of such a request, by how many targets it crashed before and what kind of try it is.
-macro_rules! poison {
-    ($($name:ident: $crashes:expr, $kind:expr, $origin:expr => $way:expr;)*) => {$(
+/// Defines tests by the number of targets that the request crashed, the kind of its attempt, its origin and the expected routing.
+macro_rules! crashing_request {
+    ($($name:ident: $crashes:expr, $kind:expr, $origin:expr => $routing:expr;)*) => {$(
         #[test]
         fn $name() {
-            let way = rig_with_poison($crashes).go(|ask| {
-                ask.fingerprint = POISON;
-                ask.kind = $kind;
-                ask.origin = $origin;
+            let routing = rig_with_crashes($crashes).send(|request| {
+                request.fingerprint = CRASHING;
+                request.kind = $kind;
+                request.origin = $origin;
             });
-            assert_eq!(way.to_string(), $way);
+            assert_eq!(routing.to_string(), $routing);
         }
     )*};
 }
 
-poison! {
-    one_crash_leaves_repeats: 1, AttemptKind::Retry, Origin::Caller => "target";
-    a_suspected_request_is_not_repeated: 2, AttemptKind::Retry, Origin::Caller => "quarantined";
-    nor_is_a_copy_of_it_sent: 2, AttemptKind::Hedge, Origin::Caller => "quarantined";
-    it_is_sent_once: 2, AttemptKind::First, Origin::Caller => "target";
-    a_third_crash_ends_that: 3, AttemptKind::First, Origin::Caller => "quarantined";
-    relayed_ones_are_refused_too: 3, AttemptKind::First, Origin::Host => "quarantined";
+crashing_request! {
+    one_crash_allows_retries: 1, AttemptKind::Retry, Origin::Caller => "target";
+    suspected_request_is_not_retried: 2, AttemptKind::Retry, Origin::Caller => "quarantined";
+    suspected_request_is_not_hedged: 2, AttemptKind::Hedge, Origin::Caller => "quarantined";
+    suspected_request_is_sent_once: 2, AttemptKind::First, Origin::Caller => "target";
+    third_crash_quarantines_the_request: 3, AttemptKind::First, Origin::Caller => "quarantined";
+    relayed_quarantined_request_is_refused: 3, AttemptKind::First, Origin::Host => "quarantined";
 }
 
 #[test]
-fn of_a_suspected_request_one_is_under_way_at_a_time() {
-    let mut rig = rig_with_poison(2);
+fn suspected_requests_are_sent_one_at_a_time() {
+    let mut rig = rig_with_crashes(2);
     let ask = |rig: &mut Rig| {
-        let mut ask = rig.request();
-        ask.fingerprint = POISON;
-        (ask.id, rig.ask(ask))
+        let mut request = rig.request();
+        request.fingerprint = CRASHING;
+        (request.id, rig.submit(request))
     };
     let (first, verdict) = ask(&mut rig);
     assert!(matches!(verdict, Some(Verdict::Target { .. })));
     let (second, verdict) = ask(&mut rig);
     assert!(verdict.is_none());
-    rig.pass(100);
+    rig.advance_ms(100);
     assert!(rig.engine.tick(rig.now, &mut rig.rng).is_empty());
     rig.engine.release_suspect_permit(first);
     let decisions = rig.engine.tick(rig.now, &mut rig.rng);
     assert!(matches!(&decisions[..], [(id, Verdict::Target { .. })] if *id == second));
     let (_, verdict) = ask(&mut rig);
     assert!(verdict.is_none());
-    // Not known for long: it is sent.
-    rig.pass(600);
+    // After the wait for the quarantine's decision, the request is sent.
+    rig.advance_ms(600);
     assert_eq!(rig.engine.tick(rig.now, &mut rig.rng).len(), 1);
 }
 
@@ -593,12 +593,12 @@
     })]
 
     #[test]
-    fn hosts_together_keep_every_limit(seed in any::<u64>(), events in vec(faulty(), 20..40)) {
-        play(seed, events);
+    fn all_hosts_together_keep_every_limit(seed in any::<u64>(), events in vec(event_with_faults(), 20..40)) {
+        run_history(seed, events);
     }
 
     #[test]
-    fn without_faults_the_planned_cap_holds(seed in any::<u64>(), events in vec(quiet(), 20..40)) {
-        play(seed, events);
+    fn without_faults_the_planned_cap_holds(seed in any::<u64>(), events in vec(event_without_faults(), 20..40)) {
+        run_history(seed, events);
     }
 }
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -8,9 +8,9 @@
 use ragwortfold::catalog::{Catalog, HostKey, RegionKey, ServiceKey, TargetKey, ZoneKey};
 use ragwortfold::steer::engine::{AttemptKind, Decision, Engine, Origin, RouteRequest, Verdict};
 use ragwortfold::steer::fingerprint::Fingerprint;
-use ragwortfold::steer::goal::{Standing, View};
+use ragwortfold::steer::goal::{View, ZoneStatus};
 use ragwortfold::steer::group::{End, Grant, Health, Report, State};
-use ragwortfold::steer::pass::{Back, Pass};
+use ragwortfold::steer::relay_permit::{PermitUsage, RelayPermit};
 use ragwortfold::steer::split::Split;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -66,7 +66,7 @@
 struct Upstream {
     host: usize,
     incarnation: u64,
-    pass: Pass,
+    pass: RelayPermit,
     ask: RouteRequest,
 }
 
@@ -328,7 +328,11 @@
         let mut free = BTreeMap::new();
         for &zone in &self.zones {
             let cut = self.cut.contains(&zone);
-            let standing = if cut { Standing::Lost } else { Standing::Alive };
+            let standing = if cut {
+                ZoneStatus::Lost
+            } else {
+                ZoneStatus::Alive
+            };
             view.zones.insert(zone, standing);
             let site = self.catalog.site(service, zone);
             let slots = site.map_or(0, |site| site.slots);
@@ -411,7 +415,7 @@
         }
     }
 
-    fn relay(&mut self, at: usize, open: Open, pass: Pass) {
+    fn relay(&mut self, at: usize, open: Open, pass: RelayPermit) {
         let node = &mut self.nodes[at];
         assert_eq!(open.ask.origin, Origin::Caller, "a relayed request left");
         assert!(node.live.contains(&pass.host));
@@ -426,7 +430,7 @@
         );
         let mut ask = open.ask;
         if self.cut.contains(&to) != self.cut.contains(&self.nodes[at].zone) {
-            self.hand_back(at, &pass, Back::All);
+            self.hand_back(at, &pass, PermitUsage::Unused);
             ask.hosts.push(pass.host);
             return self.retry(at, ask);
         }
@@ -456,10 +460,10 @@
         self.submit(there.expect("a host"), open);
     }
 
-    fn hand_back(&mut self, at: usize, pass: &Pass, back: Back) {
+    fn hand_back(&mut self, at: usize, pass: &RelayPermit, back: PermitUsage) {
         let node = &mut self.nodes[at];
         node.passes -= 1;
-        node.engine.finish_pass(self.now, pass, back);
+        node.engine.finish_relay(self.now, pass, back);
     }
 
     /// A request is over without an answer; a relayed one may go elsewhere.
@@ -468,7 +472,7 @@
             self.ended += 1;
             return;
         };
-        self.hand_back(from.host, &from.pass, Back::Nothing { bytes: 0 });
+        self.hand_back(from.host, &from.pass, PermitUsage::Used { bytes: 0 });
         let mut ask = from.ask;
         ask.hosts.push(from.pass.host);
         self.retry(from.host, ask);
@@ -523,7 +527,7 @@
                 self.retry(at, ask);
             }
             (None, Some(from)) if self.is_there(&from) => {
-                self.hand_back(from.host, &from.pass, Back::Nothing { bytes: 200 });
+                self.hand_back(from.host, &from.pass, PermitUsage::Used { bytes: 200 });
                 self.ended += 1;
             }
             (None, _) => self.ended += 1,
@@ -536,7 +540,7 @@
         let node = &mut self.nodes[at];
         for (key, split) in node.engine.splits() {
             let before = node.splits.insert(key, split.clone());
-            let share = before.map_or(0.0, |before| before.moved(&split));
+            let share = before.map_or(0.0, |before| before.moved_share(&split));
             if share > 0.0 {
                 let moved = node.moved.entry(key.1).or_default();
                 moved.push(Moved { at: now, share });
@@ -590,7 +594,7 @@
         let group = node.engine.group(service(&self.catalog));
         let in_flight = group.map_or(0, |group| group.headroom().in_flight);
         assert_eq!(in_flight as usize, node.work.len());
-        assert_eq!(node.engine.passes(), node.passes);
+        assert_eq!(node.engine.outstanding_relays(), node.passes);
     }
 
     /// Lets all requests come to their end, then looks at the whole.
