--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -11,7 +11,8 @@
 use proptest::test_runner::{RngSeed, TestRunner};
 use ragwortfold::catalog::{Catalog, HostKey};
 use ragwortfold::steer::quota::{
-    inside, outside, part, Loan, Pool, Quota, Serial, DRIFT, MAX_GIVEN,
+    hosts_inside, hosts_outside, static_part, Loan, Pool, Quota, Serial, MAX_CLOCK_DRIFT,
+    MAX_RELEASE_TIME,
 };
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -33,15 +34,15 @@
     let mut value = configuration(SMALL);
     value["hosts"]["r1-z0-h0"]["state"] = serde_json::json!("off");
     let catalog = lay(&Catalog::default(), value);
-    assert_eq!(outside(&catalog, region(&catalog, "r0")), 7);
-    assert_eq!(inside(&catalog, region(&catalog, "r0")), 4);
-    assert!((part(400.0, 0.8, 7) * 7.0 - 320.0).abs() < 1e-9);
+    assert_eq!(hosts_outside(&catalog, region(&catalog, "r0")), 7);
+    assert_eq!(hosts_inside(&catalog, region(&catalog, "r0")), 4);
+    assert!((static_part(400.0, 0.8, 7) * 7.0 - 320.0).abs() < 1e-9);
 }
 
 #[test]
 fn a_fraction_of_a_request_a_second_is_saved_up() {
     let base = Instant::now();
-    let mut quota = Quota::new(part(320.0, 0.8, 680), base, 1);
+    let mut quota = Quota::new(static_part(320.0, 0.8, 680), base, 1);
     let refusal = quota.take(base, 1.0).unwrap_err();
     assert!((refusal.retry_after.as_secs_f64() - 680.0 / 256.0).abs() < 1e-6);
     assert_eq!(taken(&mut quota, base, 0, 680), 255);
@@ -56,7 +57,7 @@
     assert_eq!(quota.take(at(base, 1.0), 8000.0), Ok(()));
     let refusal = quota.take(at(base, 2.0), 100.0).unwrap_err();
     assert!((refusal.retry_after.as_secs_f64() - 7.0).abs() < 1e-6);
-    quota.put_back(at(base, 2.0), 8000.0);
+    quota.refund(at(base, 2.0), 8000.0);
     assert_eq!(quota.take(at(base, 2.0), 100.0), Ok(()));
     assert!(
         quota.take(at(base, 2.0), 1.0).is_err(),
@@ -72,14 +73,17 @@
         rate: 90.0,
         lifetime: 10 * SECOND,
     };
-    let late = quota.request(base);
+    let late = quota.request_bonus(base);
     assert!(
-        !quota.grant(at(base, 10.0), late, loan),
+        !quota.accept_bonus(at(base, 10.0), late, loan),
         "granted after its time"
     );
-    let request = quota.request(at(base, 10.0));
-    assert!(quota.grant(at(base, 14.0), request, loan));
-    assert!(!quota.grant(at(base, 15.0), request, loan), "granted twice");
+    let request = quota.request_bonus(at(base, 10.0));
+    assert!(quota.accept_bonus(at(base, 14.0), request, loan));
+    assert!(
+        !quota.accept_bonus(at(base, 15.0), request, loan),
+        "granted twice"
+    );
     assert_eq!(quota.rate(at(base, 19.9)), 100.0);
     assert_eq!(quota.rate(at(base, 20.0)), 10.0);
     assert!(taken(&mut quota, base, 14, 114) <= 6 * 100 + 94 * 10 + 1);
@@ -88,7 +92,7 @@
         count: 3,
     };
     assert!(
-        !quota.grant(at(base, 115.0), foreign, loan),
+        !quota.accept_bonus(at(base, 115.0), foreign, loan),
         "granted to another incarnation"
     );
 }
@@ -97,13 +101,13 @@
 fn a_given_part_is_not_used_and_half_is_kept() {
     let base = Instant::now();
     let mut quota = Quota::new(10.0, base, 1);
-    assert_eq!(quota.give(base, 100.0, 10 * SECOND), 5.0);
-    assert_eq!(quota.give(at(base, 1.0), 100.0, 10 * SECOND), 0.0);
+    assert_eq!(quota.release(base, 100.0, 10 * SECOND), 5.0);
+    assert_eq!(quota.release(at(base, 1.0), 100.0, 10 * SECOND), 0.0);
     assert!(taken(&mut quota, base, 0, 10) <= 51);
     assert_eq!(quota.rate(at(base, 10.0)), 10.0);
     let restarted = Quota::with_start(10.0, base, 2);
-    assert_eq!(restarted.rate(base + MAX_GIVEN), 5.0);
-    assert_eq!(restarted.rate(base + 2 * MAX_GIVEN), 10.0);
+    assert_eq!(restarted.rate(base + MAX_RELEASE_TIME), 5.0);
+    assert_eq!(restarted.rate(base + 2 * MAX_RELEASE_TIME), 10.0);
 }
 
 #[test]
@@ -112,13 +116,13 @@
     let catalog = catalog(SMALL);
     let keys: Vec<HostKey> = hosts(&catalog).into_values().collect();
     let mut pool = Pool::new(1);
-    let question = pool.ask(base);
-    assert!(pool.give(base, question, keys[0], 5.0, 10 * SECOND));
+    let question = pool.ask_holders(base);
+    assert!(pool.accept_offer(base, question, keys[0], 5.0, 10 * SECOND));
     assert!(
-        !pool.give(base, question, keys[0], 5.0, 10 * SECOND),
+        !pool.accept_offer(base, question, keys[0], 5.0, 10 * SECOND),
         "answered twice"
     );
-    assert!(!pool.give(
+    assert!(!pool.accept_offer(
         base,
         Serial {
             issuer: 2,
@@ -128,8 +132,8 @@
         5.0,
         10 * SECOND
     ));
-    assert!(pool.give(base, question, keys[1], 2.0, 10 * SECOND));
-    assert_eq!(pool.free(base, 4 * SECOND), 7.0);
+    assert!(pool.accept_offer(base, question, keys[1], 2.0, 10 * SECOND));
+    assert_eq!(pool.lendable(base, 4 * SECOND), 7.0);
     assert_eq!(pool.lend(base, 6.0, 4 * SECOND).unwrap().rate, 6.0);
     assert_eq!(pool.lend(base, 6.0, 4 * SECOND).unwrap().rate, 1.0);
     assert_eq!(pool.lend(at(base, 4.0), 6.0, 4 * SECOND), None);
@@ -187,7 +191,7 @@
 impl Fleet {
     fn new(rates: &[f64]) -> Self {
         let base = Instant::now();
-        let part = part(LIMIT, 0.8, HOLDERS);
+        let part = static_part(LIMIT, 0.8, HOLDERS);
         Self {
             base,
             keys: hosts(&catalog(SMALL)).into_values().collect(),
@@ -223,14 +227,14 @@
         match step.kind {
             0..=2 => {
                 let now = self.clock(HOLDERS + planner, real);
-                let question = self.pools[planner].ask(now);
+                let question = self.pools[planner].ask_holders(now);
                 for holder in 0..HOLDERS {
                     self.send(real, step, Message::Ask(planner, holder, question));
                 }
             }
             3..=6 => {
                 let now = self.clock(holder, real);
-                let request = self.quotas[holder].request(now);
+                let request = self.quotas[holder].request_bonus(now);
                 self.send(
                     real,
                     step,
@@ -241,7 +245,7 @@
             8 => {
                 self.issued += 1;
                 let now = self.clock(holder, real);
-                let part = part(LIMIT, 0.8, HOLDERS);
+                let part = static_part(LIMIT, 0.8, HOLDERS);
                 self.quotas[holder] = Quota::with_start(part, now, self.issued);
             }
             _ => {
@@ -257,7 +261,7 @@
             Message::Ask(planner, holder, question) => {
                 let now = self.clock(holder, real);
                 let lifetime = 2 * lifetime;
-                let rate = self.quotas[holder].give(now, 8.0, lifetime);
+                let rate = self.quotas[holder].release(now, 8.0, lifetime);
                 let given = Loan { rate, lifetime };
                 self.send(
                     real,
@@ -268,7 +272,7 @@
             Message::Answer(planner, holder, question, given) => {
                 let now = self.clock(HOLDERS + planner, real);
                 let key = self.keys[holder];
-                self.pools[planner].give(now, question, key, given.rate, given.lifetime);
+                self.pools[planner].accept_offer(now, question, key, given.rate, given.lifetime);
             }
             Message::Request(planner, holder, request) => {
                 let now = self.clock(HOLDERS + planner, real);
@@ -278,7 +282,7 @@
             }
             Message::Grant(holder, request, loan) => {
                 let now = self.clock(holder, real);
-                if self.quotas[holder].grant(now, request, loan) {
+                if self.quotas[holder].accept_bonus(now, request, loan) {
                     self.lent += loan.rate;
                 }
             }
@@ -328,7 +332,10 @@
 
 #[test]
 fn usable_quotas_never_exceed_the_limit() {
-    let rates = prop::collection::vec(1.0 - DRIFT..1.0 + DRIFT, HOLDERS + PLANNERS);
+    let rates = prop::collection::vec(
+        1.0 - MAX_CLOCK_DRIFT..1.0 + MAX_CLOCK_DRIFT,
+        HOLDERS + PLANNERS,
+    );
     let config = ProptestConfig {
         cases: 60,
         rng_seed: RngSeed::Fixed(4),
--- a/tests/shift.rs
+++ b/tests/shift.rs
@@ -12,7 +12,7 @@
 use proptest::prelude::*;
 
 use ragwortfold::catalog::{Cap, Catalog};
-use ragwortfold::steer::shift::{Caps, Decision, Kind, Ledger, Shift};
+use ragwortfold::steer::shift::{Caps, MoveBudget, MoveKind, SpillDecision, SplitController};
 use ragwortfold::steer::split::Split;
 
 const SLACK: f64 = 1e-6;
@@ -52,14 +52,14 @@
     /// A step of a plan arrives, perhaps late; others never do.
     Plan(Vec<f64>),
     /// The host acts on what it has.
-    Tick(Kind),
+    Tick(MoveKind),
     /// The process is replaced, and takes what its peers knew of its split.
     Restart,
 }
 
 fn event() -> impl Strategy<Value = Event> {
     let weights = prop::collection::vec(prop_oneof![1 => Just(0.0), 3 => 0.01..1.0], 6);
-    let kind = prop_oneof![3 => Just(Kind::Planned), 1 => Just(Kind::Failover)];
+    let kind = prop_oneof![3 => Just(MoveKind::Planned), 1 => Just(MoveKind::Failover)];
     prop_oneof![
         2 => weights.prop_map(Event::Plan),
         6 => kind.prop_map(Event::Tick),
@@ -82,7 +82,7 @@
         let total: f64 = traffic.iter().sum();
         let base = Instant::now();
         let start = of_weights(&catalog, &[1.0, 1.0]);
-        let mut hosts = vec![(Shift::new(start.clone()), start); traffic.len()];
+        let mut hosts = vec![(SplitController::new(start.clone()), start); traffic.len()];
         let (mut all, mut planned) = (Vec::new(), Vec::new());
         let mut now = base;
         for (at, gap, event) in events {
@@ -91,12 +91,12 @@
             let before = shift.current().clone();
             match event {
                 Event::Plan(weights) => *goal = of_weights(&catalog, &weights),
-                Event::Restart => *shift = Shift::with_current(before, now),
+                Event::Restart => *shift = SplitController::with_current(before, now),
                 Event::Tick(kind) => {
                     shift.advance(now, goal, kind, &caps);
-                    let moved = before.moved(shift.current()) * traffic[at] / total;
+                    let moved = before.moved_share(shift.current()) * traffic[at] / total;
                     all.push((now, moved));
-                    planned.extend((kind == Kind::Planned).then_some((now, moved)));
+                    planned.extend((kind == MoveKind::Planned).then_some((now, moved)));
                 }
             }
         }
@@ -123,7 +123,7 @@
         let mut now = Instant::now();
         let mut cap = cap(0.1, 20);
         let mut goal = of_weights(&catalog, &[1.0]);
-        let mut shift = Shift::new(goal.clone());
+        let mut shift = SplitController::new(goal.clone());
         let (mut drawn, mut spills, mut requests) = (Vec::new(), Vec::new(), Vec::new());
         for (gap, calls, event, change) in acts {
             now += Duration::from_millis(gap);
@@ -135,10 +135,10 @@
             }
             for _ in 0..calls {
                 now += Duration::from_millis(1);
-                shift.ledger().request(now);
+                shift.budget_mut().record_request(now);
                 requests.push((now, 1.0));
                 let recent = worst_at(&requests, now, cap.window);
-                if shift.ledger().spill(now, cap) == Decision::Spill {
+                if shift.budget_mut().try_spill(now, cap) == SpillDecision::Spill {
                     drawn.push((now, 1.0 / recent));
                     spills.push((now, 1.0));
                     let spilled = worst_at(&spills, now, cap.window) / recent;
@@ -147,7 +147,7 @@
                     prop_assert!(moved <= cap.share + SLACK, "{} spilled and moved", moved);
                 }
             }
-            let moved = shift.advance(now, &goal, Kind::Planned, &caps(cap, cap));
+            let moved = shift.advance(now, &goal, MoveKind::Planned, &caps(cap, cap));
             drawn.push((now, moved));
             prop_assert!(moved == 0.0 || worst_at(&drawn, now, cap.window) <= cap.share + SLACK);
         }
@@ -173,9 +173,9 @@
     );
     let caps = caps(cap(0.05, 60), cap(0.25, 10));
     let base = Instant::now();
-    let mut shift = Shift::new(one);
+    let mut shift = SplitController::new(one);
     let moved: f64 = (0..6000)
-        .map(|tick| shift.advance(after(base, tick * 100), &other, Kind::Planned, &caps))
+        .map(|tick| shift.advance(after(base, tick * 100), &other, MoveKind::Planned, &caps))
         .sum();
     assert!(moved > 0.05 * 9.0, "{moved} in ten windows");
 }
@@ -189,36 +189,36 @@
     );
     let caps = caps(cap(0.05, 60), cap(0.25, 10));
     let base = Instant::now();
-    let mut shift = Shift::new(one);
+    let mut shift = SplitController::new(one);
     let mut step = |ms, kind| shift.advance(after(base, ms), &other, kind, &caps);
     let near =
         |moved: f64, share: f64| assert!((moved - share).abs() < SLACK, "{moved} for {share}");
-    near(step(0, Kind::Planned), 0.05);
-    near(step(100, Kind::Planned), 0.0);
-    near(step(200, Kind::Failover), 0.2);
-    near(step(9_000, Kind::Failover), 0.0);
-    near(step(11_000, Kind::Failover), 0.25);
-    near(step(60_500, Kind::Planned), 0.0);
+    near(step(0, MoveKind::Planned), 0.05);
+    near(step(100, MoveKind::Planned), 0.0);
+    near(step(200, MoveKind::Failover), 0.2);
+    near(step(9_000, MoveKind::Failover), 0.0);
+    near(step(11_000, MoveKind::Failover), 0.25);
+    near(step(60_500, MoveKind::Planned), 0.0);
 }
 
 #[test]
 fn a_lower_cap_holds_at_once_and_a_longer_window_remembers() {
     let base = Instant::now();
-    let mut ledger = Ledger::new();
-    ledger.add(base, 0.2);
-    assert!(ledger.room(after(base, 1), cap(0.3, 10)) > 0.09);
-    assert_eq!(ledger.room(after(base, 2), cap(0.1, 10)), 0.0);
-    assert!(ledger.room(after(base, 20_000), cap(0.3, 10)) > 0.29);
-    assert!(ledger.room(after(base, 20_001), cap(0.3, 60)) < 0.11);
+    let mut ledger = MoveBudget::new();
+    ledger.record_move(base, 0.2);
+    assert!(ledger.available(after(base, 1), cap(0.3, 10)) > 0.09);
+    assert_eq!(ledger.available(after(base, 2), cap(0.1, 10)), 0.0);
+    assert!(ledger.available(after(base, 20_000), cap(0.3, 10)) > 0.29);
+    assert!(ledger.available(after(base, 20_001), cap(0.3, 60)) < 0.11);
 }
 
 #[test]
 fn a_ledger_stays_small_over_a_busy_day() {
     let base = Instant::now();
-    let mut ledger = Ledger::new();
+    let mut ledger = MoveBudget::new();
     for tick in 0..2 * 24 * 3600 {
-        ledger.request(after(base, tick * 1000));
-        ledger.add(after(base, tick * 1000 + 30), 1e-6);
+        ledger.record_request(after(base, tick * 1000));
+        ledger.record_move(after(base, tick * 1000 + 30), 1e-6);
     }
     assert!(ledger.len() < 600, "{} buckets", ledger.len());
 }
@@ -232,15 +232,15 @@
     );
     let caps = caps(cap(0.05, 60), cap(0.25, 10));
     let base = Instant::now();
-    let mut shift = Shift::new(normal.clone());
+    let mut shift = SplitController::new(normal.clone());
     let came_back = zone(&catalog, "r0-z0");
     for tick in 0..300 {
-        shift.advance(after(base, tick * 100), &lost, Kind::Failover, &caps);
+        shift.advance(after(base, tick * 100), &lost, MoveKind::Failover, &caps);
     }
     assert_eq!(shift.current().share(came_back), 0.0);
     let mut share = 0.0;
     for tick in 300..20_000 {
-        shift.advance(after(base, tick * 100), &normal, Kind::Planned, &caps);
+        shift.advance(after(base, tick * 100), &normal, MoveKind::Planned, &caps);
         let next = shift.current().share(came_back);
         assert!(share <= next && next <= 0.5);
         share = next;
@@ -253,12 +253,12 @@
     let catalog = catalog(SMALL);
     let goal = of_weights(&catalog, &[0.5, 0.5]);
     let caps = caps(cap(0.05, 60), cap(0.25, 10));
-    let mut shift = Shift::new(Split::default());
+    let mut shift = SplitController::new(Split::default());
     assert_eq!(
-        shift.advance(Instant::now(), &goal, Kind::Planned, &caps),
+        shift.advance(Instant::now(), &goal, MoveKind::Planned, &caps),
         0.0
     );
     assert_eq!(shift.current(), &goal);
-    shift.advance(Instant::now(), &Split::default(), Kind::Failover, &caps);
+    shift.advance(Instant::now(), &Split::default(), MoveKind::Failover, &caps);
     assert_eq!(shift.current(), &goal);
 }
--- a/tests/split.rs
+++ b/tests/split.rs
@@ -12,8 +12,8 @@
 use proptest::prelude::*;
 
 use ragwortfold::catalog::Catalog;
-use ragwortfold::steer::goal::{goal, Goal, Hold, Standing, View};
-use ragwortfold::steer::shift::Kind;
+use ragwortfold::steer::goal::{compute_goal, FlapDamping, Goal, View, ZoneStatus};
+use ragwortfold::steer::shift::MoveKind;
 use ragwortfold::steer::split::Split;
 
 const BLOCKS: u64 = 40_000;
@@ -61,9 +61,11 @@
         prop_assume!(!from.is_empty() && !to.is_empty());
         let distance = from.distance(&to);
         let most = 2.0 * distance / (1.0 + distance);
-        prop_assert!(distance - 1e-9 <= from.moved(&to) && from.moved(&to) <= most + 1e-9);
-        let next = from.toward(&to, by);
-        let moved = from.moved(&next);
+        prop_assert!(
+            distance - 1e-9 <= from.moved_share(&to) && from.moved_share(&to) <= most + 1e-9
+        );
+        let next = from.step_toward(&to, by);
+        let moved = from.moved_share(&next);
         prop_assert!(moved <= by + 1e-9);
         prop_assert!(
             next == to || (moved - by).abs() < 1e-6,
@@ -93,7 +95,7 @@
     let from = of_weights(&catalog, &[0.3, 0.3, 0.2, 0.2]);
     let to = of_weights(&catalog, &[0.0, 0.3, 0.2, 0.2]);
     let left = zone(&catalog, "r0-z0");
-    assert!((from.moved(&to) - 0.3).abs() < 1e-9);
+    assert!((from.moved_share(&to) - 0.3).abs() < 1e-9);
     for block in 0..BLOCKS {
         let before = from.choose(block, |_| true);
         let after = to.choose(block, |_| true);
@@ -130,9 +132,9 @@
     let mut view = View::default();
     for ((key, _), mark) in catalog.zones().zip(known.chars()) {
         let standing = match mark {
-            'L' => Standing::Lost,
-            '?' => Standing::Unknown,
-            _ => Standing::Alive,
+            'L' => ZoneStatus::Lost,
+            '?' => ZoneStatus::Unknown,
+            _ => ZoneStatus::Alive,
         };
         view.zones.insert(key, standing);
         if let Some(slots) = mark.to_digit(10) {
@@ -159,10 +161,10 @@
                 view.plan.insert((service, locality), of_weights(&catalog, weights));
             }
             let current = of_weights(&catalog, &$current);
-            let Goal { split, kind } = goal(&catalog, service, locality, &view, &current);
+            let Goal { split, kind } = compute_goal(&catalog, service, locality, &view, &current);
             let wanted = of_weights(&catalog, &$wanted);
             assert!(split.distance(&wanted) < 1e-9, "{split:?} in place of {wanted:?}");
-            assert_eq!(kind, Kind::$kind);
+            assert_eq!(kind, MoveKind::$kind);
         }
     )*};
 }
@@ -194,18 +196,18 @@
     let catalog = catalog(SMALL);
     let zone = zone(&catalog, "r0-z0");
     let base = Instant::now();
-    let mut hold = Hold::new(Duration::from_secs(10));
+    let mut hold = FlapDamping::new(Duration::from_secs(10));
     let mut see = |at, seen| hold.observe(base + Duration::from_secs(at), zone, seen);
-    assert_eq!(see(0, Standing::Alive), Standing::Alive);
-    assert_eq!(see(1, Standing::Lost), Standing::Lost);
-    assert_eq!(see(2, Standing::Alive), Standing::Lost);
-    assert_eq!(see(9, Standing::Unknown), Standing::Lost);
-    assert_eq!(see(10, Standing::Alive), Standing::Lost);
-    assert_eq!(see(19, Standing::Alive), Standing::Lost);
-    assert_eq!(see(20, Standing::Alive), Standing::Alive);
-    assert_eq!(see(21, Standing::Unknown), Standing::Unknown);
-    assert_eq!(see(22, Standing::Lost), Standing::Lost);
-    assert_eq!(see(30, Standing::Alive), Standing::Lost);
-    assert_eq!(see(49, Standing::Alive), Standing::Lost);
-    assert_eq!(see(50, Standing::Alive), Standing::Alive);
+    assert_eq!(see(0, ZoneStatus::Alive), ZoneStatus::Alive);
+    assert_eq!(see(1, ZoneStatus::Lost), ZoneStatus::Lost);
+    assert_eq!(see(2, ZoneStatus::Alive), ZoneStatus::Lost);
+    assert_eq!(see(9, ZoneStatus::Unknown), ZoneStatus::Lost);
+    assert_eq!(see(10, ZoneStatus::Alive), ZoneStatus::Lost);
+    assert_eq!(see(19, ZoneStatus::Alive), ZoneStatus::Lost);
+    assert_eq!(see(20, ZoneStatus::Alive), ZoneStatus::Alive);
+    assert_eq!(see(21, ZoneStatus::Unknown), ZoneStatus::Unknown);
+    assert_eq!(see(22, ZoneStatus::Lost), ZoneStatus::Lost);
+    assert_eq!(see(30, ZoneStatus::Alive), ZoneStatus::Lost);
+    assert_eq!(see(49, ZoneStatus::Alive), ZoneStatus::Lost);
+    assert_eq!(see(50, ZoneStatus::Alive), ZoneStatus::Alive);
 }
