--- a/tests/caller.rs
+++ b/tests/caller.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::Duration;
 
-use scripted::{Act, Pair, Times};
+use scripted::{Behavior, Occurrence, ScriptedTargets};
 use serde_json::{json, Value};
 use world::{eventually, send, Host, World, PATIENCE};
 
@@ -20,12 +20,12 @@
 /// One entry host, two ordinary targets and a service that echoes.
 struct Bench {
     world: World,
-    _echo: Pair,
+    _echo: ScriptedTargets,
 }
 
 impl Bench {
     fn new(pool: &Value) -> Self {
-        let echo = Pair::new(Act::Echo, Times::Always);
+        let echo = ScriptedTargets::new(Behavior::Echo, Occurrence::Always);
         let world = World::new()
             .with_zone("lima", ZONE)
             .with_target(ZONE, "lookups", "look-1", 16)
--- a/tests/dedupe.rs
+++ b/tests/dedupe.rs
@@ -1,4 +1,4 @@
-//! Tickets, idempotency keys, and clients that send the same key again and again.
+//! Tickets, idempotency keys, and random histories of clients that send the same keys repeatedly.
 
 #![allow(clippy::unwrap_used)]
 
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn last_dot_splits() {
+fn last_dot_separates_the_host() {
     let ticket: Ticket = "ent-1.lima.example.7-3".parse().unwrap();
     assert_eq!(
         (&*ticket.host, ticket.incarnation),
@@ -62,13 +62,13 @@
     let start = Instant::now();
     let issuer = Issuer::new("ent-1".into(), 7, rotation(start));
     let ticket = issuer.issue(start + PERIOD);
-    let home = |seconds| issuer.check(start + Duration::from_secs(seconds), &ticket);
-    let here = TicketOwner::ThisProcess(Generation(1));
+    let check_at = |seconds| issuer.check(start + Duration::from_secs(seconds), &ticket);
+    let accepted = TicketOwner::ThisProcess(Generation(1));
     assert_eq!(
-        [home(0), home(10), home(29)],
-        [here.clone(), here.clone(), here]
+        [check_at(0), check_at(10), check_at(29)],
+        [accepted.clone(), accepted.clone(), accepted]
     );
-    assert_eq!(home(30), TicketOwner::Expired);
+    assert_eq!(check_at(30), TicketOwner::Expired);
     let ahead = Ticket {
         generation: Generation(2),
         ..ticket.clone()
@@ -93,7 +93,7 @@
     Idx::from_raw(RawIdx::from_u32(n))
 }
 
-fn print(path: &str) -> Identity {
+fn identity(path: &str) -> Identity {
     Identity::new("POST", path, Some(2), Some(b"{}"))
 }
 
@@ -105,7 +105,7 @@
     })
 }
 
-/// One table of keys with a shorthand for requests of one service.
+/// An idempotency table with shorthands for requests of one service.
 struct Table {
     start: Instant,
     keys: IdempotencyTable<u32>,
@@ -128,8 +128,14 @@
     fn begin(&mut self, seconds: u64, key: &str, generation: u32, waiter: u32) -> Admission {
         let now = self.start + Duration::from_secs(seconds);
         let generation = Generation(generation);
-        self.keys
-            .begin(now, service(0), key.into(), generation, print("/"), waiter)
+        self.keys.begin(
+            now,
+            service(0),
+            key.into(),
+            generation,
+            identity("/"),
+            waiter,
+        )
     }
 
     fn run(&mut self, key: &str) -> RunPermit {
@@ -156,7 +162,7 @@
 }
 
 #[test]
-fn waiter_too_many_is_not_told_not_run() {
+fn excess_waiter_is_not_reported_as_not_run() {
     let mut table = Table::new();
     table.run("k");
     for waiter in 0..MAX_WAITERS_PER_KEY as u32 {
@@ -166,7 +172,7 @@
 }
 
 #[test]
-fn not_run_key_may_run_again_and_its_old_run_has_no_say() {
+fn not_run_key_may_run_again_and_its_old_permit_is_ignored() {
     let mut table = Table::new();
     let old = table.run("k");
     table.keys.complete(&old, RunOutcome::NotRun);
@@ -177,7 +183,7 @@
 }
 
 #[test]
-fn unknown_is_settled_by_a_late_answer() {
+fn unknown_outcome_is_replaced_by_a_late_answer() {
     let mut table = Table::new();
     let run = table.run("k");
     table.keys.complete(&run, RunOutcome::Unknown);
@@ -191,7 +197,7 @@
 }
 
 #[test]
-fn large_answer_is_not_kept() {
+fn large_answer_is_not_stored() {
     let mut table = Table::new();
     let run = table.run("k");
     table.keys.complete(
@@ -202,20 +208,20 @@
 }
 
 #[test]
-fn other_request_with_the_key_is_refused() {
+fn different_request_with_the_key_is_refused() {
     let mut table = Table::new();
     table.run("k");
     let (now, generation) = (table.start, Generation(0));
-    let mut begin = |n, print| {
+    let mut begin = |n, identity| {
         table
             .keys
-            .begin(now, service(n), "k".into(), generation, print, 1)
+            .begin(now, service(n), "k".into(), generation, identity, 1)
     };
-    assert_eq!(begin(0, print("/other")), Admission::Mismatch);
+    assert_eq!(begin(0, identity("/other")), Admission::Mismatch);
     let body = Identity::new("POST", "/", Some(2), Some(b"[]"));
     assert_eq!(begin(0, body), Admission::Mismatch);
     assert!(
-        matches!(begin(1, print("/other")), Admission::Run(_)),
+        matches!(begin(1, identity("/other")), Admission::Run(_)),
         "keys are scoped by service"
     );
 }
@@ -238,7 +244,7 @@
 }
 
 #[test]
-fn bytes_are_bounded_and_answers_in_reserve_are_kept() {
+fn bytes_are_bounded_and_reserved_answers_are_stored() {
     let mut table = Table::new().with_capacity(usize::MAX, MAX_STORED_ANSWER_BYTES + 1000);
     let run = table.run("a");
     assert!(matches!(table.begin(0, "b", 0, 1), Admission::Full { .. }));
@@ -306,7 +312,7 @@
 }
 
 #[test]
-fn clock_that_steps_back_revives_no_key() {
+fn clock_that_steps_back_accepts_no_expired_key() {
     let mut table = Table::new();
     let run = table.run("k");
     table.keys.complete(&run, RunOutcome::Unknown);
@@ -314,28 +320,28 @@
     assert_eq!(table.begin(5, "k", 0, 1), Admission::Unknown);
 }
 
-// Histories: clients send few keys to several hosts while hosts die, restart and lose each other.
+// Histories: clients send few keys to several hosts while hosts restart and lose their connections to each other.
 
 const HOSTS: usize = 3;
 const KEYS: usize = 12;
-/// Records a host may keep.
-const RECORDS: usize = 3;
+/// Limit on the records of a host.
+const MAX_RECORDS: usize = 3;
 
 #[derive(Clone, Debug)]
 enum Event {
-    /// A client takes the ticket of a host for a key, unless it has one already.
-    Take {
+    /// A client takes the ticket of a host for a key, unless it already has one.
+    TakeTicket {
         key: usize,
         host: usize,
     },
-    /// It sends the key to a host. A faulty one has changed the request.
+    /// A client sends the key to a host. A faulty client changes the request.
     Send {
         key: usize,
         via: usize,
         faulty: bool,
     },
-    /// A try at a target ends; `ran` where the break leaves that open.
-    Break {
+    /// An attempt fails; `ran` is whether it was executed if the failure leaves that open.
+    Fail {
         run: usize,
         cause: FailurePoint,
         ran: bool,
@@ -345,7 +351,7 @@
         run: usize,
         size: usize,
     },
-    GiveUp {
+    Abandon {
         run: usize,
         ran: bool,
     },
@@ -353,11 +359,11 @@
         host: usize,
         ran: bool,
     },
-    Cut {
+    Disconnect {
         a: usize,
         b: usize,
     },
-    Heal,
+    Reconnect,
     Advance {
         ms: u64,
     },
@@ -378,24 +384,24 @@
 fn event() -> impl Strategy<Value = Event> {
     let (key, host, run) = (0..KEYS, 0..HOSTS, 0..4usize);
     prop_oneof![
-        4 => (key.clone(), host.clone()).prop_map(|(key, host)| Event::Take { key, host }),
+        4 => (key.clone(), host.clone()).prop_map(|(key, host)| Event::TakeTicket { key, host }),
         12 => (key, host.clone(), prop::bool::weighted(0.1))
             .prop_map(|(key, via, faulty)| Event::Send { key, via, faulty }),
         6 => (run.clone(), cause(), any::<bool>(), any::<bool>())
-            .prop_map(|(run, cause, ran, budget)| Event::Break { run, cause, ran, budget }),
+            .prop_map(|(run, cause, ran, budget)| Event::Fail { run, cause, ran, budget }),
         3 => (run.clone(), 0..MAX_STORED_ANSWER_BYTES * 5 / 4).prop_map(|(run, size)| Event::Answer { run, size }),
-        1 => (run, any::<bool>()).prop_map(|(run, ran)| Event::GiveUp { run, ran }),
+        1 => (run, any::<bool>()).prop_map(|(run, ran)| Event::Abandon { run, ran }),
         1 => (host.clone(), any::<bool>()).prop_map(|(host, ran)| Event::Restart { host, ran }),
-        1 => (host.clone(), host).prop_map(|(a, b)| Event::Cut { a, b }),
-        3 => Just(Event::Heal),
+        1 => (host.clone(), host).prop_map(|(a, b)| Event::Disconnect { a, b }),
+        3 => Just(Event::Reconnect),
         4 => (1..2500u64).prop_map(|ms| Event::Advance { ms }),
     ]
 }
 
-/// One request of a client, and what it was told.
+/// One request of a client, and the outcomes reported to it.
 struct Request {
     key: usize,
-    told: Vec<Outcome>,
+    outcomes: Vec<Outcome>,
 }
 
 /// A request that a host dispatches.
@@ -403,7 +409,7 @@
     host: usize,
     request: usize,
     run: RunPermit,
-    course: AttemptTracker,
+    tracker: AttemptTracker,
     outstanding: AttemptId,
 }
 
@@ -412,7 +418,7 @@
     keys: IdempotencyTable<usize>,
 }
 
-/// All hosts, the clients' requests, and a count of real runs at the targets.
+/// All hosts, the clients' requests, and the number of executions at the targets by key.
 struct World {
     now: Instant,
     incarnation: u64,
@@ -421,7 +427,7 @@
     tickets: [Option<Ticket>; KEYS],
     requests: Vec<Request>,
     running: Vec<Running>,
-    ran: [u32; KEYS],
+    executions: [u32; KEYS],
 }
 
 fn start_host(n: usize, incarnation: u64, now: Instant) -> Host {
@@ -430,11 +436,11 @@
     Host {
         issuer: Issuer::new(name.as_str().into(), incarnation, rotation),
         keys: IdempotencyTable::new(rotation)
-            .with_capacity(RECORDS, RECORDS * (MAX_STORED_ANSWER_BYTES + 300)),
+            .with_capacity(MAX_RECORDS, MAX_RECORDS * (MAX_STORED_ANSWER_BYTES + 300)),
     }
 }
 
-fn place() -> Destination {
+fn destination() -> Destination {
     Destination::Target(Idx::from_raw(RawIdx::from_u32(0)))
 }
 
@@ -449,25 +455,25 @@
             tickets: Default::default(),
             requests: Vec::new(),
             running: Vec::new(),
-            ran: [0; KEYS],
+            executions: [0; KEYS],
         }
     }
 
-    fn tell(&mut self, request: usize, outcome: Outcome) {
+    fn report_outcome(&mut self, request: usize, outcome: Outcome) {
         let key = self.requests[request].key;
         let running = self
             .running
             .iter()
             .any(|r| self.requests[r.request].key == key);
-        let changed = outcome == Outcome::NotRun(Reason::KeyReused);
-        if matches!(outcome, Outcome::NotRun(_)) && !changed {
+        let is_key_reused = outcome == Outcome::NotRun(Reason::KeyReused);
+        if matches!(outcome, Outcome::NotRun(_)) && !is_key_reused {
             assert_eq!(
-                (self.ran[key], running),
+                (self.executions[key], running),
                 (0, false),
-                "told not-run, but it did"
+                "reported not-run, but it was executed"
             );
         }
-        self.requests[request].told.push(outcome);
+        self.requests[request].outcomes.push(outcome);
     }
 
     fn send(&mut self, key: usize, via: usize, faulty: bool) {
@@ -477,85 +483,92 @@
         let request = self.requests.len();
         self.requests.push(Request {
             key,
-            told: Vec::new(),
+            outcomes: Vec::new(),
         });
-        let home = match self.hosts[via].issuer.check(self.now, &ticket) {
+        let owner = match self.hosts[via].issuer.check(self.now, &ticket) {
             TicketOwner::OtherHost(name) => name[4..].parse().expect("a host of the test"),
             _ => via,
         };
-        if !self.links[via][home] {
-            return self.tell(request, Outcome::Unknown(Reason::HomeUnreachable));
+        if !self.links[via][owner] {
+            return self.report_outcome(request, Outcome::Unknown(Reason::HomeUnreachable));
         }
-        match self.hosts[home].issuer.check(self.now, &ticket) {
-            TicketOwner::ThisProcess(generation) => self.begin(home, request, generation, faulty),
-            _ => self.tell(request, Outcome::Unknown(Reason::StaleTicket)),
+        match self.hosts[owner].issuer.check(self.now, &ticket) {
+            TicketOwner::ThisProcess(generation) => self.begin(owner, request, generation, faulty),
+            _ => self.report_outcome(request, Outcome::Unknown(Reason::StaleTicket)),
         }
     }
 
     fn begin(&mut self, host: usize, request: usize, generation: Generation, faulty: bool) {
         let text = self.requests[request].key.to_string();
-        let print = print(if faulty { "/changed" } else { "/" });
+        let identity = identity(if faulty { "/changed" } else { "/" });
         let keys = &mut self.hosts[host].keys;
-        let begin = keys.begin(
+        let admission = keys.begin(
             self.now,
             service(0),
             text.into(),
             generation,
-            print,
+            identity,
             request,
         );
-        assert!(keys.len() <= RECORDS && keys.bytes() <= RECORDS * (MAX_STORED_ANSWER_BYTES + 300));
-        match begin {
+        assert!(
+            keys.len() <= MAX_RECORDS
+                && keys.bytes() <= MAX_RECORDS * (MAX_STORED_ANSWER_BYTES + 300)
+        );
+        match admission {
             Admission::Run(run) => self.dispatch(host, request, run),
             Admission::Join => {}
             Admission::Replay(_) => {
                 let key = self.requests[request].key;
-                assert_eq!(self.ran[key], 1, "replayed without a run");
-                self.tell(request, Outcome::Answered);
+                assert_eq!(self.executions[key], 1, "replayed without an execution");
+                self.report_outcome(request, Outcome::Answered);
+            }
+            Admission::Mismatch => self.report_outcome(request, Outcome::NotRun(Reason::KeyReused)),
+            Admission::Full { .. } => {
+                self.report_outcome(request, Outcome::NotRun(Reason::Crowded))
             }
-            Admission::Mismatch => self.tell(request, Outcome::NotRun(Reason::KeyReused)),
-            Admission::Full { .. } => self.tell(request, Outcome::NotRun(Reason::Crowded)),
-            Admission::Unknown => self.tell(request, Outcome::Unknown(Reason::NotKept)),
+            Admission::Unknown => self.report_outcome(request, Outcome::Unknown(Reason::NotKept)),
         }
     }
 
     fn dispatch(&mut self, host: usize, request: usize, run: RunPermit) {
         let deadline = self.now + Duration::from_secs(30);
-        let mut course = AttemptTracker::new(Repeat::Never, deadline);
-        let outstanding = course.start(self.now, place()).expect("a first try");
+        let mut tracker = AttemptTracker::new(Repeat::Never, deadline);
+        let outstanding = tracker
+            .start(self.now, destination())
+            .expect("a first attempt");
         self.running.push(Running {
             host,
             request,
             run,
-            course,
+            tracker,
             outstanding,
         });
     }
 
     fn run_at_target(&mut self, request: usize) {
         let key = self.requests[request].key;
-        self.ran[key] += 1;
-        assert_eq!(self.ran[key], 1, "key {key} ran twice");
+        self.executions[key] += 1;
+        assert_eq!(self.executions[key], 1, "key {key} was executed twice");
     }
 
     fn fail(&mut self, n: usize, cause: FailurePoint, ran: bool, budget: bool) {
         let mut running = self.running.swap_remove(n);
-        // An answered 503 may or may not have run; a proof of not-run is true by definition.
-        let proof = match cause {
+        // A request answered with 503 may have been executed; these failures prove that it was not.
+        let is_not_run = match cause {
             FailurePoint::ConnectRefused | FailurePoint::Refused => true,
             FailurePoint::ConnectionClosed(stage) | FailurePoint::Timeout(stage) => {
                 stage < Stage::Head
             }
             _ => false,
         };
-        if ran && !proof {
+        if ran && !is_not_run {
             self.run_at_target(running.request);
         }
         let step = running
-            .course
+            .tracker
             .record_failure(self.now, running.outstanding, cause, || budget);
         match step {
-            Step::Retry => match running.course.start(self.now, place()) {
+            Step::Retry => match running.tracker.start(self.now, destination()) {
                 Ok(key) => {
                     running.outstanding = key;
                     self.running.push(running);
@@ -570,19 +583,19 @@
     fn answer(&mut self, n: usize, size: usize) {
         let mut running = self.running.swap_remove(n);
         self.run_at_target(running.request);
-        let Step::Done(end) = running.course.record_answer(running.outstanding) else {
+        let Step::Done(end) = running.tracker.record_answer(running.outstanding) else {
             panic!("no outcome");
         };
         self.finish(running, end.outcome, size);
     }
 
-    fn give_up(&mut self, n: usize, ran: bool) {
+    fn abandon(&mut self, n: usize, ran: bool) {
         let mut running = self.running.swap_remove(n);
         if ran {
             self.run_at_target(running.request);
         }
         let end = running
-            .course
+            .tracker
             .abandon(Reason::Timeout, |_| Stage::Sent)
             .expect("no outcome before");
         self.finish(running, end.outcome, 0);
@@ -597,14 +610,14 @@
         };
         let waiters = self.hosts[running.host].keys.complete(&running.run, end);
         for request in waiters.into_iter().chain([running.request]) {
-            self.tell(request, outcome);
+            self.report_outcome(request, outcome);
         }
     }
 
-    /// The process ends: its callers see their connections close.
+    /// Restarts a host's process, which closes the connections of its callers.
     fn restart(&mut self, host: usize, ran: bool) {
         while let Some(n) = self.running.iter().position(|r| r.host == host) {
-            self.give_up(n, ran);
+            self.abandon(n, ran);
         }
         self.incarnation += 1;
         self.hosts[host] = start_host(host, self.incarnation, self.now);
@@ -613,12 +626,12 @@
     fn apply(&mut self, event: Event) {
         let count = self.running.len();
         match event {
-            Event::Take { key, host } => {
+            Event::TakeTicket { key, host } => {
                 let ticket = self.hosts[host].issuer.issue(self.now);
                 self.tickets[key].get_or_insert(ticket);
             }
             Event::Send { key, via, faulty } => self.send(key, via, faulty),
-            Event::Break {
+            Event::Fail {
                 run,
                 cause,
                 ran,
@@ -627,13 +640,13 @@
                 self.fail(run, cause, ran, budget);
             }
             Event::Answer { run, size } if run < count => self.answer(run, size),
-            Event::GiveUp { run, ran } if run < count => self.give_up(run, ran),
+            Event::Abandon { run, ran } if run < count => self.abandon(run, ran),
             Event::Restart { host, ran } => self.restart(host, ran),
-            Event::Cut { a, b } if a != b => {
+            Event::Disconnect { a, b } if a != b => {
                 self.links[a][b] = false;
                 self.links[b][a] = false;
             }
-            Event::Heal => self.links = [[true; HOSTS]; HOSTS],
+            Event::Reconnect => self.links = [[true; HOSTS]; HOSTS],
             Event::Advance { ms } => self.now += Duration::from_millis(ms),
             _ => {}
         }
@@ -645,7 +658,7 @@
         cases: 1000, rng_seed: RngSeed::Fixed(11), failure_persistence: None, ..Config::default()
     })]
 
-    /// No key runs twice, "not run" is true, and each request gets one final answer.
+    /// No key is executed twice, "not run" is correct, and each request gets exactly one outcome.
     #[test]
     fn keys_run_at_most_once(events in prop::collection::vec(event(), 1..150)) {
         let mut world = World::new();
@@ -653,16 +666,16 @@
             world.apply(event);
         }
         while !world.running.is_empty() {
-            world.give_up(0, true);
+            world.abandon(0, true);
         }
         for request in &world.requests {
-            prop_assert_eq!(request.told.len(), 1, "{:?}", request.told);
+            prop_assert_eq!(request.outcomes.len(), 1, "{:?}", request.outcomes);
         }
     }
 
-    /// The text of a ticket gives the ticket back.
+    /// Parsing the text of a ticket returns the same ticket.
     #[test]
-    fn ticket_survives_its_text(host in "[a-z0-9.-]{1,40}", incarnation: u64, generation: u32) {
+    fn ticket_round_trips_through_its_text(host in "[a-z0-9.-]{1,40}", incarnation: u64, generation: u32) {
         let generation = Generation(generation);
         let ticket = Ticket { host: host.as_str().into(), incarnation, generation };
         prop_assert_eq!(ticket.to_string().parse(), Ok(ticket));
--- a/tests/group.rs
+++ b/tests/group.rs
@@ -1,4 +1,4 @@
-//! The group of targets of one site: its rules, and its figures under a burst.
+//! Rules of a target group, and its latency and losses under a burst.
 
 #![allow(clippy::unwrap_used)]
 
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use model::{catalog, revise, Figures, Load as Offer, Model};
+use model::{catalog, revise, BurstStats, Model, OfferedLoad};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use ragwortfold::catalog::{Catalog, TargetKey};
@@ -18,7 +18,7 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 
-/// A group of one of two hosts, and what drives it.
+/// The group of one of two hosts, with its clock and random source.
 struct Rig {
     group: Group,
     catalog: Catalog,
@@ -29,7 +29,7 @@
     affinity: u64,
 }
 
-/// A report of an end after so many milliseconds.
+/// Builds a report of a request that ended after `latency` milliseconds.
 fn report(end: End, latency: u64) -> Report {
     Report {
         end,
@@ -40,7 +40,7 @@
 }
 
 impl Rig {
-    /// `count` targets with 4 slots and 20 connections.
+    /// Creates a group of `count` targets with 4 slots and 20 connections each.
     fn new(count: usize) -> Self {
         let catalog = catalog(count, 4, 20, 1);
         let service = catalog.service_key("s").expect("a service");
@@ -66,25 +66,25 @@
         self.group.update(self.now, &self.catalog, service, zone, 2);
     }
 
-    fn pass(&mut self, time: u64) {
+    fn advance_ms(&mut self, time: u64) {
         self.now += Duration::from_millis(time);
     }
 
-    fn ask(&mut self, time: u64, priority: u8, exclude: Vec<TargetKey>) -> Verdict {
+    fn submit(&mut self, time: u64, priority: u8, exclude: Vec<TargetKey>) -> Verdict {
         self.next += 1;
-        let ask = TargetRequest {
+        let request = TargetRequest {
             id: self.next,
             deadline: self.now + Duration::from_millis(time),
             priority,
             affinity: self.affinity,
             exclude,
         };
-        self.group.admit(self.now, ask, &mut self.rng)
+        self.group.admit(self.now, request, &mut self.rng)
     }
 
-    /// Asks until one does not go; the grants.
-    fn load(&mut self) -> Vec<Grant> {
-        std::iter::from_fn(|| match self.ask(1000, 5, vec![]) {
+    /// Submits requests until one is not admitted; returns the grants.
+    fn fill(&mut self) -> Vec<Grant> {
+        std::iter::from_fn(|| match self.submit(1000, 5, vec![]) {
             Verdict::Admit(grant) => Some(grant),
             _ => None,
         })
@@ -95,24 +95,28 @@
         self.group.finish(self.now, grant, report, &mut self.rng)
     }
 
-    /// Sends requests one after the other; a target in `ends` ends them so, others answer in 10 ms.
-    fn serve(&mut self, count: usize, ends: &BTreeMap<TargetKey, Report>) -> Vec<TargetKey> {
+    /// Sends requests one after the other; a target in `ends` ends them with that report, others answer in 10 ms.
+    fn serve_in_sequence(
+        &mut self,
+        count: usize,
+        ends: &BTreeMap<TargetKey, Report>,
+    ) -> Vec<TargetKey> {
         (0..count)
             .map(|_| {
-                let Verdict::Admit(grant) = self.ask(1000, 5, vec![]) else {
-                    panic!("nothing goes");
+                let Verdict::Admit(grant) = self.submit(1000, 5, vec![]) else {
+                    panic!("not admitted");
                 };
                 let target = grant.target();
                 let other = report(End::Answered, 10);
                 let report = *ends.get(&target).unwrap_or(&other);
-                self.pass(10);
+                self.advance_ms(10);
                 self.finish(grant, report);
                 target
             })
             .collect()
     }
 
-    fn state(&mut self, target: usize, source: Source, state: State) {
+    fn set_state(&mut self, target: usize, source: Source, state: State) {
         self.group
             .set_state(self.now, self.keys[target], source, state);
     }
@@ -125,81 +129,81 @@
     }
 }
 
-/// Names a test and its body.
+/// Defines tests by name and body.
 macro_rules! case {
     ($($name:ident: $body:expr;)*) => {$( #[test] fn $name() { $body } )*};
 }
 
 case! {
-    share_of_slots_then_wait: {
+    share_of_slots_is_admitted_then_requests_queue: {
         let mut rig = Rig::new(3);
-        assert_eq!(rig.load().len(), 6);
+        assert_eq!(rig.fill().len(), 6);
         assert!(rig.keys.iter().all(|&key| rig.group.in_flight(key) == 2));
         assert_eq!(rig.group.headroom().queued, 1);
     };
-    freed_place_goes_to_the_waiting: {
+    freed_slot_goes_to_the_queued_request: {
         let mut rig = Rig::new(1);
-        let mut grants = rig.load();
-        rig.pass(5);
+        let mut grants = rig.fill();
+        rig.advance_ms(5);
         let ready = rig.finish(grants.remove(0), report(End::Answered, 5));
         assert_eq!(ready.iter().map(|(id, _)| *id).collect::<Vec<_>>(), [3]);
     };
-    no_target: assert_eq!(reason(Rig::new(0).ask(1000, 5, vec![])), Some(Reason::NoTarget));
+    no_target: assert_eq!(reason(Rig::new(0).submit(1000, 5, vec![])), Some(Reason::NoTarget));
     all_tried: {
         let mut rig = Rig::new(2);
         let tried = rig.keys.clone();
-        assert_eq!(reason(rig.ask(1000, 5, tried)), Some(Reason::Tried));
+        assert_eq!(reason(rig.submit(1000, 5, tried)), Some(Reason::Tried));
     };
-    past_deadline: assert_eq!(reason(Rig::new(1).ask(0, 5, vec![])), Some(Reason::Deadline));
-    hopeless_wait_is_refused_at_once: {
+    past_deadline: assert_eq!(reason(Rig::new(1).submit(0, 5, vec![])), Some(Reason::Deadline));
+    wait_past_the_deadline_is_refused_at_once: {
         let mut rig = Rig::new(1);
-        rig.load();
-        assert_eq!(reason(rig.ask(3, 5, vec![])), Some(Reason::Deadline));
+        rig.fill();
+        assert_eq!(reason(rig.submit(3, 5, vec![])), Some(Reason::Deadline));
     };
-    waiting_leaves_while_it_could_still_be_told: {
+    queued_request_is_refused_before_its_deadline: {
         let mut rig = Rig::new(1);
-        rig.load();
-        assert!(matches!(rig.ask(100, 5, vec![]), Verdict::Wait));
+        rig.fill();
+        assert!(matches!(rig.submit(100, 5, vec![]), Verdict::Wait));
         let wake = rig.group.next_wake(rig.now).expect("a time to wake");
         assert!(wake < rig.now + Duration::from_millis(100));
         let out = rig.group.expire(wake);
         assert_eq!(out.len(), 1);
         assert!(out[0].1.retry_after > Duration::ZERO);
     };
-    past_its_time_does_not_go: {
+    expired_request_is_not_admitted: {
         let mut rig = Rig::new(1);
-        let mut grants = rig.load();
-        rig.pass(999);
+        let mut grants = rig.fill();
+        rig.advance_ms(999);
         assert!(rig.finish(grants.remove(0), report(End::Answered, 5)).is_empty());
     };
-    busy_target_is_left: {
+    busy_target_is_avoided: {
         let mut rig = Rig::new(3);
-        let Verdict::Admit(grant) = rig.ask(1000, 5, vec![]) else { panic!("nothing goes") };
-        assert!(!rig.serve(20, &BTreeMap::new()).contains(&grant.target()));
+        let Verdict::Admit(grant) = rig.submit(1000, 5, vec![]) else { panic!("not admitted") };
+        assert!(!rig.serve_in_sequence(20, &BTreeMap::new()).contains(&grant.target()));
     };
-    slow_target_is_left: {
+    slow_target_is_avoided: {
         let mut rig = Rig::new(3);
         let slow = rig.keys[0];
-        let served = rig.serve(60, &BTreeMap::from([(slow, report(End::Answered, 30))]));
+        let served = rig.serve_in_sequence(60, &BTreeMap::from([(slow, report(End::Answered, 30))]));
         assert!(served.iter().filter(|&&key| key == slow).count() < 5);
     };
-    false_report_attracts_nothing: {
+    false_report_attracts_no_requests: {
         let mut rig = Rig::new(3);
         let load = |in_flight| Report { load: Some(Load { in_flight, slots: 4 }), ..report(End::Answered, 10) };
         let ends = BTreeMap::from([(rig.keys[0], load(0)), (rig.keys[1], load(3)), (rig.keys[2], load(3))]);
-        let served = rig.serve(90, &ends);
+        let served = rig.serve_in_sequence(90, &ends);
         assert!(served.iter().filter(|&&key| key == rig.keys[0]).count() <= 45);
     };
-    cancelled_does_not_go: {
+    cancelled_request_is_not_admitted: {
         let mut rig = Rig::new(1);
-        let mut grants = rig.load();
+        let mut grants = rig.fill();
         assert!(rig.group.cancel(3) && !rig.group.cancel(3));
         assert!(rig.finish(grants.remove(0), report(End::Answered, 5)).is_empty());
     };
     higher_priority_goes_first: {
         let mut rig = Rig::new(1);
-        let mut grants = rig.load();
-        rig.ask(1000, 9, vec![]);
+        let mut grants = rig.fill();
+        rig.submit(1000, 9, vec![]);
         let ready = rig.finish(grants.remove(0), report(End::Answered, 5));
         assert_eq!(ready[0].0, 4);
     };
@@ -207,47 +211,47 @@
         let mut rig = Rig::new(1);
         rig.group = Group::new(Config { queue: 1, ..Config::default() });
         rig.update();
-        rig.load();
-        assert_eq!(reason(rig.ask(1000, 1, vec![])), Some(Reason::Full));
-        assert!(matches!(rig.ask(1000, 9, vec![]), Verdict::Wait));
+        rig.fill();
+        assert_eq!(reason(rig.submit(1000, 1, vec![])), Some(Reason::Full));
+        assert!(matches!(rig.submit(1000, 9, vec![]), Verdict::Wait));
         assert_eq!(rig.group.next_wake(rig.now), Some(rig.now));
         let out = rig.group.expire(rig.now);
         assert_eq!((out[0].0, out[0].1.reason), (3, Reason::Full));
     };
-    draining_first_word_wins: for source in [Source::Header, Source::Health, Source::List] {
+    one_draining_source_is_enough: for source in [Source::Header, Source::Health, Source::List] {
         let mut rig = Rig::new(2);
-        rig.state(0, source, State::Draining);
+        rig.set_state(0, source, State::Draining);
         for other in [Source::Header, Source::Health, Source::List] {
             if other != source {
-                rig.state(0, other, State::Serving);
+                rig.set_state(0, other, State::Serving);
             }
         }
-        let served = rig.serve(20, &BTreeMap::new());
+        let served = rig.serve_in_sequence(20, &BTreeMap::new());
         assert!(served.iter().all(|&key| key == rig.keys[1]));
     };
-    header_is_forgotten_for_health_in_time: {
+    draining_header_expires_under_a_serving_health_check: {
         let mut rig = Rig::new(2);
-        rig.state(0, Source::Header, State::Draining);
-        rig.pass(11_000);
-        rig.state(0, Source::Health, State::Serving);
-        assert!(rig.serve(20, &BTreeMap::new()).contains(&rig.keys[0]));
+        rig.set_state(0, Source::Header, State::Draining);
+        rig.advance_ms(11_000);
+        rig.set_state(0, Source::Health, State::Serving);
+        assert!(rig.serve_in_sequence(20, &BTreeMap::new()).contains(&rig.keys[0]));
     };
-    last_target_drains_under_the_waiting: {
+    queued_requests_are_refused_when_the_last_target_drains: {
         let mut rig = Rig::new(1);
-        rig.load();
-        rig.state(0, Source::List, State::Draining);
+        rig.fill();
+        rig.set_state(0, Source::List, State::Draining);
         assert_eq!(rig.group.next_wake(rig.now), Some(rig.now));
         assert_eq!(rig.group.expire(rig.now)[0].1.reason, Reason::NoTarget);
     };
-    failures_eject_and_probes_bring_back: {
+    failures_eject_and_probes_restore: {
         let mut rig = Rig::new(4);
         let bad = rig.keys[0];
         let ends = BTreeMap::from([(bad, report(End::Broken, 1))]);
-        rig.serve(40, &ends);
+        rig.serve_in_sequence(40, &ends);
         assert!(rig.group.is_ejected(bad));
-        assert!(!rig.serve(20, &ends).contains(&bad));
-        rig.pass(1500);
-        rig.serve(20, &BTreeMap::new());
+        assert!(!rig.serve_in_sequence(20, &ends).contains(&bad));
+        rig.advance_ms(1500);
+        rig.serve_in_sequence(20, &BTreeMap::new());
         assert!(!rig.group.is_ejected(bad));
     };
     slow_target_is_ejected: {
@@ -255,62 +259,62 @@
         let slow = rig.keys[0];
         rig.group = Group::new(Config { pick: Pick::LeastInFlight, ..Config::default() });
         rig.update();
-        rig.serve(60, &BTreeMap::from([(slow, report(End::Answered, 100))]));
+        rig.serve_in_sequence(60, &BTreeMap::from([(slow, report(End::Answered, 100))]));
         assert!(rig.group.is_ejected(slow));
     };
-    health_alone_ejects_none: {
+    failed_health_check_alone_ejects_none: {
         let mut rig = Rig::new(2);
         rig.group.set_health(rig.keys[0], Health::Down);
-        assert!(rig.serve(20, &BTreeMap::new()).contains(&rig.keys[0]));
+        assert!(rig.serve_in_sequence(20, &BTreeMap::new()).contains(&rig.keys[0]));
     };
-    half_stays_in: {
+    at_most_half_of_the_slots_are_ejected: {
         let mut rig = Rig::new(4);
         let ends = rig.keys.iter().map(|&key| (key, report(End::Broken, 1))).collect();
         for _ in 0..30 {
-            rig.pass(700);
-            rig.serve(2, &ends);
+            rig.advance_ms(700);
+            rig.serve_in_sequence(2, &ends);
             assert!(rig.group.headroom().ejected <= 0.5);
         }
         assert_eq!(rig.group.headroom().ejected, 0.5);
     };
-    rest_ends_on_time: {
+    backoff_ends_on_time: {
         let mut rig = Rig::new(1);
-        let grant = rig.load().remove(0);
+        let grant = rig.fill().remove(0);
         assert!(rig.group.cancel(3));
         rig.finish(grant, report(End::Refused, 0));
-        rig.ask(1000, 5, vec![]);
+        rig.submit(1000, 5, vec![]);
         let wake = rig.group.next_wake(rig.now).expect("a time to wake");
         rig.now = wake - Duration::from_millis(1);
         assert!(rig.group.ready(rig.now, &mut rig.rng).is_empty());
         assert_eq!(rig.group.ready(wake, &mut rig.rng).len(), 1);
     };
-    refusing_target_attracts_nothing: {
+    refusing_target_attracts_no_requests: {
         let mut rig = Rig::new(2);
         let full = rig.keys[0];
-        let served = rig.serve(100, &BTreeMap::from([(full, report(End::Refused, 0))]));
+        let served = rig.serve_in_sequence(100, &BTreeMap::from([(full, report(End::Refused, 0))]));
         assert!(served.iter().filter(|&&key| key == full).count() < 25);
     };
-    cold_zone_is_entered_slowly: {
+    cold_zone_starts_slowly: {
         let mut rig = Rig::new(10);
-        (0..10).for_each(|target| rig.state(target, Source::Header, State::Cold));
-        let cold = rig.load().len();
+        (0..10).for_each(|target| rig.set_state(target, Source::Header, State::Cold));
+        let cold = rig.fill().len();
         assert!(cold * 4 <= 20, "{cold}");
         assert!(rig.group.headroom().cold > 0.9);
     };
     affinity_prefers_one_target_until_busy: {
         let mut rig = Rig::new(5);
         rig.affinity = 77;
-        let served: BTreeSet<_> = rig.serve(20, &BTreeMap::new()).into_iter().collect();
+        let served: BTreeSet<_> = rig.serve_in_sequence(20, &BTreeMap::new()).into_iter().collect();
         assert_eq!(served.len(), 1);
-        assert!(matches!(rig.ask(1000, 5, vec![]), Verdict::Admit(grant) if served.contains(&grant.target())));
-        assert!(matches!(rig.ask(1000, 5, vec![]), Verdict::Admit(grant) if !served.contains(&grant.target())));
+        assert!(matches!(rig.submit(1000, 5, vec![]), Verdict::Admit(grant) if served.contains(&grant.target())));
+        assert!(matches!(rig.submit(1000, 5, vec![]), Verdict::Admit(grant) if !served.contains(&grant.target())));
     };
-    cold_target_warms_by_use: {
+    cold_target_warms_up_with_answers: {
         let mut rig = Rig::new(1);
-        rig.state(0, Source::Header, State::Cold);
-        rig.pass(60_000);
+        rig.set_state(0, Source::Header, State::Cold);
+        rig.advance_ms(60_000);
         assert_eq!(rig.group.limit(rig.keys[0]), 1);
-        rig.serve(120, &BTreeMap::new());
+        rig.serve_in_sequence(120, &BTreeMap::new());
         assert!(rig.group.limit(rig.keys[0]) >= 2);
     };
     new_target_starts_cold: {
@@ -318,11 +322,11 @@
         rig.catalog = revise(&rig.catalog, &["serving"; 3], 4, 20, 1);
         rig.update();
         assert!(rig.group.headroom().cold > 0.0);
-        assert!(rig.load().len() <= 5);
+        assert!(rig.fill().len() <= 5);
     };
-    state_is_kept_over_revisions: {
+    requests_in_flight_are_kept_over_revisions: {
         let mut rig = Rig::new(2);
-        let grants = rig.load();
+        let grants = rig.fill();
         rig.catalog = revise(&rig.catalog, &["serving", "off"], 4, 20, 1);
         rig.update();
         assert_eq!(rig.group.headroom().in_flight, 4);
@@ -334,9 +338,9 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Ask(u64, u8, Vec<usize>),
+    Submit(u64, u8, Vec<usize>),
     Finish(usize, End, u64, Option<u32>),
-    Pass(u64),
+    Advance(u64),
     State(usize, Source, State),
     Health(usize, Health),
     Cancel(Id),
@@ -357,33 +361,33 @@
     let source = prop::sample::select(vec![Source::Header, Source::Health, Source::List]);
     let state = prop::sample::select(vec![State::Serving, State::Cold, State::Draining]);
     let health = prop::sample::select(vec![Health::Up, Health::Down]);
-    let word = prop::sample::select(vec!["serving", "serving", "draining", "off"]);
+    let configured_state = prop::sample::select(vec!["serving", "serving", "draining", "off"]);
     let tried = prop::collection::vec(0..6usize, 0..3);
     let step = prop_oneof![
-        20 => (0..300u64, 0..10u8, tried).prop_map(|(time, rank, tried)| Step::Ask(time, rank, tried)),
+        20 => (0..300u64, 0..10u8, tried).prop_map(|(time, priority, tried)| Step::Submit(time, priority, tried)),
         14 => (any::<usize>(), end, 0..200u64, prop::option::of(0..9u32))
             .prop_map(|(which, end, time, load)| Step::Finish(which, end, time, load)),
-        8 => (0..400u64).prop_map(Step::Pass),
+        8 => (0..400u64).prop_map(Step::Advance),
         2 => (0..6usize, source, state).prop_map(|(target, source, state)| Step::State(target, source, state)),
         1 => (0..6usize, health).prop_map(|(target, health)| Step::Health(target, health)),
         2 => (0..100 as Id).prop_map(Step::Cancel),
-        1 => (prop::collection::vec(word, 6), 1..9u32, 1..30u32)
+        1 => (prop::collection::vec(configured_state, 6), 1..9u32, 1..30u32)
             .prop_map(|(states, slots, connections)| Step::Revise(states, slots, connections)),
     ];
     prop::collection::vec(step, 0..250)
 }
 
-/// What a history must keep to, held beside the group.
-struct Ledger {
+/// Checks the rules of a group over a history of steps, with its own record of the expected state.
+struct HistoryChecker {
     rig: Rig,
-    asked: BTreeSet<Id>,
+    queued_ids: BTreeSet<Id>,
     grants: Vec<Grant>,
-    left: BTreeMap<usize, BTreeSet<Source>>,
+    draining_sources: BTreeMap<usize, BTreeSet<Source>>,
     states: Vec<&'static str>,
     connections: u32,
 }
 
-impl Ledger {
+impl HistoryChecker {
     fn new(mode: Pick, order: Order) -> Self {
         let mut rig = Rig::new(6);
         let config = Config {
@@ -396,63 +400,66 @@
         rig.update();
         Self {
             rig,
-            asked: BTreeSet::new(),
+            queued_ids: BTreeSet::new(),
             grants: Vec::new(),
-            left: BTreeMap::new(),
+            draining_sources: BTreeMap::new(),
             states: vec!["serving"; 6],
             connections: 20,
         }
     }
 
-    /// A grant: of a target that takes work, within its connections.
-    fn go(&mut self, grant: Grant) {
+    /// Checks that a grant is for a target that accepts requests, within its connections.
+    fn check_grant(&mut self, grant: Grant) {
         let key = grant.target();
-        let place = self
+        let position = self
             .rig
             .keys
             .iter()
             .position(|&other| other == key)
             .expect("known");
-        assert_eq!(self.states[place], "serving");
-        assert!(self.left.get(&place).is_none_or(BTreeSet::is_empty));
+        assert_eq!(self.states[position], "serving");
+        assert!(self
+            .draining_sources
+            .get(&position)
+            .is_none_or(BTreeSet::is_empty));
         assert!(self.rig.group.in_flight(key) * 2 <= self.connections);
         self.grants.push(grant);
     }
 
-    fn ready(&mut self, ready: Vec<(Id, Grant)>) {
+    fn check_ready(&mut self, ready: Vec<(Id, Grant)>) {
         for (id, grant) in ready {
-            assert!(self.asked.remove(&id), "went without waiting");
-            self.go(grant);
+            assert!(self.queued_ids.remove(&id), "admitted without being queued");
+            self.check_grant(grant);
         }
     }
 
-    fn settle(&mut self) {
+    fn check_group(&mut self) {
         for (id, _) in self.rig.group.expire(self.rig.now) {
-            assert!(self.asked.remove(&id), "refused without waiting");
+            assert!(self.queued_ids.remove(&id), "refused without being queued");
         }
         let ready = self.rig.group.ready(self.rig.now, &mut self.rig.rng);
-        self.ready(ready);
+        self.check_ready(ready);
         let headroom = self.rig.group.headroom();
-        assert_eq!(headroom.queued, self.asked.len());
+        assert_eq!(headroom.queued, self.queued_ids.len());
         assert_eq!(headroom.in_flight as usize, self.grants.len());
         assert!(headroom.ejected <= 0.5);
         assert_eq!(
-            self.asked.is_empty(),
+            self.queued_ids.is_empty(),
             self.rig.group.next_wake(self.rig.now).is_none()
         );
     }
 
-    fn step(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         let rig = &mut self.rig;
         match step {
-            Step::Ask(time, priority, tried) => {
-                let tried: Vec<_> = tried.iter().map(|&place| rig.keys[place]).collect();
-                match rig.ask(time, priority, tried.clone()) {
+            Step::Submit(time, priority, tried) => {
+                let tried: Vec<_> = tried.iter().map(|&position| rig.keys[position]).collect();
+                match rig.submit(time, priority, tried.clone()) {
                     Verdict::Admit(grant) => {
                         assert!(!tried.contains(&grant.target()));
-                        self.go(grant);
+                        self.check_grant(grant);
                     }
-                    Verdict::Wait => drop(self.asked.insert(self.rig.next)),
+                    Verdict::Wait => drop(self.queued_ids.insert(self.rig.next)),
                     Verdict::Refuse(refusal) => assert!(!refusal.retry_after.is_zero()),
                 }
             }
@@ -472,39 +479,39 @@
                         ..report(end, time)
                     },
                 );
-                self.ready(ready);
+                self.check_ready(ready);
             }
-            Step::Pass(time) => rig.pass(time),
+            Step::Advance(time) => rig.advance_ms(time),
             Step::State(target, source, state) => {
-                rig.state(target, source, state);
+                rig.set_state(target, source, state);
                 if self.states[target] == "off" {
                     return;
                 }
-                let left = self.left.entry(target).or_default();
+                let draining_sources = self.draining_sources.entry(target).or_default();
                 match state {
-                    State::Draining => drop(left.insert(source)),
-                    _ => drop(left.remove(&source)),
+                    State::Draining => drop(draining_sources.insert(source)),
+                    _ => drop(draining_sources.remove(&source)),
                 }
                 if source == Source::Health && state != State::Draining {
-                    left.remove(&Source::Header);
+                    draining_sources.remove(&Source::Header);
                 }
             }
             Step::Health(target, health) => rig.group.set_health(rig.keys[target], health),
-            Step::Cancel(id) => assert_eq!(rig.group.cancel(id), self.asked.remove(&id)),
+            Step::Cancel(id) => assert_eq!(rig.group.cancel(id), self.queued_ids.remove(&id)),
             Step::Revise(states, slots, connections) => {
                 rig.catalog = revise(&rig.catalog, &states, slots, connections, 1);
                 rig.update();
-                self.forget(&states);
+                self.remove_draining_of_removed_targets(&states);
                 (self.states, self.connections) = (states, connections);
             }
         }
     }
 
-    /// What sources said of a target that was removed is forgotten with it.
-    fn forget(&mut self, states: &[&'static str]) {
-        for (place, state) in states.iter().enumerate() {
+    /// Removes the draining reports of targets that were removed.
+    fn remove_draining_of_removed_targets(&mut self, states: &[&'static str]) {
+        for (position, state) in states.iter().enumerate() {
             if *state == "off" {
-                self.left.remove(&place);
+                self.draining_sources.remove(&position);
             }
         }
     }
@@ -514,136 +521,142 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(13), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn every_history_keeps_the_rules(
+    fn every_history_obeys_the_rules(
         mode in prop::sample::select(vec![Pick::RoundRobin, Pick::LeastInFlight, Pick::TwoChoices]),
         order in prop::sample::select(vec![Order::Fifo, Order::Lifo]),
         steps in steps(),
     ) {
-        let mut ledger = Ledger::new(mode, order);
+        let mut checker = HistoryChecker::new(mode, order);
         for step in steps {
-            ledger.step(step);
-            ledger.settle();
+            checker.apply(step);
+            checker.check_group();
         }
-        while let Some(grant) = ledger.grants.pop() {
-            let ready = ledger.rig.finish(grant, report(End::Answered, 5));
-            ledger.ready(ready);
-            ledger.rig.pass(1);
-            ledger.settle();
+        while let Some(grant) = checker.grants.pop() {
+            let ready = checker.rig.finish(grant, report(End::Answered, 5));
+            checker.check_ready(ready);
+            checker.rig.advance_ms(1);
+            checker.check_group();
         }
-        ledger.rig.pass(10_000);
-        ledger.settle();
-        prop_assert!(ledger.asked.is_empty());
+        checker.rig.advance_ms(10_000);
+        checker.check_group();
+        prop_assert!(checker.queued_ids.is_empty());
     }
 }
 
-/// The mean of some figures over three seeds.
+/// Mean results over three seeds.
 #[derive(Debug)]
 struct Mean {
     p50: f64,
     p99: f64,
-    lost: f64,
+    lost_fraction: f64,
     unavoidable: f64,
 }
 
-fn measure(name: &str, config: &Config, offer: Offer) -> Mean {
-    let runs: Vec<Figures> = (1..=3)
-        .map(|seed| Model::new(config.clone(), offer, seed).run())
+fn measure(name: &str, config: &Config, offered: OfferedLoad) -> Mean {
+    let runs: Vec<BurstStats> = (1..=3)
+        .map(|seed| Model::new(config.clone(), offered, seed).run())
         .collect();
-    let mean = |of: fn(&Figures) -> f64| runs.iter().map(of).sum::<f64>() / runs.len() as f64;
+    let mean = |of: fn(&BurstStats) -> f64| runs.iter().map(of).sum::<f64>() / runs.len() as f64;
     let mean = Mean {
         p50: mean(|run| run.p50),
         p99: mean(|run| run.p99),
-        lost: mean(Figures::lost),
+        lost_fraction: mean(BurstStats::lost_fraction),
         unavoidable: mean(|run| run.unavoidable),
     };
     println!(
         "{name:24} p50 {:6.1} p99 {:6.1} lost {:.3} unavoidable {:.3}",
-        mean.p50, mean.p99, mean.lost, mean.unavoidable
+        mean.p50, mean.p99, mean.lost_fraction, mean.unavoidable
     );
     mean
 }
 
-fn alone(pick: Pick, offer: Offer) -> Mean {
+fn measure_pick_alone(pick: Pick, offered: OfferedLoad) -> Mean {
     measure(
         &format!("{pick} alone"),
         &Config::with_pick_alone(pick),
-        offer,
+        offered,
     )
 }
 
-/// The goals against a choice of target alone.
-fn meets_goals(offer: Offer) {
-    let ours = measure("ours", &Config::default(), offer);
-    assert!(ours.p99 * 3.0 <= alone(Pick::RoundRobin, offer).p99);
-    assert!(ours.p99 * 1.5 <= alone(Pick::LeastInFlight, offer).p99);
-    assert!(ours.lost <= ours.unavoidable * 1.05 + 0.001, "{ours:?}");
+/// Checks the goals relative to target selection alone.
+fn meets_goals(offered: OfferedLoad) {
+    let ours = measure("ours", &Config::default(), offered);
+    assert!(ours.p99 * 3.0 <= measure_pick_alone(Pick::RoundRobin, offered).p99);
+    assert!(ours.p99 * 1.5 <= measure_pick_alone(Pick::LeastInFlight, offered).p99);
+    assert!(
+        ours.lost_fraction <= ours.unavoidable * 1.05 + 0.001,
+        "{ours:?}"
+    );
 }
 
-const WITHIN: Offer = Offer::within();
-const BEYOND: Offer = Offer::beyond();
+const WITHIN: OfferedLoad = OfferedLoad::within();
+const BEYOND: OfferedLoad = OfferedLoad::beyond();
 
 case! {
     burst_within_capacity: meets_goals(WITHIN);
     burst_beyond_capacity: meets_goals(BEYOND);
-    burst_with_false_reports: meets_goals(Offer { lie: true, ..WITHIN });
-    burst_without_reports: meets_goals(Offer { report: false, ..BEYOND });
+    burst_with_false_reports: meets_goals(OfferedLoad { slow_targets_report_idle: true, ..WITHIN });
+    burst_without_reports: meets_goals(OfferedLoad { reports_load: false, ..BEYOND });
 }
 
-/// All targets cold at the start of the burst, with and without slow start.
+/// Measures a burst at whose start all targets are cold, with and without slow start.
 #[test]
 #[ignore = "measurement"]
 fn cold() {
-    for (load, offer) in [("within", WITHIN), ("beyond", BEYOND)] {
-        println!("{load}, cold:");
+    for (name, offered) in [("within", WITHIN), ("beyond", BEYOND)] {
+        println!("{name}, cold:");
         for warm in [Switch::On, Switch::Off] {
-            let offer = Offer { cold: 60, ..offer };
+            let offered = OfferedLoad {
+                answers_until_warm: 60,
+                ..offered
+            };
             measure(
                 &format!("warm {warm}"),
                 &Config {
                     warm,
                     ..Config::default()
                 },
-                offer,
+                offered,
             );
         }
     }
 }
 
-/// The table of figures; a measurement rather than a check, and slow.
+/// Prints a table of results. Slow; a measurement without checks.
 #[test]
 #[ignore = "measurement"]
 fn figures() {
-    let offers = [
+    let offered_loads = [
         ("within", WITHIN),
         ("beyond", BEYOND),
         (
             "lying",
-            Offer {
-                lie: true,
+            OfferedLoad {
+                slow_targets_report_idle: true,
                 ..WITHIN
             },
         ),
         (
             "silent within",
-            Offer {
-                report: false,
+            OfferedLoad {
+                reports_load: false,
                 ..WITHIN
             },
         ),
         (
             "silent beyond",
-            Offer {
-                report: false,
+            OfferedLoad {
+                reports_load: false,
                 ..BEYOND
             },
         ),
-        ("many within", WITHIN.many()),
-        ("many beyond", BEYOND.many()),
+        ("many within", WITHIN.large_fleet()),
+        ("many beyond", BEYOND.large_fleet()),
     ];
-    for (load, offer) in offers {
-        println!("{load}:");
-        alone(Pick::RoundRobin, offer);
-        alone(Pick::LeastInFlight, offer);
+    for (name, offered) in offered_loads {
+        println!("{name}:");
+        measure_pick_alone(Pick::RoundRobin, offered);
+        measure_pick_alone(Pick::LeastInFlight, offered);
         for pick in [Pick::RoundRobin, Pick::LeastInFlight, Pick::TwoChoices] {
             measure(
                 &pick.to_string(),
@@ -651,7 +664,7 @@
                     pick,
                     ..Config::default()
                 },
-                offer,
+                offered,
             );
         }
         measure(
@@ -660,41 +673,40 @@
                 order: Order::Lifo,
                 ..Config::default()
             },
-            offer,
+            offered,
         );
     }
 }
 
-/// In a run of all faults beside other load targets shed one to four requests, though hosts are to send none more than slots and
-/// queue hold. Hosts of a zone that are stopped and started carry its requests in turn; each had raised its limit to what it got
-/// through alone, 5 to 6 for 4 slots, and kept it while it had nothing to send. When both were busy again they sent 10 to 12
-/// to targets that hold 8.
+/// Guards against hosts that together exceed the slots and queue of a target, which shed one to four requests. If the hosts of a
+/// zone are stopped and started, they serve its requests in turn. Each raised its limit while it was alone, to 5 to 6 for 4 slots,
+/// and kept it while idle. When both were busy again, they sent 10 to 12 requests to targets that hold 8.
 #[test]
-fn hosts_that_were_busy_in_turn_do_not_overrun_targets() {
+fn hosts_that_were_busy_in_turn_do_not_overload_targets() {
     for seed in 1..=5 {
         for rate in [2500.0, 3500.0] {
-            let offer = Offer {
+            let offered = OfferedLoad {
                 rate,
-                turns: 500_000,
-                slow: 1.0,
+                host_turn_us: 500_000,
+                slow_factor: 1.0,
                 backlog: 4,
-                ..Offer::within()
+                ..OfferedLoad::within()
             };
-            let run = Model::new(Config::default(), offer, seed).run();
+            let run = Model::new(Config::default(), offered, seed).run();
             assert_eq!(run.overrun, 0, "seed {seed}, {rate} a second: {run}");
         }
     }
 }
 
 #[test]
-fn a_target_gets_the_share_of_its_rate_and_no_more() {
+fn a_target_gets_no_more_than_the_share_of_its_rate() {
     let mut rig = Rig::new(2);
     let (limited, other) = (rig.keys[0], rig.keys[1]);
     rig.group.set_rate_share(rig.now, limited, Some(2.0));
-    let targets = (0..10).flat_map(|_| rig.serve(50, &BTreeMap::new()));
+    let targets = (0..10).flat_map(|_| rig.serve_in_sequence(50, &BTreeMap::new()));
     let targets: Vec<TargetKey> = targets.collect();
     let count = targets.iter().filter(|target| **target == limited).count();
-    // Of 5 s.
+    // Expected over 5 s.
     assert!((8..=10).contains(&count), "{count}");
     assert_eq!(
         targets.len() - count,
@@ -707,22 +719,26 @@
     let mut rig = Rig::new(2);
     let limited = rig.keys[0];
     rig.group.set_rate_share(rig.now, limited, Some(0.0));
-    assert!(!rig.serve(100, &BTreeMap::new()).contains(&limited));
+    assert!(!rig
+        .serve_in_sequence(100, &BTreeMap::new())
+        .contains(&limited));
     rig.group.set_rate_share(rig.now, limited, None);
-    assert!(rig.serve(100, &BTreeMap::new()).contains(&limited));
+    assert!(rig
+        .serve_in_sequence(100, &BTreeMap::new())
+        .contains(&limited));
 }
 
 #[test]
-fn requests_are_refused_at_once_when_all_targets_have_given_out_what_they_take() {
+fn requests_are_refused_at_once_when_all_rate_limits_are_used_up() {
     let mut rig = Rig::new(2);
     for key in rig.keys.clone() {
         rig.group.set_rate_share(rig.now, key, Some(1.0));
     }
-    let Verdict::Refuse(refusal) = rig.ask(5000, 5, vec![]) else {
-        panic!("it is not refused");
+    let Verdict::Refuse(refusal) = rig.submit(5000, 5, vec![]) else {
+        panic!("not refused");
     };
     assert_eq!(refusal.reason, Reason::Overload);
     assert_eq!(refusal.retry_after, Duration::from_secs(1));
-    rig.pass(1000);
-    assert!(matches!(rig.ask(5000, 5, vec![]), Verdict::Admit(_)));
+    rig.advance_ms(1000);
+    assert!(matches!(rig.submit(5000, 5, vec![]), Verdict::Admit(_)));
 }
--- a/tests/load.rs
+++ b/tests/load.rs
@@ -1,6 +1,6 @@
-//! What the choice of targets is worth under loads at their worst, replayed in virtual time.
+//! Gains of the mechanisms of target selection under worst-case loads, simulated in virtual time.
 //!
-//! Each test plays a load on hosts with a mechanism and without it, on several seeds, and asserts the gain.
+//! Each test runs a load with and without a mechanism, on several seeds, and asserts the gain.
 
 #![allow(clippy::unwrap_used)]
 
@@ -16,11 +16,11 @@
 
 const SEEDS: std::ops::Range<u64> = 1..6;
 
-fn s(seconds: f64) -> Duration {
+fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
 
-fn on() -> Switches {
+fn all_on() -> Switches {
     Switches::default()
 }
 
@@ -32,159 +32,163 @@
     }
 }
 
-/// The sum over all seeds of what a load gives.
-fn all(switches: Switches, load: impl Fn(Scene) -> Sum) -> Sum {
+/// Sums the results of a load over all seeds.
+fn sum_over_seeds(switches: Switches, load: impl Fn(Scene) -> Sum) -> Sum {
     SEEDS.fold(Sum::default(), |sum, seed| {
-        let one = load(scene(switches, seed));
+        let result = load(scene(switches, seed));
         Sum {
-            asked: sum.asked + one.asked,
-            good: sum.good + one.good,
-            late: sum.late + one.late,
-            refused: sum.refused + one.refused,
-            failed: sum.failed + one.failed,
+            asked: sum.asked + result.asked,
+            good: sum.good + result.good,
+            late: sum.late + result.late,
+            refused: sum.refused + result.refused,
+            failed: sum.failed + result.failed,
         }
     })
 }
 
-/// All objects are new to all targets.
-fn opening(scene: Scene) -> Sum {
+/// Cold start: no target has any object cached.
+fn cold_start(scene: Scene) -> Sum {
     let mut world = World::new(scene);
-    world.run(s(9.0));
-    world.sum(s(0.0), s(6.0))
+    world.run(seconds(9.0));
+    world.sum(seconds(0.0), seconds(6.0))
 }
 
-/// Two of four targets of a region take requests and never answer.
-fn dark(scene: Scene) -> Sum {
+/// Two of four targets of a region accept requests and never answer.
+fn silent_targets(scene: Scene) -> Sum {
     let mut world = World::new(scene);
-    world.run(s(10.0));
+    world.run(seconds(10.0));
     for site in &world.region(1)[..2] {
         world.set_mode(*site, Mode::Dark);
     }
-    world.run(s(10.0));
-    world.sum(s(10.0), s(16.0))
+    world.run(seconds(10.0));
+    world.sum(seconds(10.0), seconds(16.0))
 }
 
-/// Two targets of a region leave and come back with nothing.
-fn come_back(scene: Scene) -> Sum {
+/// Two targets of a region are withdrawn and return with empty caches.
+fn targets_return(scene: Scene) -> Sum {
     let mut world = World::new(scene);
     let sites = world.region(2)[..2].to_vec();
-    world.run(s(10.0));
+    world.run(seconds(10.0));
     for site in &sites {
         world.withdraw(*site);
     }
-    world.run(s(3.0));
+    world.run(seconds(3.0));
     for site in &sites {
         world.restore(*site);
     }
-    world.run(s(9.0));
-    world.sum(s(10.0), s(19.0))
+    world.run(seconds(9.0));
+    world.sum(seconds(10.0), seconds(19.0))
 }
 
-/// One region has more than twice its usual load for a while, more than its targets can take and as much as others may
-/// take over from it within the users' bound on shifts.
+/// One region has more than twice its usual load for three seconds: more than its targets can serve, and as much as other regions
+/// may take over within the limit on shifted traffic.
 fn burst(scene: Scene) -> Sum {
     let rate = scene.rate;
     let mut world = World::new(scene);
-    world.run(s(10.0));
+    world.run(seconds(10.0));
     world.set_rate(0, rate * 2.2);
-    world.run(s(3.0));
+    world.run(seconds(3.0));
     world.set_rate(0, rate);
-    world.run(s(8.0));
-    world.sum(s(10.0), s(18.0))
+    world.run(seconds(8.0));
+    world.sum(seconds(10.0), seconds(18.0))
 }
 
-/// All hosts start anew among targets that have their objects.
-fn hosts_return(scene: Scene) -> Sum {
+/// All hosts restart while the targets keep their cached objects.
+fn hosts_restart(scene: Scene) -> Sum {
     let mut world = World::new(scene);
-    world.run(s(10.0));
+    world.run(seconds(10.0));
     world.restart_hosts();
-    world.run(s(8.0));
-    world.sum(s(10.0), s(16.0))
+    world.run(seconds(8.0));
+    world.sum(seconds(10.0), seconds(16.0))
 }
 
-/// A half of the requests is refused by all targets of a region.
-fn shed(scene: Scene) -> Sum {
+/// All targets of a region refuse half of their requests.
+fn shedding_targets(scene: Scene) -> Sum {
     let mut world = World::new(scene);
-    world.run(s(10.0));
+    world.run(seconds(10.0));
     for site in world.region(2) {
         world.set_mode(site, Mode::Shed(0.5));
     }
-    world.run(s(8.0));
-    world.sum(s(10.0), s(16.0))
+    world.run(seconds(8.0));
+    world.sum(seconds(10.0), seconds(16.0))
 }
 
-/// Twice as much work as all slots can do, for ten seconds.
-fn too_much(scene: Scene) -> World {
+/// Twice the load that all slots can serve, for ten seconds.
+fn overload(scene: Scene) -> World {
     let mut world = World::new(Scene {
         fresh: Duration::from_millis(150),
         again: Duration::from_millis(150),
         rate: 290.0,
         ..scene
     });
-    world.run(s(12.0));
+    world.run(seconds(12.0));
     world
 }
 
 fn overloaded(scene: Scene) -> Sum {
-    too_much(scene).sum(s(2.0), s(8.0))
+    overload(scene).sum(seconds(2.0), seconds(8.0))
 }
 
-/// Without one mechanism.
+/// Returns the switches with one mechanism off.
 fn without(change: impl Fn(&mut Switches)) -> Switches {
-    let mut switches = on();
+    let mut switches = all_on();
     change(&mut switches);
     switches
 }
 
-/// A load on which a mechanism raises the part of the requests that is answered in good time from at most one figure to
-/// at least another.
-macro_rules! gains {
+/// Defines tests by a load, a mechanism, and the share of requests answered in time: at most the first value without the
+/// mechanism and at least the second with it.
+macro_rules! mechanism_gains {
     ($($name:ident: $load:ident, $mechanism:ident, $before:literal => $after:literal;)*) => {$(
         #[test]
         fn $name() {
-            let before = all(without(|switches| switches.$mechanism = Switch::Off), $load);
-            let after = all(on(), $load);
+            let before = sum_over_seeds(without(|switches| switches.$mechanism = Switch::Off), $load);
+            let after = sum_over_seeds(all_on(), $load);
             assert!(before.share() <= $before, "{:.3} before: {before:?}", before.share());
             assert!(after.share() >= $after, "{:.3} after: {after:?}", after.share());
         }
     )*};
 }
 
-gains! {
-    objects_stay_where_they_are_warm_when_targets_come_back: come_back, warmth, 0.953 => 0.965;
-    objects_stay_where_they_are_warm_in_a_burst: burst, warmth, 0.985 => 0.990;
-    a_refused_request_goes_to_a_target_that_has_its_object: shed, warmth, 0.847 => 0.853;
-    silent_targets_get_nothing: dark, silence, 0.820 => 0.873;
-    the_object_decides_in_the_opening: opening, affinity, 0.28 => 0.767;
-    the_object_decides_when_all_hosts_return: hosts_return, affinity, 0.79 => 0.996;
+mechanism_gains! {
+    warmth_keeps_objects_in_place_when_targets_return: targets_return, warmth, 0.953 => 0.965;
+    warmth_keeps_objects_in_place_in_a_burst: burst, warmth, 0.985 => 0.990;
+    refused_requests_go_to_targets_with_a_cached_object: shedding_targets, warmth, 0.847 => 0.853;
+    targets_that_never_answer_get_no_requests: silent_targets, silence, 0.820 => 0.873;
+    affinity_speeds_up_a_cold_start: cold_start, affinity, 0.28 => 0.767;
+    affinity_survives_a_restart_of_all_hosts: hosts_restart, affinity, 0.79 => 0.996;
     other_regions_help_in_a_burst: burst, far, 0.92 => 0.990;
-    what_has_no_room_is_refused_early: overloaded, early_refusal, 0.07 => 0.38;
+    requests_beyond_capacity_are_refused_early: overloaded, early_refusal, 0.07 => 0.38;
 }
 
 #[test]
-fn silence_halves_what_is_lost_at_dark_targets() {
-    let before = all(without(|switches| switches.silence = Switch::Off), dark);
-    let after = all(on(), dark);
+fn silence_detection_halves_failures_at_silent_targets() {
+    let before = sum_over_seeds(
+        without(|switches| switches.silence = Switch::Off),
+        silent_targets,
+    );
+    let after = sum_over_seeds(all_on(), silent_targets);
     assert!(after.failed * 2 <= before.failed, "{before:?} {after:?}");
 }
 
 #[test]
-fn what_cannot_be_served_is_refused_at_once() {
+fn requests_beyond_capacity_are_refused_at_once() {
     for seed in SEEDS {
-        let world = too_much(scene(on(), seed));
-        let sum = world.sum(s(2.0), s(8.0));
+        let world = overload(scene(all_on(), seed));
+        let sum = world.sum(seconds(2.0), seconds(8.0));
         assert!(sum.refused > 0 && sum.failed == 0, "{sum:?}");
-        // Two tries at most, each a way there and back.
+        // At most two attempts, each with one round trip.
         let longest = world.longest_refusal();
         assert!(longest <= Duration::from_millis(80), "{longest:?}");
     }
 }
 
-/// The users' bound on the part of a region's requests that may change their region from one window to the next.
-const MOST_SHIFTED: f64 = 0.15;
+/// Limit on the share of a region's requests that may change their region from one window to the next.
+const MAX_SHIFTED_SHARE: f64 = 0.15;
 const SHIFT_WINDOW: Duration = Duration::from_secs(2);
 
-/// Enough targets and requests that single ones don't matter; for three seconds the first `regions` have `times` their load.
+/// A burst with so many targets and requests that single ones don't matter: for three seconds the first `regions` have `times`
+/// their load.
 fn wide_burst(scene: Scene, regions: usize, times: f64) -> World {
     let rate = 240.0;
     let mut world = World::new(Scene {
@@ -193,70 +197,80 @@
         objects: 240,
         ..scene
     });
-    world.run(s(10.0));
+    world.run(seconds(10.0));
     for region in 0..regions {
         world.set_rate(region, rate * times);
     }
-    world.run(s(3.0));
+    world.run(seconds(3.0));
     for region in 0..regions {
         world.set_rate(region, rate);
     }
-    world.run(s(8.0));
+    world.run(seconds(8.0));
     world
 }
 
-/// The largest shift of the first region around such a burst.
-fn shift(world: &World) -> f64 {
-    world.largest_shift(0, (s(8.0), s(20.0)), SHIFT_WINDOW)
+/// Returns the largest shift of the first region around such a burst.
+fn largest_shift(world: &World) -> f64 {
+    world.largest_shift(0, (seconds(8.0), seconds(20.0)), SHIFT_WINDOW)
 }
 
 #[test]
-fn a_burst_leaves_its_region_step_by_step() {
+fn a_burst_shifts_to_other_regions_gradually() {
     for seed in SEEDS {
         let scene = Scene {
             targets: vec![8, 16, 20],
-            ..scene(on(), seed)
+            ..scene(all_on(), seed)
         };
         let world = wide_burst(scene, 1, 3.0);
-        let shift = shift(&world);
-        assert!(shift <= MOST_SHIFTED, "seed {seed}: {shift:.3}");
-        let share = world.sum(s(10.0), s(18.0)).share();
+        let largest_shift = largest_shift(&world);
+        assert!(
+            largest_shift <= MAX_SHIFTED_SHARE,
+            "seed {seed}: {largest_shift:.3}"
+        );
+        let share = world.sum(seconds(10.0), seconds(18.0)).share();
         assert!(share >= 0.88, "seed {seed}: {share:.3}");
     }
 }
 
 #[test]
-fn a_burst_everywhere_moves_little() {
+fn a_burst_in_all_regions_shifts_little() {
     for seed in SEEDS {
         let scene = Scene {
             targets: vec![13, 13, 13],
-            ..scene(on(), seed)
+            ..scene(all_on(), seed)
         };
         let world = wide_burst(scene, 3, 2.2);
-        let shift = shift(&world);
-        assert!(shift <= MOST_SHIFTED, "seed {seed}: {shift:.3}");
+        let largest_shift = largest_shift(&world);
+        assert!(
+            largest_shift <= MAX_SHIFTED_SHARE,
+            "seed {seed}: {largest_shift:.3}"
+        );
     }
 }
 
 #[test]
-fn what_a_lost_zone_had_leaves_at_once() {
+fn traffic_of_a_lost_zone_shifts_at_once() {
     for seed in SEEDS {
         let mut world = World::new(Scene {
             targets: vec![4, 4, 4],
-            ..scene(on(), seed)
+            ..scene(all_on(), seed)
         });
-        world.run(s(10.0));
+        world.run(seconds(10.0));
         for site in &world.region(1)[1..] {
             world.withdraw(*site);
         }
-        world.run(s(6.0));
-        let sum = world.sum(s(10.2), s(15.0));
+        world.run(seconds(6.0));
+        let sum = world.sum(seconds(10.2), seconds(15.0));
         assert!(sum.refused * 100 <= sum.asked, "seed {seed}: {sum:?}");
     }
 }
 
-/// All regions have more than their targets can do for three seconds, and refused callers come back once.
-fn crowd(seed: u64, times: f64, pause: fn(Duration, f64) -> Duration) -> World {
+/// All regions have more load than their targets can serve for three seconds, and refused callers retry once.
+fn overload_with_returning_callers(
+    seed: u64,
+    times: f64,
+    pause: fn(Duration, f64) -> Duration,
+) -> World {
     let rate = 240.0;
     let mut world = World::new(Scene {
         targets: vec![13, 13, 13],
@@ -264,42 +278,45 @@
         rate,
         objects: 240,
         pause: Some(pause),
-        ..scene(on(), seed)
+        ..scene(all_on(), seed)
     });
-    world.run(s(10.0));
+    world.run(seconds(10.0));
     for region in 0..3 {
         world.set_rate(region, rate * times);
     }
-    world.run(s(3.0));
+    world.run(seconds(3.0));
     for region in 0..3 {
         world.set_rate(region, rate);
     }
-    world.run(s(6.0));
+    world.run(seconds(6.0));
     world
 }
 
-/// The part that is answered in good time, over all seeds.
-fn in_good_time(times: f64, pause: fn(Duration, f64) -> Duration) -> f64 {
-    let sums = SEEDS.map(|seed| crowd(seed, times, pause).sum(s(10.0), s(15.0)));
+/// Returns the share of requests answered in time, over all seeds.
+fn share_in_time(times: f64, pause: fn(Duration, f64) -> Duration) -> f64 {
+    let sums = SEEDS.map(|seed| {
+        overload_with_returning_callers(seed, times, pause).sum(seconds(10.0), seconds(15.0))
+    });
     let (good, asked) = sums.fold((0, 0), |(good, asked), sum| {
         (good + sum.good, asked + sum.asked)
     });
     f64::from(good) / f64::from(asked)
 }
 
-/// Callers that return as they are told are served better than after a fixed quarter of a second.
-macro_rules! returns {
+/// Defines tests that compare the suggested retry delay with a fixed one of a quarter of a second, by the share of requests
+/// answered in time.
+macro_rules! retry_delay_gains {
     ($($name:ident: $times:literal, $before:literal => $after:literal;)*) => {$(
         #[test]
         fn $name() {
-            let fixed = in_good_time($times, |_, _| Duration::from_millis(250));
-            let told = in_good_time($times, |room, draw| Refused { room, rank: 0.5 }.pause(draw));
-            assert!(fixed <= $before && told >= $after, "{fixed:.3} {told:.3}");
+            let fixed = share_in_time($times, |_, _| Duration::from_millis(250));
+            let suggested = share_in_time($times, |room, draw| Refused { room, rank: 0.5 }.pause(draw));
+            assert!(fixed <= $before && suggested >= $after, "{fixed:.3} {suggested:.3}");
         }
     )*};
 }
 
-returns! {
-    callers_return_when_there_is_room_in_a_burst: 2.2, 0.755 => 0.785;
-    callers_return_when_there_is_room_in_a_heavy_burst: 2.8, 0.54 => 0.56;
+retry_delay_gains! {
+    suggested_retry_delays_help_in_a_burst: 2.2, 0.755 => 0.785;
+    suggested_retry_delays_help_in_a_heavy_burst: 2.8, 0.54 => 0.56;
 }
--- a/tests/lookup.rs
+++ b/tests/lookup.rs
@@ -1,4 +1,4 @@
-//! The table of client blocks, and look-ups.
+//! The table of client blocks, and look-ups of entry hosts.
 
 #![allow(clippy::unwrap_used)]
 
@@ -16,7 +16,7 @@
 use ragwortfold::steer::lookup::{Answer, Snapshot};
 use ragwortfold::steer::split::Split;
 
-/// Names a block by few numbers, so that blocks nest and meet often.
+/// Builds a block from a small range of numbers, so that blocks often nest or coincide.
 fn net(family: bool, bits: u32, length: u8) -> IpNet {
     if family {
         let address = u128::from(bits) << 96 | u128::from(bits) << 40;
@@ -32,7 +32,7 @@
         .prop_map(|(family, bits, length)| net(family, bits << 10, length))
 }
 
-/// The same table by an independent library.
+/// Test oracle: the same table in an independent library.
 #[derive(Default)]
 struct Oracle {
     v4: PrefixMap<Ipv4Net, RegionKey>,
@@ -68,26 +68,29 @@
 /// A block to set, or an existing one to remove.
 type Change = (IpNet, Option<usize>, prop::sample::Index);
 
-/// Whether the whole list is given anew, and the changes.
+/// Whether the complete list is replaced, and the changes.
 type Round = (bool, Vec<Change>);
 
-/// Addresses at the edges of blocks.
+/// Returns the first and the last address of a block.
 fn edges(net: &IpNet) -> [IpAddr; 2] {
     [net.network(), net.broadcast()]
 }
 
-fn check(table: &Table, blocks: &BTreeMap<IpNet, RegionKey>) -> Result<(), TestCaseError> {
+fn compare_with_oracle(
+    table: &Table,
+    blocks: &BTreeMap<IpNet, RegionKey>,
+) -> Result<(), TestCaseError> {
     prop_assert_eq!(table.len(), blocks.len());
     let oracle = Oracle::new(blocks);
     for client in blocks.keys().flat_map(edges) {
         prop_assert_eq!(table.find(client), oracle.find(client), "at {}", client);
     }
     for bits in 0..500u32 {
-        let wide = bits.wrapping_mul(8_675_309);
+        let spread_bits = bits.wrapping_mul(8_675_309);
         for client in [
-            net(false, wide, 32),
-            net(false, wide >> 8, 32),
-            net(true, wide >> 8, 32),
+            net(false, spread_bits, 32),
+            net(false, spread_bits >> 8, 32),
+            net(true, spread_bits >> 8, 32),
         ] {
             prop_assert_eq!(table.find(client.addr()), oracle.find(client.addr()));
         }
@@ -123,25 +126,25 @@
             blocks.iter().map(|(&net, &region)| (net, region)).collect()
         };
         let mut table = Table::default().with_blocks(&all(&blocks));
-        check(&table, &blocks)?;
-        for (whole, changes) in rounds {
+        compare_with_oracle(&table, &blocks)?;
+        for (is_complete, changes) in rounds {
             let before = (table.clone(), blocks.clone());
-            let (mut put, mut remove) = (Vec::new(), Vec::new());
+            let (mut added, mut removed) = (Vec::new(), Vec::new());
             for (net, region, old) in changes {
                 match region {
-                    Some(region) => put.push((net, regions[region])),
+                    Some(region) => added.push((net, regions[region])),
                     None if blocks.is_empty() => {}
-                    None => remove.push(*old.get(&blocks.keys().copied().collect::<Vec<_>>())),
+                    None => removed.push(*old.get(&blocks.keys().copied().collect::<Vec<_>>())),
                 }
             }
-            blocks.retain(|net, _| !remove.contains(net));
-            blocks.extend(put.iter().copied());
-            table = if whole {
+            blocks.retain(|net, _| !removed.contains(net));
+            blocks.extend(added.iter().copied());
+            table = if is_complete {
                 table.with_blocks(&all(&blocks))
             } else {
-                table.with_changes(&put, &remove)
+                table.with_changes(&added, &removed)
             };
-            check(&table, &blocks)?;
+            compare_with_oracle(&table, &blocks)?;
             prop_assert_eq!(before.0.len(), before.1.len());
         }
         Ok(())
@@ -152,7 +155,7 @@
 }
 
 #[test]
-fn a_change_leaves_all_other_chunks_shared() {
+fn a_change_keeps_all_other_chunks_shared() {
     let catalog = catalog(SMALL);
     let (one, other) = (region(&catalog, "r0"), region(&catalog, "r1"));
     let mut blocks: Vec<_> = (0..50_000u32)
@@ -181,7 +184,7 @@
 }
 
 #[test]
-fn a_wide_block_is_steered_by_parts() {
+fn a_wide_block_is_divided_for_steering() {
     let catalog = catalog(SMALL);
     let home = region(&catalog, "r0");
     let ip: IpAddr = "10.1.2.3".parse().expect("an address");
@@ -194,15 +197,15 @@
     assert_eq!(Table::block(ip, None).to_string(), "2001:db8::/56");
 }
 
-/// A snapshot in which all split shares are as given, with some hosts dead.
-fn snapshot(catalog: &Catalog, shares: &[(&str, f64)], dead: &[&str], own: &str) -> Snapshot {
+/// Creates a snapshot in which all splits have the given shares and some hosts are down.
+fn snapshot(catalog: &Catalog, shares: &[(&str, f64)], down: &[&str], own: &str) -> Snapshot {
     let split = Split::new(
         catalog,
         shares
             .iter()
             .map(|&(name, share)| (zone(catalog, name), share)),
     );
-    let alive = |(name, _): &(String, HostKey)| !dead.iter().any(|dead| name.starts_with(dead));
+    let alive = |(name, _): &(String, HostKey)| !down.iter().any(|down| name.starts_with(down));
     let live: BTreeSet<HostKey> = hosts(catalog)
         .into_iter()
         .filter(alive)
@@ -223,7 +226,7 @@
         .collect()
 }
 
-/// The zones of the hosts in an answer.
+/// Returns the zones of the hosts in an answer.
 fn zones(catalog: &Catalog, snapshot: &Snapshot) -> Vec<String> {
     let answer = snapshot.answer(service(catalog), "10.1.5.3".parse().expect("an address"), 0);
     names(catalog, &answer)
@@ -232,9 +235,9 @@
         .collect()
 }
 
-/// One row: the shares, what is dead, the own zone, a zone that drains, and the zones of the answer.
+/// Defines tests by the shares, prefixes of hosts that are down, the own zone, a draining zone and the expected zones of the answer.
 macro_rules! case {
-    ($($name:ident: $shares:expr, $dead:expr, $own:expr, $off:expr => $wanted:expr;)*) => {$(
+    ($($name:ident: $shares:expr, $down:expr, $own:expr, $off:expr => $expected:expr;)*) => {$(
         #[test]
         fn $name() {
             let mut value = configuration(SMALL);
@@ -243,10 +246,10 @@
                 value["availability_zones"][zone as &str]["state"] = serde_json::json!("draining");
             }
             let catalog = lay(&Catalog::default(), value);
-            let dead: &[&str] = &$dead;
-            let snapshot = snapshot(&catalog, &$shares, dead, $own);
-            let wanted: &[&str] = &$wanted;
-            assert_eq!(zones(&catalog, &snapshot), wanted);
+            let down: &[&str] = &$down;
+            let snapshot = snapshot(&catalog, &$shares, down, $own);
+            let expected: &[&str] = &$expected;
+            assert_eq!(zones(&catalog, &snapshot), expected);
         }
     )*};
 }
@@ -254,25 +257,25 @@
 const NONE: Option<&str> = None;
 
 case! {
-    chosen_then_sibling_then_near: [("r0-z1", 1.0)], [], "r2-z0", NONE
+    chosen_zone_then_own_region_then_nearest: [("r0-z1", 1.0)], [], "r2-z0", NONE
         => ["r0-z1", "r0-z1", "r0-z0", "r1-z1"];
-    one_host_left: [("r0-z1", 1.0)], ["r0-z1-h0"], "r0-z0", NONE
+    one_host_of_the_chosen_zone_left: [("r0-z1", 1.0)], ["r0-z1-h0"], "r0-z0", NONE
         => ["r0-z1", "r0-z0", "r1-z1", "r2-z1"];
-    dead_zone_is_passed_over: [("r0-z1", 0.9), ("r0-z0", 0.1)], ["r0-z1"], "r0-z0", NONE
+    zone_without_live_hosts_is_skipped: [("r0-z1", 0.9), ("r0-z0", 0.1)], ["r0-z1"], "r0-z0", NONE
         => ["r0-z0", "r0-z0", "r1-z1", "r2-z1"];
-    draining_zone_is_passed_over: [("r0-z1", 0.9), ("r0-z0", 0.1)], [], "r0-z0", Some("r0-z1")
+    draining_zone_is_skipped: [("r0-z1", 0.9), ("r0-z0", 0.1)], [], "r0-z0", Some("r0-z1")
         => ["r0-z0", "r0-z0", "r1-z1", "r2-z1"];
-    dead_region_goes_to_the_nearest: [("r0-z1", 1.0)], ["r0"], "r1-z0", NONE
+    region_without_live_hosts_falls_back_to_the_nearest: [("r0-z1", 1.0)], ["r0"], "r1-z0", NONE
         => ["r1-z1", "r1-z1", "r1-z0", "r2-z1"];
-    cut_off_zone_names_itself: [("r1-z1", 1.0)], ["r0", "r1", "r2-z0"], "r2-z1", NONE
+    disconnected_zone_returns_its_own_hosts: [("r1-z1", 1.0)], ["r0", "r1", "r2-z0"], "r2-z1", NONE
         => ["r2-z1", "r2-z1"];
     no_split_yet: [], [], "r0-z0", NONE => ["r0-z1", "r0-z1", "r0-z0", "r1-z1"];
-    split_abroad: [("r2-z0", 1.0)], [], "r0-z0", NONE => ["r2-z0", "r2-z0", "r2-z1", "r0-z1"];
-    nobody_left: [("r0-z1", 1.0)], ["r"], "r0-z0", NONE => [];
+    split_into_another_region: [("r2-z0", 1.0)], [], "r0-z0", NONE => ["r2-z0", "r2-z0", "r2-z1", "r0-z1"];
+    no_live_hosts: [("r0-z1", 1.0)], ["r"], "r0-z0", NONE => [];
 }
 
 #[test]
-fn blocks_spread_over_hosts_and_stay_while_their_host_lives() {
+fn blocks_spread_over_hosts_and_keep_a_live_host() {
     let size = Size {
         regions: 1,
         zones: 1,
@@ -299,7 +302,7 @@
 }
 
 #[test]
-fn a_spread_divides_a_block_and_unknown_callers_are_at_home() {
+fn a_spread_divides_a_block_and_unknown_callers_get_the_own_region() {
     let catalog = catalog(SMALL);
     let shares = [("r0-z0", 0.5), ("r0-z1", 0.5)];
     let snapshot = snapshot(&catalog, &shares, &[], "r1-z0");
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -1,4 +1,4 @@
-//! Two hosts that share targets, on virtual time: an event queue and nothing else.
+//! Discrete-event simulation of hosts that share targets, in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -7,15 +7,15 @@
 
 use ragwortfold::catalog::{Catalog, TargetKey};
 use ragwortfold::steer::group::{
-    Config, End, Grant, Group, Id, Load as Reported, Report, State, TargetRequest, Verdict,
+    Config, End, Grant, Group, Id, Load, Report, State, TargetRequest, Verdict,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-const SLOTS: usize = 4;
-const DEADLINE: u64 = 800_000;
-const WIRE: u64 = 500;
-const TRIES: usize = 3;
+const SLOTS_PER_TARGET: usize = 4;
+const DEADLINE_US: u64 = 800_000;
+const WIRE_DELAY_US: u64 = 500;
+const MAX_ATTEMPTS: usize = 3;
 
 /// A site of `count` targets with `slots` slots and `connections` connections each.
 pub fn catalog(count: usize, slots: u32, connections: u32, warm: u32) -> Catalog {
@@ -23,7 +23,7 @@
     revise(&catalog, &vec!["serving"; count], slots, connections, warm)
 }
 
-/// The next revision, with these states of the targets.
+/// The next revision, with the given states of the targets.
 pub fn revise(
     catalog: &Catalog,
     states: &[&str],
@@ -54,49 +54,49 @@
         .expect("a valid model")
 }
 
-/// What is offered, and what goes wrong.
+/// Offered load, and the faults during it.
 #[derive(Clone, Copy, Debug)]
-pub struct Load {
+pub struct OfferedLoad {
     /// Hosts that share the targets.
     pub hosts: usize,
     /// Targets.
     pub targets: usize,
     /// Requests per second outside the burst; three times as many in it.
     pub rate: f64,
-    /// Mean time to serve, in microseconds.
-    pub service: f64,
-    /// The factor of one target in ten, from the first second on.
-    pub slow: f64,
-    /// Requests a target queues above its slots before it sheds.
+    /// Mean service time, in microseconds.
+    pub service_time_us: f64,
+    /// Slowdown factor of one target in ten, after the first second.
+    pub slow_factor: f64,
+    /// Requests that a target queues beyond its slots before it refuses more.
     pub backlog: usize,
-    /// Time between samples of the load reports, in microseconds.
-    pub lag: u64,
-    /// Whether the slow targets report that they are idle.
-    pub lie: bool,
-    /// Whether targets report their load at all.
-    pub report: bool,
-    /// Answers until a target's caches are full; until then it takes the longer
-    /// the more it runs at once, as all of them miss.
-    pub cold: u32,
-    /// Outside the burst hosts get all requests in turn, each for so long, in microseconds; at random if this is 0.
-    pub turns: u64,
+    /// Interval between samples of the load reports, in microseconds.
+    pub report_interval_us: u64,
+    /// Whether slow targets falsely report that they are idle.
+    pub slow_targets_report_idle: bool,
+    /// Whether targets report their load.
+    pub reports_load: bool,
+    /// Number of answers until a target's caches are full; until then concurrent requests slow each
+    /// other down, since all of them miss the cache.
+    pub answers_until_warm: u32,
+    /// Outside the burst, time for which one host after the other gets all requests, in microseconds; 0 selects a host at random.
+    pub host_turn_us: u64,
 }
 
-impl Load {
+impl OfferedLoad {
     /// A burst to three quarters of the capacity.
     pub const fn within() -> Self {
         Self {
             hosts: 2,
             targets: 10,
             rate: 910.0,
-            service: 10_000.0,
-            slow: 10.0,
+            service_time_us: 10_000.0,
+            slow_factor: 10.0,
             backlog: 64,
-            lag: 50_000,
-            lie: false,
-            report: true,
-            cold: 0,
-            turns: 0,
+            report_interval_us: 50_000,
+            slow_targets_report_idle: false,
+            reports_load: true,
+            answers_until_warm: 0,
+            host_turn_us: 0,
         }
     }
 
@@ -108,8 +108,8 @@
         }
     }
 
-    /// The same, for the fleet of later.
-    pub fn many(self) -> Self {
+    /// The same load scaled up to a large fleet.
+    pub fn large_fleet(self) -> Self {
         Self {
             hosts: 45,
             targets: 50,
@@ -119,16 +119,17 @@
     }
 
     fn capacity(&self) -> f64 {
-        let slow = (self.targets / 10) as f64;
-        let equal = self.targets as f64 - slow + slow / self.slow;
-        equal * SLOTS as f64 * 1e6 / self.service
+        let slow_targets = (self.targets / 10) as f64;
+        let equivalent_targets =
+            self.targets as f64 - slow_targets + slow_targets / self.slow_factor;
+        equivalent_targets * SLOTS_PER_TARGET as f64 * 1e6 / self.service_time_us
     }
 }
 
-/// The outcomes of the requests offered in the burst. One that got no answer by its deadline counts
-/// in the percentiles with that time; one shed at once does not count there.
+/// Results of the requests offered in the burst. A request without an answer by its deadline counts in
+/// the percentiles with its deadline; a request refused immediately does not count there.
 #[derive(Debug, Default)]
-pub struct Figures {
+pub struct BurstStats {
     pub offered: usize,
     pub answered: usize,
     pub shed: usize,
@@ -136,24 +137,24 @@
     pub p50: f64,
     pub p99: f64,
     pub unavoidable: f64,
-    pub most: u32,
-    /// Requests that targets refused, as their slots and queues were full.
+    pub max_in_flight: u32,
+    /// Requests that targets refused because their slots and queues were full.
     pub overrun: usize,
 }
 
-impl Figures {
-    /// The part of the offered requests that got no answer.
-    pub fn lost(&self) -> f64 {
+impl BurstStats {
+    /// Returns the fraction of offered requests that got no answer.
+    pub fn lost_fraction(&self) -> f64 {
         (self.shed + self.late) as f64 / self.offered as f64
     }
 }
 
-impl fmt::Display for Figures {
+impl fmt::Display for BurstStats {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
             "offered {} answered {} shed {} late {} p50 {:.1} ms p99 {:.1} ms lost {:.3} unavoidable {:.3} most {}",
-            self.offered, self.answered, self.shed, self.late, self.p50, self.p99, self.lost(), self.unavoidable, self.most
+            self.offered, self.answered, self.shed, self.late, self.p50, self.p99, self.lost_fraction(), self.unavoidable, self.max_in_flight
         )
     }
 }
@@ -161,39 +162,39 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive,
-    Reach(usize, usize),
-    Done(usize, usize),
-    Back(usize, usize),
+    ReachTarget(usize, usize),
+    CompleteAtTarget(usize, usize),
+    ReceiveAnswer(usize, usize),
     Deadline(usize),
-    Wake(usize),
-    Sample,
+    ProcessQueue(usize),
+    SampleLoads,
 }
 
 #[derive(Default)]
 struct Request {
     host: usize,
-    at: u64,
-    sent: u64,
-    tries: usize,
+    arrived_us: u64,
+    sent_us: u64,
+    attempts: usize,
     grant: Option<Grant>,
     exclude: Vec<TargetKey>,
     refused: bool,
-    ends: usize,
+    outcomes: usize,
 }
 
 #[derive(Default)]
 struct Target {
     running: Vec<(usize, usize)>,
     waiting: VecDeque<(usize, usize)>,
-    reported: u32,
+    reported_load: u32,
     served: u32,
 }
 
-/// The model.
+/// The simulation.
 pub struct Model {
-    load: Load,
-    base: Instant,
-    now: u64,
+    load: OfferedLoad,
+    start: Instant,
+    now_us: u64,
     rng: Pcg64,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     serial: u64,
@@ -202,17 +203,17 @@
     targets: Vec<Target>,
     requests: Vec<Request>,
     latencies: Vec<u64>,
-    figures: Figures,
-    wakes: Vec<u64>,
-    cooled: bool,
+    figures: BurstStats,
+    wake_times_us: Vec<u64>,
+    caches_cleared: bool,
 }
 
-const BURST: std::ops::Range<u64> = 3_000_000..6_000_000;
-const END: u64 = 8_000_000;
+const BURST_PERIOD_US: std::ops::Range<u64> = 3_000_000..6_000_000;
+const LAST_ARRIVAL_US: u64 = 8_000_000;
 
 impl Model {
-    pub fn new(config: Config, load: Load, seed: u64) -> Self {
-        let catalog = catalog(load.targets, SLOTS as u32, 400, 2);
+    pub fn new(config: Config, load: OfferedLoad, seed: u64) -> Self {
+        let catalog = catalog(load.targets, SLOTS_PER_TARGET as u32, 400, 2);
         let service = catalog.service_key("s").expect("a valid model");
         let zone = catalog.zone_key("z").expect("a valid model");
         let base = Instant::now();
@@ -220,8 +221,8 @@
         group.update(base, &catalog, service, zone, load.hosts);
         Self {
             load,
-            base,
-            now: 0,
+            start: base,
+            now_us: 0,
             rng: Pcg64::seed_from_u64(seed),
             events: BinaryHeap::new(),
             serial: 0,
@@ -234,29 +235,30 @@
             targets: (0..load.targets).map(|_| Target::default()).collect(),
             requests: Vec::new(),
             latencies: Vec::new(),
-            figures: Figures::default(),
-            wakes: vec![0; load.hosts],
-            cooled: false,
+            figures: BurstStats::default(),
+            wake_times_us: vec![0; load.hosts],
+            caches_cleared: false,
         }
     }
 
-    /// Runs to the end of the last request.
-    pub fn run(mut self) -> Figures {
+    /// Runs the simulation to the end of the last request.
+    pub fn run(mut self) -> BurstStats {
         self.push(0, Event::Arrive);
-        self.push(0, Event::Sample);
+        self.push(0, Event::SampleLoads);
         while let Some(Reverse((at, _, event))) = self.events.pop() {
-            self.now = at;
-            self.step(event);
+            self.now_us = at;
+            self.handle_event(event);
         }
-        assert!(self.requests.iter().all(|request| request.ends == 1));
+        assert!(self.requests.iter().all(|request| request.outcomes == 1));
         self.latencies.sort_unstable();
-        let at = |part: f64| self.latencies[((self.latencies.len() - 1) as f64 * part) as usize];
-        let seconds = (BURST.end - BURST.start) as f64 / 1e6;
+        let percentile =
+            |fraction: f64| self.latencies[((self.latencies.len() - 1) as f64 * fraction) as usize];
+        let seconds = (BURST_PERIOD_US.end - BURST_PERIOD_US.start) as f64 / 1e6;
         let offered = self.figures.offered as f64;
-        Figures {
+        BurstStats {
             answered: self.latencies.len() - self.figures.late,
-            p50: at(0.5) as f64 / 1e3,
-            p99: at(0.99) as f64 / 1e3,
+            p50: percentile(0.5) as f64 / 1e3,
+            p99: percentile(0.99) as f64 / 1e3,
             unavoidable: (1.0 - self.load.capacity() * seconds / offered).max(0.0),
             ..self.figures
         }
@@ -265,135 +267,139 @@
     fn push(&mut self, delay: u64, event: Event) {
         self.serial += 1;
         self.events
-            .push(Reverse((self.now + delay, self.serial, event)));
+            .push(Reverse((self.now_us + delay, self.serial, event)));
     }
 
     fn instant(&self, at: u64) -> Instant {
-        self.base + Duration::from_micros(at)
+        self.start + Duration::from_micros(at)
     }
 
-    fn step(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Arrive => self.arrive(),
-            Event::Reach(request, attempt) => self.reach(request, attempt),
-            Event::Done(target, request) => self.done(target, request),
-            Event::Back(request, attempt) => self.back(request, attempt),
+            Event::Arrive => self.arrive_request(),
+            Event::ReachTarget(request, attempt) => self.reach_target(request, attempt),
+            Event::CompleteAtTarget(target, request) => self.complete_at_target(target, request),
+            Event::ReceiveAnswer(request, attempt) => self.receive_answer(request, attempt),
             Event::Deadline(request) => self.time_out(request),
-            Event::Wake(host) => self.pump(host),
-            Event::Sample => self.sample(),
+            Event::ProcessQueue(host) => self.process_queue(host),
+            Event::SampleLoads => self.sample_loads(),
         }
     }
 
-    fn arrive(&mut self) {
-        if self.load.cold > 0 && !self.cooled && self.now >= BURST.start {
-            self.cooled = true;
+    fn arrive_request(&mut self) {
+        if self.load.answers_until_warm > 0
+            && !self.caches_cleared
+            && self.now_us >= BURST_PERIOD_US.start
+        {
+            self.caches_cleared = true;
             self.targets.iter_mut().for_each(|target| target.served = 0);
         }
-        let burst = BURST.contains(&self.now);
-        let rate = if burst {
+        let in_burst = BURST_PERIOD_US.contains(&self.now_us);
+        let rate = if in_burst {
             self.load.rate * 3.0
         } else {
             self.load.rate
         };
-        let gap = -self.rng.random::<f64>().max(1e-9).ln() * 1e6 / rate;
-        if self.now < END {
-            self.push(gap as u64, Event::Arrive);
+        let interval = -self.rng.random::<f64>().max(1e-9).ln() * 1e6 / rate;
+        if self.now_us < LAST_ARRIVAL_US {
+            self.push(interval as u64, Event::Arrive);
         }
-        self.figures.offered += usize::from(burst);
-        let host = match self.load.turns {
-            turns if turns > 0 && !burst => (self.now / turns) as usize % self.load.hosts,
+        self.figures.offered += usize::from(in_burst);
+        let host = match self.load.host_turn_us {
+            turn if turn > 0 && !in_burst => (self.now_us / turn) as usize % self.load.hosts,
             _ => self.rng.random_range(0..self.load.hosts),
         };
         self.requests.push(Request {
             host,
-            at: self.now,
+            arrived_us: self.now_us,
             ..Request::default()
         });
-        self.push(DEADLINE, Event::Deadline(self.requests.len() - 1));
-        self.ask(self.requests.len() - 1);
+        self.push(DEADLINE_US, Event::Deadline(self.requests.len() - 1));
+        self.submit(self.requests.len() - 1);
     }
 
-    fn ask(&mut self, id: usize) {
+    fn submit(&mut self, id: usize) {
         let request = &self.requests[id];
-        let ask = TargetRequest {
+        let target_request = TargetRequest {
             id: id as Id,
-            deadline: self.instant(request.at + DEADLINE),
+            deadline: self.instant(request.arrived_us + DEADLINE_US),
             priority: 5,
             affinity: 0,
             exclude: request.exclude.clone(),
         };
-        let (now, host) = (self.instant(self.now), request.host);
-        match self.groups[host].admit(now, ask, &mut self.rng) {
+        let (now, host) = (self.instant(self.now_us), request.host);
+        match self.groups[host].admit(now, target_request, &mut self.rng) {
             Verdict::Admit(grant) => self.send(id, grant),
-            Verdict::Refuse(_) => self.end(id, false),
+            Verdict::Refuse(_) => self.end_request(id, false),
             Verdict::Wait => {}
         }
-        self.pump(host);
+        self.process_queue(host);
     }
 
     fn send(&mut self, id: usize, grant: Grant) {
-        let most = self
+        let in_flight = self
             .groups
             .iter()
             .map(|group| group.in_flight(grant.target()))
             .sum();
-        self.figures.most = self.figures.most.max(most);
+        self.figures.max_in_flight = self.figures.max_in_flight.max(in_flight);
         let request = &mut self.requests[id];
-        request.tries += 1;
-        request.sent = self.now;
+        request.attempts += 1;
+        request.sent_us = self.now_us;
         request.refused = false;
         request.grant = Some(grant);
-        let attempt = request.tries;
-        self.push(WIRE, Event::Reach(id, attempt));
+        let attempt = request.attempts;
+        self.push(WIRE_DELAY_US, Event::ReachTarget(id, attempt));
     }
 
-    fn place(&self, id: usize, attempt: usize) -> Option<usize> {
+    fn target_of_attempt(&self, id: usize, attempt: usize) -> Option<usize> {
         let request = &self.requests[id];
         let grant = request
             .grant
             .as_ref()
-            .filter(|_| request.tries == attempt)?;
+            .filter(|_| request.attempts == attempt)?;
         self.keys.iter().position(|&key| key == grant.target())
     }
 
-    fn reach(&mut self, id: usize, attempt: usize) {
-        let Some(place) = self.place(id, attempt) else {
+    fn reach_target(&mut self, id: usize, attempt: usize) {
+        let Some(position) = self.target_of_attempt(id, attempt) else {
             return;
         };
-        let target = &mut self.targets[place];
-        if target.running.len() < SLOTS {
-            self.start(place, id, attempt);
+        let target = &mut self.targets[position];
+        if target.running.len() < SLOTS_PER_TARGET {
+            self.start(position, id, attempt);
         } else if target.waiting.len() < self.load.backlog {
             target.waiting.push_back((id, attempt));
         } else {
             self.requests[id].refused = true;
             self.figures.overrun += 1;
-            self.push(WIRE, Event::Back(id, attempt));
+            self.push(WIRE_DELAY_US, Event::ReceiveAnswer(id, attempt));
         }
     }
 
-    fn start(&mut self, place: usize, id: usize, attempt: usize) {
-        let noise = 0.5 - 0.5 * self.rng.random::<f64>().max(1e-9).ln();
-        let slow = place.is_multiple_of(10) && self.now > 1_000_000;
-        let cold = self.targets[place].served < self.load.cold;
-        let crowd = 2.0 * self.targets[place].running.len() as f64;
-        let factor = if slow { self.load.slow } else { 1.0 } * if cold { 1.0 + crowd } else { 1.0 };
-        self.targets[place].running.push((id, attempt));
-        let delay = (self.load.service * noise * factor) as u64;
-        self.push(delay, Event::Done(place, id));
+    fn start(&mut self, position: usize, id: usize, attempt: usize) {
+        let random_factor = 0.5 - 0.5 * self.rng.random::<f64>().max(1e-9).ln();
+        let is_slow = position.is_multiple_of(10) && self.now_us > 1_000_000;
+        let is_cold = self.targets[position].served < self.load.answers_until_warm;
+        let cold_penalty = 2.0 * self.targets[position].running.len() as f64;
+        let factor = if is_slow { self.load.slow_factor } else { 1.0 }
+            * if is_cold { 1.0 + cold_penalty } else { 1.0 };
+        self.targets[position].running.push((id, attempt));
+        let delay = (self.load.service_time_us * random_factor * factor) as u64;
+        self.push(delay, Event::CompleteAtTarget(position, id));
     }
 
-    fn done(&mut self, place: usize, id: usize) {
-        if self.leave(place, id) {
-            self.targets[place].served += 1;
-            let attempt = self.requests[id].tries;
-            self.push(WIRE, Event::Back(id, attempt));
+    fn complete_at_target(&mut self, position: usize, id: usize) {
+        if self.remove_from_target(position, id) {
+            self.targets[position].served += 1;
+            let attempt = self.requests[id].attempts;
+            self.push(WIRE_DELAY_US, Event::ReceiveAnswer(id, attempt));
         }
     }
 
-    /// Takes a request off a target, and starts the next one there.
-    fn leave(&mut self, place: usize, id: usize) -> bool {
-        let target = &mut self.targets[place];
+    /// Removes a request from a target and starts the next one queued there.
+    fn remove_from_target(&mut self, position: usize, id: usize) -> bool {
+        let target = &mut self.targets[position];
         target.waiting.retain(|&(waiting, _)| waiting != id);
         let Some(found) = target
             .running
@@ -404,108 +410,109 @@
         };
         target.running.swap_remove(found);
         if let Some((next, attempt)) = target.waiting.pop_front() {
-            self.start(place, next, attempt);
+            self.start(position, next, attempt);
         }
         true
     }
 
-    fn back(&mut self, id: usize, attempt: usize) {
-        let Some(place) = self.place(id, attempt) else {
+    fn receive_answer(&mut self, id: usize, attempt: usize) {
+        let Some(position) = self.target_of_attempt(id, attempt) else {
             return;
         };
         let refused = self.requests[id].refused;
         let end = if refused { End::Refused } else { End::Answered };
-        self.finish(id, place, end);
+        self.finish(id, position, end);
         if !refused {
-            return self.end(id, true);
+            return self.end_request(id, true);
         }
-        self.requests[id].exclude.push(self.keys[place]);
-        if self.requests[id].tries < TRIES {
-            self.ask(id);
+        self.requests[id].exclude.push(self.keys[position]);
+        if self.requests[id].attempts < MAX_ATTEMPTS {
+            self.submit(id);
         } else {
-            self.end(id, false);
+            self.end_request(id, false);
         }
     }
 
-    fn finish(&mut self, id: usize, place: usize, end: End) {
+    fn finish(&mut self, id: usize, position: usize, end: End) {
         let request = &mut self.requests[id];
         let host = request.host;
         let Some(grant) = request.grant.take() else {
             return;
         };
-        let cold = self.targets[place].served < self.load.cold;
+        let is_cold = self.targets[position].served < self.load.answers_until_warm;
         let report = Report {
             end,
-            latency: Duration::from_micros(self.now - request.sent),
-            load: (end == End::Answered && self.load.report).then_some(Reported {
-                in_flight: self.targets[place].reported,
-                slots: SLOTS as u32,
+            latency: Duration::from_micros(self.now_us - request.sent_us),
+            load: (end == End::Answered && self.load.reports_load).then_some(Load {
+                in_flight: self.targets[position].reported_load,
+                slots: SLOTS_PER_TARGET as u32,
             }),
-            state: Some(if cold { State::Cold } else { State::Serving }),
+            state: Some(if is_cold { State::Cold } else { State::Serving }),
         };
-        let now = self.instant(self.now);
+        let now = self.instant(self.now_us);
         let ready = self.groups[host].finish(now, grant, report, &mut self.rng);
-        self.go(ready);
-        self.pump(host);
+        self.send_ready(ready);
+        self.process_queue(host);
     }
 
-    fn go(&mut self, ready: Vec<(Id, Grant)>) {
+    fn send_ready(&mut self, ready: Vec<(Id, Grant)>) {
         for (id, grant) in ready {
             self.send(id as usize, grant);
         }
     }
 
     fn time_out(&mut self, id: usize) {
-        let attempt = self.requests[id].tries;
-        let Some(place) = self.place(id, attempt) else {
+        let attempt = self.requests[id].attempts;
+        let Some(position) = self.target_of_attempt(id, attempt) else {
             return;
         };
-        self.leave(place, id);
-        self.finish(id, place, End::TimedOut);
-        self.requests[id].ends += 1;
-        if BURST.contains(&self.requests[id].at) {
+        self.remove_from_target(position, id);
+        self.finish(id, position, End::TimedOut);
+        self.requests[id].outcomes += 1;
+        if BURST_PERIOD_US.contains(&self.requests[id].arrived_us) {
             self.figures.late += 1;
-            self.latencies.push(DEADLINE);
+            self.latencies.push(DEADLINE_US);
         }
     }
 
-    fn end(&mut self, id: usize, answered: bool) {
-        self.requests[id].ends += 1;
-        if !BURST.contains(&self.requests[id].at) {
+    fn end_request(&mut self, id: usize, answered: bool) {
+        self.requests[id].outcomes += 1;
+        if !BURST_PERIOD_US.contains(&self.requests[id].arrived_us) {
             return;
         }
         if answered {
-            self.latencies.push(self.now - self.requests[id].at);
+            self.latencies
+                .push(self.now_us - self.requests[id].arrived_us);
         } else {
             self.figures.shed += 1;
         }
     }
 
-    fn pump(&mut self, host: usize) {
-        let now = self.instant(self.now);
+    fn process_queue(&mut self, host: usize) {
+        let now = self.instant(self.now_us);
         for (id, _) in self.groups[host].expire(now) {
-            self.end(id as usize, false);
+            self.end_request(id as usize, false);
         }
         let ready = self.groups[host].ready(now, &mut self.rng);
-        self.go(ready);
+        self.send_ready(ready);
         if let Some(at) = self.groups[host].next_wake(now) {
             let delay = at.saturating_duration_since(now).as_micros() as u64 + 1;
-            let pending = self.wakes[host];
-            if pending <= self.now || pending > self.now + delay {
-                self.wakes[host] = self.now + delay;
-                self.push(delay, Event::Wake(host));
+            let pending = self.wake_times_us[host];
+            if pending <= self.now_us || pending > self.now_us + delay {
+                self.wake_times_us[host] = self.now_us + delay;
+                self.push(delay, Event::ProcessQueue(host));
             }
         }
     }
 
-    fn sample(&mut self) {
-        for (place, target) in self.targets.iter_mut().enumerate() {
-            let idle = self.load.lie && place.is_multiple_of(10);
-            let busy = (target.running.len() + target.waiting.len()) as u32;
-            target.reported = if idle { 0 } else { busy };
+    fn sample_loads(&mut self) {
+        for (position, target) in self.targets.iter_mut().enumerate() {
+            let reports_idle = self.load.slow_targets_report_idle && position.is_multiple_of(10);
+            let requests = (target.running.len() + target.waiting.len()) as u32;
+            target.reported_load = if reports_idle { 0 } else { requests };
         }
-        if self.now < END + DEADLINE {
-            self.push(self.load.lag, Event::Sample);
+        if self.now_us < LAST_ARRIVAL_US + DEADLINE_US {
+            self.push(self.load.report_interval_us, Event::SampleLoads);
         }
     }
 }
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Quotas and the pool they are lent from.
+//! Quotas, and the pool that lends released quota.
 
 #![allow(clippy::unwrap_used)]
 
@@ -21,10 +21,10 @@
     base + Duration::from_secs_f64(seconds)
 }
 
-/// How many requests get through when one is tried each millisecond.
-fn taken(quota: &mut Quota, base: Instant, from: u64, to: u64) -> usize {
-    let tries = from * 1000..to * 1000;
-    tries
+/// Returns how many requests are accepted if one is attempted each millisecond.
+fn count_taken(quota: &mut Quota, base: Instant, from: u64, to: u64) -> usize {
+    let attempts_ms = from * 1000..to * 1000;
+    attempts_ms
         .filter(|&ms| quota.take(base + Duration::from_millis(ms), 1.0).is_ok())
         .count()
 }
@@ -40,18 +40,24 @@
 }
 
 #[test]
-fn a_fraction_of_a_request_a_second_is_saved_up() {
+fn a_fraction_of_a_request_per_second_accumulates() {
     let base = Instant::now();
     let mut quota = Quota::new(static_part(320.0, 0.8, 680), base, 1);
     let refusal = quota.take(base, 1.0).unwrap_err();
     assert!((refusal.retry_after.as_secs_f64() - 680.0 / 256.0).abs() < 1e-6);
-    assert_eq!(taken(&mut quota, base, 0, 680), 255);
-    let mut nothing = Quota::new(0.0, base, 1);
-    assert!(nothing.take(base + SECOND, 1.0).unwrap_err().retry_after >= SECOND);
+    assert_eq!(count_taken(&mut quota, base, 0, 680), 255);
+    let mut empty_quota = Quota::new(0.0, base, 1);
+    assert!(
+        empty_quota
+            .take(base + SECOND, 1.0)
+            .unwrap_err()
+            .retry_after
+            >= SECOND
+    );
 }
 
 #[test]
-fn a_large_cost_is_owed_and_a_certain_not_run_is_put_back() {
+fn a_large_cost_is_owed_and_an_unexecuted_request_is_refunded() {
     let base = Instant::now();
     let mut quota = Quota::new(1000.0, base, 1);
     assert_eq!(quota.take(at(base, 1.0), 8000.0), Ok(()));
@@ -61,22 +67,22 @@
     assert_eq!(quota.take(at(base, 2.0), 100.0), Ok(()));
     assert!(
         quota.take(at(base, 2.0), 1.0).is_err(),
-        "more saved up than the burst"
+        "accumulated more than the burst"
     );
 }
 
 #[test]
-fn a_bonus_counts_from_its_request_and_lapses_by_itself() {
+fn a_bonus_lasts_from_its_request_and_expires_by_itself() {
     let base = Instant::now();
     let mut quota = Quota::new(10.0, base, 1);
     let loan = Loan {
         rate: 90.0,
         lifetime: 10 * SECOND,
     };
-    let late = quota.request_bonus(base);
+    let late_request = quota.request_bonus(base);
     assert!(
-        !quota.accept_bonus(at(base, 10.0), late, loan),
-        "granted after its time"
+        !quota.accept_bonus(at(base, 10.0), late_request, loan),
+        "granted after its lifetime"
     );
     let request = quota.request_bonus(at(base, 10.0));
     assert!(quota.accept_bonus(at(base, 14.0), request, loan));
@@ -86,7 +92,7 @@
     );
     assert_eq!(quota.rate(at(base, 19.9)), 100.0);
     assert_eq!(quota.rate(at(base, 20.0)), 10.0);
-    assert!(taken(&mut quota, base, 14, 114) <= 6 * 100 + 94 * 10 + 1);
+    assert!(count_taken(&mut quota, base, 14, 114) <= 6 * 100 + 94 * 10 + 1);
     let foreign = Serial {
         issuer: 2,
         count: 3,
@@ -98,12 +104,12 @@
 }
 
 #[test]
-fn a_given_part_is_not_used_and_half_is_kept() {
+fn a_released_part_is_not_used_and_half_is_kept() {
     let base = Instant::now();
     let mut quota = Quota::new(10.0, base, 1);
     assert_eq!(quota.release(base, 100.0, 10 * SECOND), 5.0);
     assert_eq!(quota.release(at(base, 1.0), 100.0, 10 * SECOND), 0.0);
-    assert!(taken(&mut quota, base, 0, 10) <= 51);
+    assert!(count_taken(&mut quota, base, 0, 10) <= 51);
     assert_eq!(quota.rate(at(base, 10.0)), 10.0);
     let restarted = Quota::with_start(10.0, base, 2);
     assert_eq!(restarted.rate(base + MAX_RELEASE_TIME), 5.0);
@@ -145,7 +151,7 @@
     );
 }
 
-/// Messages between holders and planners, by index.
+/// Messages between holders and planners, which are identified by index.
 #[derive(Clone, Copy, Debug)]
 enum Message {
     Ask(usize, usize, Serial),
@@ -154,12 +160,12 @@
     Grant(usize, Serial, Loan),
 }
 
-/// What happens next, by kind, to whom, and when a message that results is delivered.
+/// The next action: its kind, the acting process, and the delivery delays of resulting messages.
 #[derive(Clone, Debug)]
 struct Step {
-    gap: u64,
+    delay_ms: u64,
     kind: u8,
-    who: usize,
+    process: usize,
     lifetime: u64,
     delays: Vec<Option<u64>>,
 }
@@ -167,14 +173,14 @@
 const HOLDERS: usize = 4;
 const PLANNERS: usize = 2;
 /// Time between checks, in milliseconds.
-const TICK: u64 = 10;
+const CHECK_INTERVAL_MS: u64 = 10;
 const LIMIT: f64 = 100.0;
 
-/// A process's clock: how fast it runs, and until when the process is paused.
+/// A process's clock rate, and the time until which the process is paused.
 #[derive(Clone, Copy)]
 struct Process {
     rate: f64,
-    paused: u64,
+    paused_until_ms: u64,
 }
 
 struct Fleet {
@@ -185,7 +191,7 @@
     pools: Vec<Pool>,
     sent: Vec<(u64, Message)>,
     issued: u64,
-    lent: f64,
+    total_lent: f64,
 }
 
 impl Fleet {
@@ -197,7 +203,10 @@
             keys: hosts(&catalog(SMALL)).into_values().collect(),
             processes: rates
                 .iter()
-                .map(|&rate| Process { rate, paused: 0 })
+                .map(|&rate| Process {
+                    rate,
+                    paused_until_ms: 0,
+                })
                 .collect(),
             quotas: (0..HOLDERS)
                 .map(|at| Quota::new(part, base, at as u64))
@@ -205,46 +214,49 @@
             pools: (0..PLANNERS).map(|at| Pool::new(at as u64)).collect(),
             sent: Vec::new(),
             issued: 100,
-            lent: 0.0,
+            total_lent: 0.0,
         }
     }
 
-    fn clock(&self, process: usize, real: u64) -> Instant {
+    fn clock(&self, process: usize, real_ms: u64) -> Instant {
         at(
             self.base,
-            real as f64 / 1000.0 * self.processes[process].rate,
+            real_ms as f64 / 1000.0 * self.processes[process].rate,
         )
     }
 
-    fn send(&mut self, real: u64, step: &Step, message: Message) {
+    fn send(&mut self, real_ms: u64, step: &Step, message: Message) {
         let delays = step.delays.iter().flatten();
         self.sent
-            .extend(delays.map(|delay| (real + delay, message)));
+            .extend(delays.map(|delay| (real_ms + delay, message)));
     }
 
-    fn act(&mut self, real: u64, step: &Step) {
-        let (holder, planner) = (step.who % HOLDERS, step.who % PLANNERS);
+    fn start_action(&mut self, real_ms: u64, step: &Step) {
+        let (holder, planner) = (step.process % HOLDERS, step.process % PLANNERS);
         match step.kind {
             0..=2 => {
-                let now = self.clock(HOLDERS + planner, real);
+                let now = self.clock(HOLDERS + planner, real_ms);
                 let question = self.pools[planner].ask_holders(now);
                 for holder in 0..HOLDERS {
-                    self.send(real, step, Message::Ask(planner, holder, question));
+                    self.send(real_ms, step, Message::Ask(planner, holder, question));
                 }
             }
             3..=6 => {
-                let now = self.clock(holder, real);
+                let now = self.clock(holder, real_ms);
                 let request = self.quotas[holder].request_bonus(now);
                 self.send(
-                    real,
+                    real_ms,
                     step,
-                    Message::Request(step.who / 2 % PLANNERS, holder, request),
+                    Message::Request(step.process / 2 % PLANNERS, holder, request),
                 );
             }
-            7 => self.processes[step.who % (HOLDERS + PLANNERS)].paused = real + step.lifetime,
+            7 => {
+                self.processes[step.process % (HOLDERS + PLANNERS)].paused_until_ms =
+                    real_ms + step.lifetime
+            }
             8 => {
                 self.issued += 1;
-                let now = self.clock(holder, real);
+                let now = self.clock(holder, real_ms);
                 let part = static_part(LIMIT, 0.8, HOLDERS);
                 self.quotas[holder] = Quota::with_start(part, now, self.issued);
             }
@@ -255,41 +267,47 @@
         }
     }
 
-    fn receive(&mut self, real: u64, step: &Step, message: Message) {
+    fn receive(&mut self, real_ms: u64, step: &Step, message: Message) {
         let lifetime = Duration::from_millis(step.lifetime);
         match message {
             Message::Ask(planner, holder, question) => {
-                let now = self.clock(holder, real);
+                let now = self.clock(holder, real_ms);
                 let lifetime = 2 * lifetime;
                 let rate = self.quotas[holder].release(now, 8.0, lifetime);
-                let given = Loan { rate, lifetime };
+                let released = Loan { rate, lifetime };
                 self.send(
-                    real,
+                    real_ms,
                     step,
-                    Message::Answer(planner, holder, question, given),
+                    Message::Answer(planner, holder, question, released),
                 );
             }
-            Message::Answer(planner, holder, question, given) => {
-                let now = self.clock(HOLDERS + planner, real);
+            Message::Answer(planner, holder, question, released) => {
+                let now = self.clock(HOLDERS + planner, real_ms);
                 let key = self.keys[holder];
-                self.pools[planner].accept_offer(now, question, key, given.rate, given.lifetime);
+                self.pools[planner].accept_offer(
+                    now,
+                    question,
+                    key,
+                    released.rate,
+                    released.lifetime,
+                );
             }
             Message::Request(planner, holder, request) => {
-                let now = self.clock(HOLDERS + planner, real);
+                let now = self.clock(HOLDERS + planner, real_ms);
                 if let Some(loan) = self.pools[planner].lend(now, 20.0, lifetime) {
-                    self.send(real, step, Message::Grant(holder, request, loan));
+                    self.send(real_ms, step, Message::Grant(holder, request, loan));
                 }
             }
             Message::Grant(holder, request, loan) => {
-                let now = self.clock(holder, real);
+                let now = self.clock(holder, real_ms);
                 if self.quotas[holder].accept_bonus(now, request, loan) {
-                    self.lent += loan.rate;
+                    self.total_lent += loan.rate;
                 }
             }
         }
     }
 
-    /// The process that acts on a message.
+    /// Returns the process that receives a message.
     fn receiver(message: Message) -> usize {
         match message {
             Message::Ask(_, holder, _) | Message::Grant(holder, ..) => holder,
@@ -297,21 +315,21 @@
         }
     }
 
-    /// Delivers what is due to processes that run.
-    fn deliver(&mut self, real: u64, step: &Step) {
+    /// Delivers the messages that are due to processes that are not paused.
+    fn deliver(&mut self, real_ms: u64, step: &Step) {
         let due = |&(time, message): &(u64, Message)| {
-            time <= real && self.processes[Self::receiver(message)].paused <= real
+            time <= real_ms && self.processes[Self::receiver(message)].paused_until_ms <= real_ms
         };
-        let (due, later): (Vec<_>, Vec<_>) = self.sent.iter().copied().partition(due);
-        self.sent = later;
+        let (due, undelivered): (Vec<_>, Vec<_>) = self.sent.iter().copied().partition(due);
+        self.sent = undelivered;
         for (_, message) in due {
-            self.receive(real, step, message);
+            self.receive(real_ms, step, message);
         }
     }
 
-    /// What all holders may use, those that are paused as well.
-    fn usable(&self, real: u64) -> f64 {
-        let rate = |(at, quota): (usize, &Quota)| quota.rate(self.clock(at, real));
+    /// Returns the total usable rate of all holders, including paused ones.
+    fn usable(&self, real_ms: u64) -> f64 {
+        let rate = |(holder, quota): (usize, &Quota)| quota.rate(self.clock(holder, real_ms));
         self.quotas.iter().enumerate().map(rate).sum()
     }
 }
@@ -320,10 +338,10 @@
     let delay = prop_oneof![5 => (0..40u64).prop_map(Some), 2 => (0..9000u64).prop_map(Some), 1 => Just(None)];
     let delays = prop::collection::vec(delay, 1..3);
     (0..1500u64, 0..10u8, 0..64usize, 500..8000u64, delays).prop_map(
-        |(gap, kind, who, lifetime, delays)| Step {
-            gap,
+        |(delay_ms, kind, process, lifetime, delays)| Step {
+            delay_ms,
             kind,
-            who,
+            process,
             lifetime,
             delays,
         },
@@ -343,28 +361,28 @@
         ..ProptestConfig::default()
     };
     let strategy = (rates, prop::collection::vec(step(), 1..250));
-    let lent = std::cell::Cell::new(0.0);
+    let total_lent = std::cell::Cell::new(0.0);
     let test = |(rates, steps): (Vec<f64>, Vec<Step>)| {
         let mut fleet = Fleet::new(&rates);
-        let mut real = 0;
+        let mut real_ms = 0;
         for step in steps {
-            for _ in 0..=step.gap / TICK {
-                real += TICK;
-                fleet.deliver(real, &step);
-                let usable = fleet.usable(real);
-                prop_assert!(usable <= LIMIT * 0.8 + 1e-6, "{} at {} ms", usable, real);
+            for _ in 0..=step.delay_ms / CHECK_INTERVAL_MS {
+                real_ms += CHECK_INTERVAL_MS;
+                fleet.deliver(real_ms, &step);
+                let usable = fleet.usable(real_ms);
+                prop_assert!(usable <= LIMIT * 0.8 + 1e-6, "{} at {} ms", usable, real_ms);
             }
-            fleet.act(real, &step);
+            fleet.start_action(real_ms, &step);
         }
-        lent.set(lent.get() + fleet.lent);
+        total_lent.set(total_lent.get() + fleet.total_lent);
         Ok(())
     };
     TestRunner::new(config)
         .run(&strategy, test)
         .expect("no counterexample");
     assert!(
-        lent.get() > 1000.0,
-        "only {} were lent, so nothing was tried",
-        lent.get()
+        total_lent.get() > 1000.0,
+        "only {} units were lent, so the histories tested nothing",
+        total_lent.get()
     );
 }
--- a/tests/scripted/mod.rs
+++ b/tests/scripted/mod.rs
@@ -1,4 +1,4 @@
-//! Targets that follow a script on a bare socket, to the byte.
+//! Scripted targets on plain sockets, which control every byte of their answers.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 #![allow(clippy::unwrap_used)]
@@ -15,121 +15,121 @@
 
 use crate::world::free_address;
 
-/// What a target does with a connection or a request.
+/// Behavior of a target on a connection or a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Act {
-    /// It answers.
+pub enum Behavior {
+    /// Answers.
     Serve,
-    /// It answers after so many milliseconds.
+    /// Answers after this number of milliseconds.
     Slow(u64),
-    /// It answers with the head of the request, and with headers that must and must not pass.
+    /// Answers with the head of the request, and with headers that must and must not be forwarded.
     Echo,
-    /// It answers in chunks.
+    /// Answers with chunked transfer encoding.
     Chunked,
-    /// It answers with a header of that many bytes.
+    /// Answers with a header of this number of bytes.
     Header(usize),
-    /// Nothing listens.
+    /// Refuses connections: nothing listens.
     Refuse,
-    /// Connections are neither accepted nor refused.
+    /// Neither accepts nor refuses connections.
     BlackHole,
-    /// It resets each connection.
+    /// Resets each connection.
     ResetOnAccept,
-    /// It closes each connection.
+    /// Closes each connection.
     CloseOnAccept,
-    /// It resets the connection after reading so many bytes.
-    CutForth(usize),
-    /// It runs the request and closes the connection.
-    LoseAnswer,
-    /// It runs the request and resets the connection.
-    ResetAnswer,
-    /// It runs the request and closes after so many bytes of its answer.
-    CutBack(usize),
-    /// It runs the request and closes within a chunk of its answer.
-    CutChunked,
-    /// It runs the request, answers this and closes.
+    /// Resets the connection after reading this number of bytes.
+    ResetWhileReading(usize),
+    /// Executes the request and closes the connection.
+    CloseBeforeAnswer,
+    /// Executes the request and resets the connection.
+    ResetBeforeAnswer,
+    /// Executes the request and closes after this number of bytes of its answer.
+    TruncateAnswer(usize),
+    /// Executes the request and closes within a chunk of its answer.
+    TruncateChunkedAnswer,
+    /// Executes the request, answers with this text and closes.
     Raw(&'static str),
-    /// It runs the request and never answers.
+    /// Executes the request and never answers.
     Hang,
-    /// It answers 503 and says that the request did not run.
+    /// Answers 503 and states that the request was not executed.
     Refusal,
-    /// It answers and closes, without having said so.
+    /// Answers and closes without having announced it.
     CloseAfterAnswer,
-    /// It closes as soon as the second request on a connection begins.
-    CloseAtSecond,
-    /// It runs the second request on a connection and closes.
-    LoseAtSecond,
-    /// It runs the second request on a connection, closes, and nothing listens from then on.
-    GoneAtSecond,
-    /// It answers twice, the second time after so many milliseconds.
-    Twice(u64),
-    /// It answers, and soon after answers what nobody asked.
-    Early,
+    /// Resets the connection as soon as its second request begins.
+    ResetAtSecondRequest,
+    /// Executes the second request on a connection and closes.
+    CloseBeforeSecondAnswer,
+    /// Executes the second request on a connection, closes it and stops listening.
+    StopListeningAtSecondRequest,
+    /// Answers twice, the second time after this number of milliseconds.
+    AnswerTwice(u64),
+    /// Answers, and then sends another answer without a request.
+    UnsolicitedAnswer,
 }
 
-/// How often it does so; otherwise it answers.
+/// How often the behavior applies; otherwise the target answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Times {
+pub enum Occurrence {
     Always,
     First,
 }
 
-/// Two targets with one script and one count of runs.
-pub struct Pair {
+/// Two targets that share a script and a count of executions.
+pub struct ScriptedTargets {
     pub addresses: [SocketAddr; 2],
     state: Arc<State>,
-    _holders: Vec<Holder>,
+    _reserved_sockets: Vec<ReservedSocket>,
 }
 
 struct State {
-    act: Act,
-    times: Times,
-    met: AtomicUsize,
-    runs: Mutex<BTreeMap<String, usize>>,
+    behavior: Behavior,
+    occurrence: Occurrence,
+    behaviors_started: AtomicUsize,
+    executions: Mutex<BTreeMap<String, usize>>,
     listeners: Mutex<Vec<TcpListener>>,
 }
 
-/// What keeps an address as it is.
-enum Holder {
+/// A socket that keeps an address in its state.
+enum ReservedSocket {
     Socket(#[allow(dead_code)] Socket),
     Stream(#[allow(dead_code)] TcpStream),
 }
 
-/// The body of the answer to a call.
+/// Returns the body of the answer to a call.
 pub fn body(call: &str) -> String {
     format!("the whole answer to {call}, and to no other")
 }
 
-impl Pair {
-    pub fn new(act: Act, times: Times) -> Self {
+impl ScriptedTargets {
+    pub fn new(behavior: Behavior, occurrence: Occurrence) -> Self {
         let state = Arc::new(State {
-            act,
-            times,
-            met: AtomicUsize::new(0),
-            runs: Mutex::default(),
+            behavior,
+            occurrence,
+            behaviors_started: AtomicUsize::new(0),
+            executions: Mutex::default(),
             listeners: Mutex::default(),
         });
-        let mut holders = Vec::new();
-        let addresses = [0, 1].map(|_| match act {
-            Act::Refuse => free_address(),
-            Act::BlackHole => black_hole(&mut holders),
+        let mut reserved = Vec::new();
+        let addresses = [0, 1].map(|_| match behavior {
+            Behavior::Refuse => free_address(),
+            Behavior::BlackHole => black_hole(&mut reserved),
             _ => listen(&state),
         });
         Self {
             addresses,
             state,
-            _holders: holders,
+            _reserved_sockets: reserved,
         }
     }
 
-    /// How often a call ran.
-    pub fn runs(&self, call: &str) -> usize {
-        let runs = self.state.runs.lock().unwrap();
+    /// Returns how often a call was executed.
+    pub fn executions(&self, call: &str) -> usize {
+        let runs = self.state.executions.lock().unwrap();
         runs.get(call).copied().unwrap_or_default()
     }
 }
 
-/// A listening socket whose queue is full.
-fn black_hole(holders: &mut Vec<Holder>) -> SocketAddr {
+/// Creates a listening socket whose accept queue is full.
+fn black_hole(reserved: &mut Vec<ReservedSocket>) -> SocketAddr {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
     socket.bind(&any.into()).unwrap();
@@ -137,9 +137,9 @@
     let address = socket.local_addr().unwrap().as_socket().unwrap();
     let time = Duration::from_millis(100);
     while let Ok(stream) = TcpStream::connect_timeout(&address, time) {
-        holders.push(Holder::Stream(stream));
+        reserved.push(ReservedSocket::Stream(stream));
     }
-    holders.push(Holder::Socket(socket));
+    reserved.push(ReservedSocket::Socket(socket));
     address
 }
 
@@ -147,8 +147,8 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let state = state.clone();
-    let kept = listener.try_clone().unwrap();
-    state.listeners.lock().unwrap().push(kept);
+    let listener_copy = listener.try_clone().unwrap();
+    state.listeners.lock().unwrap().push(listener_copy);
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let state = state.clone();
@@ -159,24 +159,29 @@
 }
 
 impl State {
-    /// What the next connection or request meets.
-    fn next(&self) -> Act {
-        let met = self.met.fetch_add(1, Ordering::SeqCst);
-        match self.times {
-            Times::First if met > 0 => Act::Serve,
-            _ => self.act,
+    /// Returns the behavior for the next connection or request.
+    fn next_behavior(&self) -> Behavior {
+        let started = self.behaviors_started.fetch_add(1, Ordering::SeqCst);
+        match self.occurrence {
+            Occurrence::First if started > 0 => Behavior::Serve,
+            _ => self.behavior,
         }
     }
 
-    /// Refuses connections from now on.
-    fn close(&self) {
+    /// Stops listening, so that new connections are refused.
+    fn stop_listening(&self) {
         for listener in self.listeners.lock().unwrap().iter() {
             let _ = SockRef::from(listener).shutdown(Shutdown::Both);
         }
     }
 
-    fn run(&self, call: &str) {
-        *self.runs.lock().unwrap().entry(call.into()).or_default() += 1;
+    fn record_execution(&self, call: &str) {
+        *self
+            .executions
+            .lock()
+            .unwrap()
+            .entry(call.into())
+            .or_default() += 1;
     }
 }
 
@@ -188,9 +193,9 @@
 
 const HEALTH: &[u8] = b"GET /health ";
 
-/// Whether a connection begins with a question for the target's health. Those are always answered,
-/// so that they meet no fault that is meant for a request.
-fn asks_health(stream: &TcpStream) -> bool {
+/// Whether a connection begins with a health check. Those are always answered, so that they don't
+/// trigger a fault intended for a request.
+fn is_health_check(stream: &TcpStream) -> bool {
     let mut bytes = [0; HEALTH.len()];
     loop {
         match stream.peek(&mut bytes) {
@@ -203,7 +208,7 @@
 
 fn serve_health(stream: &mut TcpStream) -> io::Result<()> {
     let mut input = Vec::new();
-    while read(stream, &mut input)?.is_some() {
+    while read_request(stream, &mut input)?.is_some() {
         let body = r#"{"state":"serving"}"#;
         let length = body.len();
         let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}");
@@ -214,19 +219,23 @@
 
 fn serve(state: &State, mut stream: TcpStream) {
     stream.set_nodelay(true).unwrap();
-    if asks_health(&stream) {
+    if is_health_check(&stream) {
         let _ = serve_health(&mut stream);
         return;
     }
     let on_accept = matches!(
-        state.act,
-        Act::ResetOnAccept | Act::CloseOnAccept | Act::CutForth(_)
+        state.behavior,
+        Behavior::ResetOnAccept | Behavior::CloseOnAccept | Behavior::ResetWhileReading(_)
     );
-    let act = if on_accept { state.next() } else { Act::Serve };
-    match act {
-        Act::ResetOnAccept => return reset(&stream),
-        Act::CloseOnAccept => return,
-        Act::CutForth(count) => {
+    let behavior = if on_accept {
+        state.next_behavior()
+    } else {
+        Behavior::Serve
+    };
+    match behavior {
+        Behavior::ResetOnAccept => return reset(&stream),
+        Behavior::CloseOnAccept => return,
+        Behavior::ResetWhileReading(count) => {
             let mut bytes = vec![0; count];
             let _ = stream.read_exact(&mut bytes);
             return reset(&stream);
@@ -234,63 +243,67 @@
         _ => {}
     }
     let mut input = Vec::new();
-    let mut number = 0;
+    let mut request_number = 0;
     loop {
-        number += 1;
-        if number == 2 && state.act == Act::CloseAtSecond {
+        request_number += 1;
+        if request_number == 2 && state.behavior == Behavior::ResetAtSecondRequest {
             let _ = stream.read(&mut [0]);
             return reset(&stream);
         }
-        let Ok(Some(request)) = read(&mut stream, &mut input) else {
+        let Ok(Some(request)) = read_request(&mut stream, &mut input) else {
             return;
         };
-        let act = if on_accept { Act::Serve } else { state.next() };
-        if act != Act::Refusal {
-            state.run(&request.call);
+        let behavior = if on_accept {
+            Behavior::Serve
+        } else {
+            state.next_behavior()
+        };
+        if behavior != Behavior::Refusal {
+            state.record_execution(&request.call);
         }
-        if act == Act::LoseAtSecond && number == 2 {
+        if behavior == Behavior::CloseBeforeSecondAnswer && request_number == 2 {
             return;
         }
-        if act == Act::GoneAtSecond && number == 2 {
-            return state.close();
+        if behavior == Behavior::StopListeningAtSecondRequest && request_number == 2 {
+            return state.stop_listening();
         }
-        match respond(&mut stream, act, &request) {
+        match respond(&mut stream, behavior, &request) {
             Ok(true) => {}
             _ => return,
         }
     }
 }
 
-/// Answers as the script says, and tells whether the connection goes on.
-fn respond(stream: &mut TcpStream, act: Act, request: &Request) -> io::Result<bool> {
-    let good = good(request, "");
-    let good = good.as_bytes();
-    match act {
-        Act::Slow(ms) => {
+/// Answers according to the script, and returns whether the connection stays open.
+fn respond(stream: &mut TcpStream, behavior: Behavior, request: &Request) -> io::Result<bool> {
+    let answer = complete_answer(request, "");
+    let answer = answer.as_bytes();
+    match behavior {
+        Behavior::Slow(ms) => {
             thread::sleep(Duration::from_millis(ms));
-            stream.write_all(good)?;
+            stream.write_all(answer)?;
         }
-        Act::Echo => stream.write_all(echo(request).as_bytes())?,
-        Act::Chunked => stream.write_all(chunked(request).as_bytes())?,
-        Act::CutChunked => {
-            let text = chunked(request);
+        Behavior::Echo => stream.write_all(echo_answer(request).as_bytes())?,
+        Behavior::Chunked => stream.write_all(chunked_answer(request).as_bytes())?,
+        Behavior::TruncateChunkedAnswer => {
+            let text = chunked_answer(request);
             stream.write_all(&text.as_bytes()[..text.len() - 12])?;
             return Ok(false);
         }
-        Act::Header(size) => {
+        Behavior::Header(size) => {
             let header = format!("Large: {}\r\n", "l".repeat(size));
-            stream.write_all(self::good(request, &header).as_bytes())?;
+            stream.write_all(self::complete_answer(request, &header).as_bytes())?;
         }
-        Act::LoseAnswer => return Ok(false),
-        Act::ResetAnswer => {
+        Behavior::CloseBeforeAnswer => return Ok(false),
+        Behavior::ResetBeforeAnswer => {
             reset(stream);
             return Ok(false);
         }
-        Act::CutBack(count) => {
-            stream.write_all(&good[..count])?;
+        Behavior::TruncateAnswer(count) => {
+            stream.write_all(&answer[..count])?;
             return Ok(false);
         }
-        Act::Raw(text) => {
+        Behavior::Raw(text) => {
             let body = body(&request.call);
             let text = text
                 .replace("{length}", &body.len().to_string())
@@ -300,42 +313,42 @@
             let _ = io::copy(stream, &mut io::sink());
             return Ok(false);
         }
-        Act::Hang => {
+        Behavior::Hang => {
             let _ = io::copy(stream, &mut io::sink());
             return Ok(false);
         }
-        Act::Refusal => stream.write_all(
+        Behavior::Refusal => stream.write_all(
             b"HTTP/1.1 503 Busy\r\nRagwortfold-Outcome: not-run\r\nContent-Length: 0\r\n\r\n",
         )?,
-        Act::CloseAfterAnswer => {
-            stream.write_all(good)?;
+        Behavior::CloseAfterAnswer => {
+            stream.write_all(answer)?;
             return Ok(false);
         }
-        Act::Twice(ms) => {
-            stream.write_all(good)?;
+        Behavior::AnswerTwice(ms) => {
+            stream.write_all(answer)?;
             thread::sleep(Duration::from_millis(ms));
-            stream.write_all(good)?;
+            stream.write_all(answer)?;
         }
-        Act::Early => {
-            stream.write_all(good)?;
+        Behavior::UnsolicitedAnswer => {
+            stream.write_all(answer)?;
             stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother")?;
         }
-        _ => stream.write_all(good)?,
+        _ => stream.write_all(answer)?,
     }
     Ok(true)
 }
 
-fn good(request: &Request, header: &str) -> String {
+fn complete_answer(request: &Request, header: &str) -> String {
     let body = body(&request.call);
-    let shown = if request.head_only { "" } else { &body };
+    let sent_body = if request.head_only { "" } else { &body };
     let length = body.len();
     format!(
-        "HTTP/1.1 200 OK\r\nRagwortfold-Request-Id: {}\r\n{header}Content-Length: {length}\r\n\r\n{shown}",
+        "HTTP/1.1 200 OK\r\nRagwortfold-Request-Id: {}\r\n{header}Content-Length: {length}\r\n\r\n{sent_body}",
         request.id
     )
 }
 
-fn echo(request: &Request) -> String {
+fn echo_answer(request: &Request) -> String {
     let length = request.head.len();
     format!(
         "HTTP/1.1 200 OK\r\nConnection: keep-alive, X-Listed\r\nKeep-Alive: timeout=5\r\n\
@@ -346,7 +359,7 @@
     )
 }
 
-fn chunked(request: &Request) -> String {
+fn chunked_answer(request: &Request) -> String {
     let body = body(&request.call);
     let mut text = String::from("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     for part in body.as_bytes().chunks(7) {
@@ -363,13 +376,13 @@
     head_only: bool,
 }
 
-/// Reads one whole request; nothing at an orderly end.
-fn read(stream: &mut TcpStream, input: &mut Vec<u8>) -> io::Result<Option<Request>> {
+/// Reads one complete request; returns `None` if the connection was closed.
+fn read_request(stream: &mut TcpStream, input: &mut Vec<u8>) -> io::Result<Option<Request>> {
     let end = loop {
         if let Some(at) = input.windows(4).position(|four| four == b"\r\n\r\n") {
             break at + 4;
         }
-        if !fill(stream, input)? {
+        if !read_more(stream, input)? {
             return Ok(None);
         }
     };
@@ -384,7 +397,7 @@
     };
     let length = value("content-length").map_or(0, |text| text.parse().unwrap());
     while input.len() < length {
-        if !fill(stream, input)? {
+        if !read_more(stream, input)? {
             return Ok(None);
         }
     }
@@ -397,9 +410,9 @@
     }))
 }
 
-fn fill(stream: &mut TcpStream, input: &mut Vec<u8>) -> io::Result<bool> {
-    let mut piece = [0; 16 << 10];
-    let count = stream.read(&mut piece)?;
-    input.extend_from_slice(&piece[..count]);
+fn read_more(stream: &mut TcpStream, input: &mut Vec<u8>) -> io::Result<bool> {
+    let mut buffer = [0; 16 << 10];
+    let count = stream.read(&mut buffer)?;
+    input.extend_from_slice(&buffer[..count]);
     Ok(count > 0)
 }
--- a/tests/split.rs
+++ b/tests/split.rs
@@ -27,73 +27,82 @@
     )
 }
 
-fn of_weights(catalog: &Catalog, weights: &[f64]) -> Split {
+fn split_from_weights(catalog: &Catalog, weights: &[f64]) -> Split {
     let zones = catalog.zones().map(|(zone, _)| zone);
     Split::new(catalog, zones.zip(weights.iter().copied()))
 }
 
-/// The part of the blocks that choose differently.
-fn sampled(from: &Split, to: &Split) -> f64 {
+/// Returns the sampled share of blocks whose zone differs between two splits.
+fn sampled_difference(from: &Split, to: &Split) -> f64 {
     let differs = |&block: &u64| from.choose(block, |_| true) != to.choose(block, |_| true);
     (0..BLOCKS).filter(differs).count() as f64 / BLOCKS as f64
 }
 
 #[test]
-fn blocks_follow_the_shares() {
+fn blocks_are_distributed_by_the_shares() {
     let catalog = catalog(SMALL);
-    let split = of_weights(&catalog, &[0.5, 0.25, 0.15, 0.09, 0.01]);
+    let split = split_from_weights(&catalog, &[0.5, 0.25, 0.15, 0.09, 0.01]);
     for (zone, share) in split.shares() {
         let chose = (0..BLOCKS).filter(|&block| split.choose(block, |_| true) == Some(zone));
-        let part = chose.count() as f64 / BLOCKS as f64;
+        let fraction = chose.count() as f64 / BLOCKS as f64;
         assert!(
-            (part - share).abs() < 0.01,
-            "{part} of the blocks for a share of {share}"
+            (fraction - share).abs() < 0.01,
+            "{fraction} of the blocks for a share of {share}"
         );
     }
 }
 
 #[test]
-fn a_step_moves_the_part_of_the_blocks_that_it_names() {
+fn a_step_moves_the_given_share_of_the_blocks() {
     let catalog = catalog(SMALL);
     let weights = || prop::collection::vec(prop_oneof![1 => Just(0.0), 4 => 0.01..1.0], 6);
-    run(1, 60, (weights(), weights(), 0.0..0.6), |(from, to, by)| {
-        let (from, to) = (of_weights(&catalog, &from), of_weights(&catalog, &to));
-        prop_assume!(!from.is_empty() && !to.is_empty());
-        let distance = from.distance(&to);
-        let most = 2.0 * distance / (1.0 + distance);
-        prop_assert!(
-            distance - 1e-9 <= from.moved_share(&to) && from.moved_share(&to) <= most + 1e-9
-        );
-        let next = from.step_toward(&to, by);
-        let moved = from.moved_share(&next);
-        prop_assert!(moved <= by + 1e-9);
-        prop_assert!(
-            next == to || (moved - by).abs() < 1e-6,
-            "{} in place of {}",
-            moved,
-            by
-        );
-        let seen = sampled(&from, &next);
-        prop_assert!(
-            (seen - moved).abs() < 0.015,
-            "{} in place of {}",
-            seen,
-            moved
-        );
-        let left = next.distance(&to);
-        prop_assert!(
-            (from.distance(&next) + left - distance).abs() < 1e-9,
-            "not on the straight way"
-        );
-        Ok(())
-    });
+    run(
+        1,
+        60,
+        (weights(), weights(), 0.0..0.6),
+        |(from, to, step)| {
+            let (from, to) = (
+                split_from_weights(&catalog, &from),
+                split_from_weights(&catalog, &to),
+            );
+            prop_assume!(!from.is_empty() && !to.is_empty());
+            let distance = from.distance(&to);
+            let upper_bound = 2.0 * distance / (1.0 + distance);
+            prop_assert!(
+                distance - 1e-9 <= from.moved_share(&to)
+                    && from.moved_share(&to) <= upper_bound + 1e-9
+            );
+            let next = from.step_toward(&to, step);
+            let moved = from.moved_share(&next);
+            prop_assert!(moved <= step + 1e-9);
+            prop_assert!(
+                next == to || (moved - step).abs() < 1e-6,
+                "{} instead of {}",
+                moved,
+                step
+            );
+            let sampled = sampled_difference(&from, &next);
+            prop_assert!(
+                (sampled - moved).abs() < 0.015,
+                "{} instead of {}",
+                sampled,
+                moved
+            );
+            let left = next.distance(&to);
+            prop_assert!(
+                (from.distance(&next) + left - distance).abs() < 1e-9,
+                "not on the line to the goal"
+            );
+            Ok(())
+        },
+    );
 }
 
 #[test]
 fn a_zone_that_leaves_moves_its_own_blocks_only() {
     let catalog = catalog(SMALL);
-    let from = of_weights(&catalog, &[0.3, 0.3, 0.2, 0.2]);
-    let to = of_weights(&catalog, &[0.0, 0.3, 0.2, 0.2]);
+    let from = split_from_weights(&catalog, &[0.3, 0.3, 0.2, 0.2]);
+    let to = split_from_weights(&catalog, &[0.0, 0.3, 0.2, 0.2]);
     let left = zone(&catalog, "r0-z0");
     assert!((from.moved_share(&to) - 0.3).abs() < 1e-9);
     for block in 0..BLOCKS {
@@ -105,7 +114,7 @@
 }
 
 #[test]
-fn hosts_with_other_keys_choose_alike() {
+fn hosts_with_different_keys_choose_the_same_zones() {
     let plain = catalog(SMALL);
     let early = lay(
         &Catalog::default(),
@@ -127,16 +136,17 @@
     }
 }
 
-/// What is known: a letter for each zone, and the slots measured there.
-fn view(catalog: &Catalog, known: &str) -> View {
+/// Builds a view from one character per zone: a digit gives its measured slots, `L` is lost, `?` is unknown and `-` is alive
+/// without a measurement.
+fn view(catalog: &Catalog, observed: &str) -> View {
     let mut view = View::default();
-    for ((key, _), mark) in catalog.zones().zip(known.chars()) {
-        let standing = match mark {
+    for ((key, _), mark) in catalog.zones().zip(observed.chars()) {
+        let status = match mark {
             'L' => ZoneStatus::Lost,
             '?' => ZoneStatus::Unknown,
             _ => ZoneStatus::Alive,
         };
-        view.zones.insert(key, standing);
+        view.zones.insert(key, status);
         if let Some(slots) = mark.to_digit(10) {
             view.slots.insert((service(catalog), key), slots);
         }
@@ -144,9 +154,10 @@
     view
 }
 
-/// One row: what is known, the current weights, those wanted, and the kind of move.
+/// Defines tests by a zone that is not serving, the observed zones, the plan, the current weights, the expected weights and the
+/// kind of move.
 macro_rules! case {
-    ($($name:ident: $off:expr, $known:expr, $plan:expr, $current:expr => $wanted:expr, $kind:ident;)*) => {$(
+    ($($name:ident: $off:expr, $observed:expr, $plan:expr, $current:expr => $expected:expr, $kind:ident;)*) => {$(
         #[test]
         fn $name() {
             let mut value = configuration(SMALL);
@@ -155,15 +166,15 @@
             }
             let catalog = lay(&Catalog::default(), value);
             let (service, locality) = (service(&catalog), region(&catalog, "r0"));
-            let mut view = view(&catalog, $known);
+            let mut view = view(&catalog, $observed);
             let plan: Option<&[f64]> = $plan;
             if let Some(weights) = plan {
-                view.plan.insert((service, locality), of_weights(&catalog, weights));
+                view.plan.insert((service, locality), split_from_weights(&catalog, weights));
             }
-            let current = of_weights(&catalog, &$current);
+            let current = split_from_weights(&catalog, &$current);
             let Goal { split, kind } = compute_goal(&catalog, service, locality, &view, &current);
-            let wanted = of_weights(&catalog, &$wanted);
-            assert!(split.distance(&wanted) < 1e-9, "{split:?} in place of {wanted:?}");
+            let expected = split_from_weights(&catalog, &$expected);
+            assert!(split.distance(&expected) < 1e-9, "{split:?} instead of {expected:?}");
             assert_eq!(kind, MoveKind::$kind);
         }
     )*};
@@ -173,41 +184,41 @@
 
 case! {
     own_region_shares_by_slots: NONE, "624444", None, [1.0] => [0.75, 0.25], Planned;
-    draining_zone_is_left: Some(("r0-z1", "draining")), "444444", None, [0.5, 0.5] => [1.0], Planned;
+    draining_zone_loses_its_share: Some(("r0-z1", "draining")), "444444", None, [0.5, 0.5] => [1.0], Planned;
     lost_zone_moves_its_share_only: NONE, "L44444", None, [0.4, 0.2, 0.4] => [0.0, 0.6, 0.4], Failover;
     zone_without_live_slots_is_lost: NONE, "044444", None, [0.5, 0.5] => [0.0, 1.0], Failover;
     lost_region_goes_to_the_nearest: NONE, "LL8844", None, [0.5, 0.5] => [0.0, 0.0, 0.5, 0.5], Failover;
-    near_region_too_small_takes_the_next: NONE, "LL2244", None, [0.5, 0.5]
+    too_small_region_is_supplemented_by_the_next: NONE, "LL2244", None, [0.5, 0.5]
         => [0.0, 0.0, 1.0, 1.0, 2.0, 2.0], Failover;
     nothing_known_freezes: NONE, "??????", None, [0.7, 0.3] => [0.7, 0.3], Planned;
     no_slots_known_freezes: NONE, "------", None, [0.7, 0.3] => [0.7, 0.3], Planned;
     unknown_zone_keeps_its_share: NONE, "?4LL44", None, [0.7, 0.2, 0.0, 0.0, 0.1] => [0.7, 0.3], Planned;
-    unknown_own_region_sends_nothing_abroad: NONE, "??4444", None, [1.0] => [1.0], Planned;
-    unknown_own_region_leaves_what_is_abroad: NONE, "??4444", None, [0.6, 0.0, 0.4] => [0.6, 0.0, 0.4], Planned;
-    nothing_left_stays: NONE, "LLLLLL", None, [0.5, 0.5] => [0.5, 0.5], Planned;
-    plan_goes_first: NONE, "444444", Some(&[0.2, 0.2, 0.6]), [0.5, 0.5] => [0.2, 0.2, 0.6], Planned;
-    plan_that_names_a_lost_zone_is_ignored: NONE, "44L444", Some(&[0.2, 0.2, 0.6]), [0.5, 0.5]
+    unknown_own_region_keeps_its_share: NONE, "??4444", None, [1.0] => [1.0], Planned;
+    unknown_own_region_keeps_shares_of_other_regions: NONE, "??4444", None, [0.6, 0.0, 0.4] => [0.6, 0.0, 0.4], Planned;
+    split_without_usable_zones_stays: NONE, "LLLLLL", None, [0.5, 0.5] => [0.5, 0.5], Planned;
+    plan_takes_precedence: NONE, "444444", Some(&[0.2, 0.2, 0.6]), [0.5, 0.5] => [0.2, 0.2, 0.6], Planned;
+    plan_with_a_lost_zone_is_ignored: NONE, "44L444", Some(&[0.2, 0.2, 0.6]), [0.5, 0.5]
         => [0.5, 0.5], Planned;
     return_is_planned: NONE, "444444", None, [0.0, 0.0, 0.5, 0.5] => [0.5, 0.5], Planned;
 }
 
 #[test]
-fn a_zone_that_flaps_has_to_stay_good_for_longer() {
+fn a_flapping_zone_has_to_stay_healthy_for_longer() {
     let catalog = catalog(SMALL);
     let zone = zone(&catalog, "r0-z0");
     let base = Instant::now();
-    let mut hold = FlapDamping::new(Duration::from_secs(10));
-    let mut see = |at, seen| hold.observe(base + Duration::from_secs(at), zone, seen);
-    assert_eq!(see(0, ZoneStatus::Alive), ZoneStatus::Alive);
-    assert_eq!(see(1, ZoneStatus::Lost), ZoneStatus::Lost);
-    assert_eq!(see(2, ZoneStatus::Alive), ZoneStatus::Lost);
-    assert_eq!(see(9, ZoneStatus::Unknown), ZoneStatus::Lost);
-    assert_eq!(see(10, ZoneStatus::Alive), ZoneStatus::Lost);
-    assert_eq!(see(19, ZoneStatus::Alive), ZoneStatus::Lost);
-    assert_eq!(see(20, ZoneStatus::Alive), ZoneStatus::Alive);
-    assert_eq!(see(21, ZoneStatus::Unknown), ZoneStatus::Unknown);
-    assert_eq!(see(22, ZoneStatus::Lost), ZoneStatus::Lost);
-    assert_eq!(see(30, ZoneStatus::Alive), ZoneStatus::Lost);
-    assert_eq!(see(49, ZoneStatus::Alive), ZoneStatus::Lost);
-    assert_eq!(see(50, ZoneStatus::Alive), ZoneStatus::Alive);
+    let mut damping = FlapDamping::new(Duration::from_secs(10));
+    let mut observe = |at, seen| damping.observe(base + Duration::from_secs(at), zone, seen);
+    assert_eq!(observe(0, ZoneStatus::Alive), ZoneStatus::Alive);
+    assert_eq!(observe(1, ZoneStatus::Lost), ZoneStatus::Lost);
+    assert_eq!(observe(2, ZoneStatus::Alive), ZoneStatus::Lost);
+    assert_eq!(observe(9, ZoneStatus::Unknown), ZoneStatus::Lost);
+    assert_eq!(observe(10, ZoneStatus::Alive), ZoneStatus::Lost);
+    assert_eq!(observe(19, ZoneStatus::Alive), ZoneStatus::Lost);
+    assert_eq!(observe(20, ZoneStatus::Alive), ZoneStatus::Alive);
+    assert_eq!(observe(21, ZoneStatus::Unknown), ZoneStatus::Unknown);
+    assert_eq!(observe(22, ZoneStatus::Lost), ZoneStatus::Lost);
+    assert_eq!(observe(30, ZoneStatus::Alive), ZoneStatus::Lost);
+    assert_eq!(observe(49, ZoneStatus::Alive), ZoneStatus::Lost);
+    assert_eq!(observe(50, ZoneStatus::Alive), ZoneStatus::Alive);
 }
--- a/tests/target.rs
+++ b/tests/target.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, Weak};
 
-use scripted::{Act, Pair, Times};
+use scripted::{Behavior, Occurrence, ScriptedTargets};
 use serde_json::json;
 use world::{send, Answer, World};
 
@@ -40,8 +40,8 @@
 #[derive(Clone, Copy)]
 struct Row {
     name: &'static str,
-    act: Act,
-    times: Times,
+    act: Behavior,
+    times: Occurrence,
     method: &'static str,
     body: usize,
     deadline: &'static str,
@@ -50,7 +50,7 @@
     once: Expect,
 }
 
-const fn row(act: Act, times: Times, idempotent: Expect, once: Expect) -> Row {
+const fn row(act: Behavior, times: Occurrence, idempotent: Expect, once: Expect) -> Row {
     Row {
         name: "",
         act,
@@ -64,12 +64,12 @@
     }
 }
 
-const fn always(act: Act, idempotent: Expect, once: Expect) -> Row {
-    row(act, Times::Always, idempotent, once)
+const fn always(act: Behavior, idempotent: Expect, once: Expect) -> Row {
+    row(act, Occurrence::Always, idempotent, once)
 }
 
-const fn first(act: Act, idempotent: Expect, once: Expect) -> Row {
-    row(act, Times::First, idempotent, once)
+const fn first(act: Behavior, idempotent: Expect, once: Expect) -> Row {
+    row(act, Occurrence::First, idempotent, once)
 }
 
 impl Row {
@@ -98,7 +98,7 @@
 /// One entry host and the targets of all rows; it ends with the last test that uses it.
 struct Bench {
     world: World,
-    pairs: BTreeMap<String, Pair>,
+    pairs: BTreeMap<String, ScriptedTargets>,
 }
 
 fn bench() -> Arc<Bench> {
@@ -122,7 +122,7 @@
         for row in ROWS {
             for idempotent in [true, false] {
                 let service = service(row, idempotent);
-                let pair = Pair::new(row.act, row.times);
+                let pair = ScriptedTargets::new(row.act, row.times);
                 let record = json!({"class": "c", "idempotent": idempotent, "deadline_ms": 5000});
                 world = world.with_service(&service, record);
                 for (index, address) in pair.addresses.iter().enumerate() {
@@ -161,7 +161,7 @@
             let answer = send(row.method, &url, &headers, &body)
                 .unwrap_or_else(|error| panic!("{call}: no answer: {error}"));
             check_answer(&call, row, expect, &answer);
-            check_runs(&call, expect, idempotent, pair.runs(&call));
+            check_runs(&call, expect, idempotent, pair.executions(&call));
         }
     }
 }
@@ -217,86 +217,86 @@
 }
 
 cases! {
-    sound: always(Act::Serve, Good, Good);
-    sound_head: always(Act::Serve, Good, Good).method("HEAD");
-    sound_get: always(Act::Serve, Good, Good).method("GET");
-    sound_chunked: always(Act::Chunked, Good, Good);
-    sound_until_close: always(Act::Raw("HTTP/1.0 200 OK\r\n\r\n{body}"), Good, Good);
+    sound: always(Behavior::Serve, Good, Good);
+    sound_head: always(Behavior::Serve, Good, Good).method("HEAD");
+    sound_get: always(Behavior::Serve, Good, Good).method("GET");
+    sound_chunked: always(Behavior::Chunked, Good, Good);
+    sound_until_close: always(Behavior::Raw("HTTP/1.0 200 OK\r\n\r\n{body}"), Good, Good);
     sound_after_continue: always(
-        Act::Raw("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}"),
+        Behavior::Raw("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}"),
         Good, Good);
-    slow: always(Act::Slow(300), Good, Good);
+    slow: always(Behavior::Slow(300), Good, Good);
 
-    refused: always(Act::Refuse, NotRun, NotRun);
-    connect_black_hole: always(Act::BlackHole, NotRun, NotRun);
-    reset_on_accept: always(Act::ResetOnAccept, Unknown(502), Unknown(502));
-    reset_on_accept_once: first(Act::ResetOnAccept, Good, Unknown(502));
-    closed_on_accept: always(Act::CloseOnAccept, Unknown(502), Unknown(502));
-    closed_on_accept_once: first(Act::CloseOnAccept, Good, Unknown(502));
-    request_cut_at_1: first(Act::CutForth(1), Good, Unknown(502));
-    request_cut_at_40: first(Act::CutForth(40), Good, Unknown(502));
-    request_cut_in_small_body: first(Act::CutForth(400), Good, Unknown(502)).body(2000);
-    request_cut_in_large_body: first(Act::CutForth(400_000), Good, Unknown(502)).body(1_000_000);
-    request_always_cut: always(Act::CutForth(40), Unknown(502), Unknown(502));
+    refused: always(Behavior::Refuse, NotRun, NotRun);
+    connect_black_hole: always(Behavior::BlackHole, NotRun, NotRun);
+    reset_on_accept: always(Behavior::ResetOnAccept, Unknown(502), Unknown(502));
+    reset_on_accept_once: first(Behavior::ResetOnAccept, Good, Unknown(502));
+    closed_on_accept: always(Behavior::CloseOnAccept, Unknown(502), Unknown(502));
+    closed_on_accept_once: first(Behavior::CloseOnAccept, Good, Unknown(502));
+    request_cut_at_1: first(Behavior::ResetWhileReading(1), Good, Unknown(502));
+    request_cut_at_40: first(Behavior::ResetWhileReading(40), Good, Unknown(502));
+    request_cut_in_small_body: first(Behavior::ResetWhileReading(400), Good, Unknown(502)).body(2000);
+    request_cut_in_large_body: first(Behavior::ResetWhileReading(400_000), Good, Unknown(502)).body(1_000_000);
+    request_always_cut: always(Behavior::ResetWhileReading(40), Unknown(502), Unknown(502));
 
-    answer_lost: always(Act::LoseAnswer, Unknown(502), Unknown(502));
-    answer_lost_once: first(Act::LoseAnswer, Good, Unknown(502));
-    answer_reset: always(Act::ResetAnswer, Unknown(502), Unknown(502));
-    answer_reset_once: first(Act::ResetAnswer, Good, Unknown(502));
-    answer_cut_at_1: always(Act::CutBack(1), Unknown(502), Unknown(502));
-    answer_cut_at_17: always(Act::CutBack(17), Unknown(502), Unknown(502));
-    answer_cut_at_40: always(Act::CutBack(40), Unknown(502), Unknown(502));
-    answer_cut_in_body: always(Act::CutBack(105), Unknown(502), Unknown(502));
-    answer_cut_in_body_once: first(Act::CutBack(105), Good, Unknown(502));
-    chunked_cut: always(Act::CutChunked, Unknown(502), Unknown(502));
-    chunked_cut_once: first(Act::CutChunked, Good, Unknown(502));
+    answer_lost: always(Behavior::CloseBeforeAnswer, Unknown(502), Unknown(502));
+    answer_lost_once: first(Behavior::CloseBeforeAnswer, Good, Unknown(502));
+    answer_reset: always(Behavior::ResetBeforeAnswer, Unknown(502), Unknown(502));
+    answer_reset_once: first(Behavior::ResetBeforeAnswer, Good, Unknown(502));
+    answer_cut_at_1: always(Behavior::TruncateAnswer(1), Unknown(502), Unknown(502));
+    answer_cut_at_17: always(Behavior::TruncateAnswer(17), Unknown(502), Unknown(502));
+    answer_cut_at_40: always(Behavior::TruncateAnswer(40), Unknown(502), Unknown(502));
+    answer_cut_in_body: always(Behavior::TruncateAnswer(105), Unknown(502), Unknown(502));
+    answer_cut_in_body_once: first(Behavior::TruncateAnswer(105), Good, Unknown(502));
+    chunked_cut: always(Behavior::TruncateChunkedAnswer, Unknown(502), Unknown(502));
+    chunked_cut_once: first(Behavior::TruncateChunkedAnswer, Good, Unknown(502));
     chunk_of_no_size: always(
-        Act::Raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n{body}\r\n0\r\n\r\n"),
+        Behavior::Raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n{body}\r\n0\r\n\r\n"),
         Unknown(502), Unknown(502));
-    garbage: always(Act::Raw("\u{1}\u{2}\u{3} no answer at all \r\n\r\n"), Unknown(502), Unknown(502));
-    garbage_once: first(Act::Raw("\u{1}\u{2} no answer at all \r\n\r\n"), Good, Unknown(502));
+    garbage: always(Behavior::Raw("\u{1}\u{2}\u{3} no answer at all \r\n\r\n"), Unknown(502), Unknown(502));
+    garbage_once: first(Behavior::Raw("\u{1}\u{2} no answer at all \r\n\r\n"), Good, Unknown(502));
     lengths_in_conflict: always(
-        Act::Raw("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 300\r\n\r\n{body}"),
+        Behavior::Raw("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 300\r\n\r\n{body}"),
         Unknown(502), Unknown(502));
     length_no_number: always(
-        Act::Raw("HTTP/1.1 200 OK\r\nContent-Length: three\r\n\r\n{body}"),
+        Behavior::Raw("HTTP/1.1 200 OK\r\nContent-Length: three\r\n\r\n{body}"),
         Unknown(502), Unknown(502));
     length_too_large: always(
-        Act::Raw("HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n{body}"),
+        Behavior::Raw("HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n{body}"),
         Unknown(502), Unknown(502));
-    hang: always(Act::Hang, Unknown(504), Unknown(504)).short();
+    hang: always(Behavior::Hang, Unknown(504), Unknown(504)).short();
 
-    refusal: always(Act::Refusal, NotRun, NotRun);
-    refusal_once: first(Act::Refusal, Good, Good);
+    refusal: always(Behavior::Refusal, NotRun, NotRun);
+    refusal_once: first(Behavior::Refusal, Good, Good);
     unavailable_once: first(
-        Act::Raw("HTTP/1.1 503 Gone\r\nContent-Length: 2\r\n\r\nno"), Good, Status(503));
+        Behavior::Raw("HTTP/1.1 503 Gone\r\nContent-Length: 2\r\n\r\nno"), Good, Status(503));
     unavailable: always(
-        Act::Raw("HTTP/1.1 503 Gone\r\nContent-Length: 2\r\n\r\nno"), Status(503), Status(503));
+        Behavior::Raw("HTTP/1.1 503 Gone\r\nContent-Length: 2\r\n\r\nno"), Status(503), Status(503));
     server_error: always(
-        Act::Raw("HTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\nno"), Status(500), Status(500));
+        Behavior::Raw("HTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\nno"), Status(500), Status(500));
     gateway_error: always(
-        Act::Raw("HTTP/1.1 504 Late\r\nContent-Length: 2\r\n\r\nno"), Status(504), Status(504));
+        Behavior::Raw("HTTP/1.1 504 Late\r\nContent-Length: 2\r\n\r\nno"), Status(504), Status(504));
     not_found: always(
-        Act::Raw("HTTP/1.1 404 No\r\nContent-Length: 2\r\n\r\nno"), Status(404), Status(404));
+        Behavior::Raw("HTTP/1.1 404 No\r\nContent-Length: 2\r\n\r\nno"), Status(404), Status(404));
     conflict: always(
-        Act::Raw("HTTP/1.1 409 No\r\nContent-Length: 2\r\n\r\nno"), Status(409), Status(409));
+        Behavior::Raw("HTTP/1.1 409 No\r\nContent-Length: 2\r\n\r\nno"), Status(409), Status(409));
     redirect: always(
-        Act::Raw("HTTP/1.1 302 Found\r\nLocation: /y\r\nContent-Length: 0\r\n\r\n"),
+        Behavior::Raw("HTTP/1.1 302 Found\r\nLocation: /y\r\nContent-Length: 0\r\n\r\n"),
         Status(302), Status(302));
-    no_content: always(Act::Raw("HTTP/1.1 204 No\r\n\r\n"), Status(204), Status(204));
+    no_content: always(Behavior::Raw("HTTP/1.1 204 No\r\n\r\n"), Status(204), Status(204));
     not_modified: always(
-        Act::Raw("HTTP/1.1 304 No\r\nETag: \"1\"\r\n\r\n"), Status(304), Status(304)).method("GET");
-    large_head: always(Act::Header(30_000), Good, Good);
-    huge_head: always(Act::Header(300_000), Unknown(502), Unknown(502));
+        Behavior::Raw("HTTP/1.1 304 No\r\nETag: \"1\"\r\n\r\n"), Status(304), Status(304)).method("GET");
+    large_head: always(Behavior::Header(30_000), Good, Good);
+    huge_head: always(Behavior::Header(300_000), Unknown(502), Unknown(502));
 
-    closed_between_requests: always(Act::CloseAfterAnswer, Good, Good).requests(4);
-    closed_at_second_request: always(Act::CloseAtSecond, Good, Good).requests(4);
-    lost_at_second_request: always(Act::LoseAtSecond, Good, Good).requests(4);
+    closed_between_requests: always(Behavior::CloseAfterAnswer, Good, Good).requests(4);
+    closed_at_second_request: always(Behavior::ResetAtSecondRequest, Good, Good).requests(4);
+    lost_at_second_request: always(Behavior::CloseBeforeSecondAnswer, Good, Good).requests(4);
     // The test below this table makes this row's requests.
-    lost_at_second_request_and_gone: always(Act::GoneAtSecond, Good, Good).requests(0);
-    answered_twice: always(Act::Twice(0), Good, Good).requests(4);
-    answered_twice_late: always(Act::Twice(30), Good, Good).requests(4);
-    answer_before_its_request: always(Act::Early, Good, Good).requests(4);
+    lost_at_second_request_and_gone: always(Behavior::StopListeningAtSecondRequest, Good, Good).requests(0);
+    answered_twice: always(Behavior::AnswerTwice(0), Good, Good).requests(4);
+    answered_twice_late: always(Behavior::AnswerTwice(30), Good, Good).requests(4);
+    answer_before_its_request: always(Behavior::UnsolicitedAnswer, Good, Good).requests(4);
 }
 
 /// A late answer is dropped: those that ask after it get their own.
@@ -345,7 +345,7 @@
         let call = format!("gone-{number}");
         let headers = [("Standin-Call", &*call), ("Ragwortfold-Deadline-Ms", LONG)];
         let answer = send("POST", &url, &headers, b"body").unwrap();
-        let runs = bench.pairs[service].runs(&call);
+        let runs = bench.pairs[service].executions(&call);
         match &*answer.outcome {
             "answered" => assert_eq!(answer.text(), scripted::body(&call)),
             "unknown" => lost += 1,
