--- a/src/steer/engine.rs
+++ b/src/steer/engine.rs
@@ -139,12 +139,14 @@
     /// Live hosts in the state serving, by zone.
     serving_hosts: BTreeMap<ZoneKey, Vec<HostKey>>,
     groups: BTreeMap<ServiceKey, Group>,
-    waiting: BTreeMap<Id, ServiceKey>,
+    /// Services of the requests that are queued for a target of this zone.
+    queued_services: BTreeMap<Id, ServiceKey>,
     /// Copies of queued requests that may be routed to another zone if this zone refuses them.
     reroutable: BTreeMap<Id, RouteRequest>,
     switches: Switches,
     budgets: BTreeMap<ServiceKey, Budgets>,
     quotas: RelayQuotas,
+    /// Outstanding requests relayed to each host.
     relays_by_host: BTreeMap<HostKey, u32>,
     /// Moving average of the time that a request of a service occupies a slot, in seconds.
     hold_seconds: BTreeMap<ServiceKey, f64>,
@@ -183,7 +185,7 @@
             live_hosts: BTreeSet::new(),
             serving_hosts: BTreeMap::new(),
             groups: BTreeMap::new(),
-            waiting: BTreeMap::new(),
+            queued_services: BTreeMap::new(),
             reroutable: BTreeMap::new(),
             switches: Switches::new(steer),
             budgets: BTreeMap::new(),
@@ -257,8 +259,8 @@
         self.zone = catalog.zone_key(zone);
         self.catalog = catalog;
         if let Some(zone) = self.zone {
-            let own = self.catalog.region_of(zone);
-            self.quotas.configure(now, &self.catalog, own);
+            let own_region = self.catalog.region_of(zone);
+            self.quotas.configure(now, &self.catalog, own_region);
         }
         let limits = *self.catalog.limits();
         for budgets in self.budgets.values_mut() {
@@ -386,11 +388,11 @@
 
     /// Records the current splits of services that have serving targets in this zone.
     fn record_serving_splits(&mut self) {
-        let Some(own) = self.zone.map(|zone| self.catalog.region_of(zone)) else {
+        let Some(own_region) = self.zone.map(|zone| self.catalog.region_of(zone)) else {
             return;
         };
         for (&service, group) in &self.groups {
-            if let Some(controller) = self.split_controllers.get(&(service, own)) {
+            if let Some(controller) = self.split_controllers.get(&(service, own_region)) {
                 if group.headroom().slots > 0 {
                     self.last_serving_splits
                         .insert(service, controller.current().clone());
@@ -580,19 +582,20 @@
         if request.origin == Origin::Host || !self.has_no_slots(request.service) {
             return None;
         }
-        let before = self.last_serving_splits.get(&request.service)?;
-        let now = self
+        let last_serving_split = self.last_serving_splits.get(&request.service)?;
+        let current_split = self
             .split_controllers
             .get(&(request.service, request.locality))?
             .current();
-        let own = self
+        let own_zone = self
             .zone
             .filter(|&zone| self.catalog.region_of(zone) == request.locality);
-        if before.choose(request.block, |_| true) != Some(own?) {
+        if last_serving_split.choose(request.block, |_| true) != Some(own_zone?) {
             return None;
         }
-        now.choose(request.block, |_| true)
-            .filter(|&zone| Some(zone) != own)
+        current_split
+            .choose(request.block, |_| true)
+            .filter(|&zone| Some(zone) != own_zone)
     }
 
     /// Whether no target of this zone accepts requests of the service.
@@ -617,11 +620,12 @@
         if split.is_empty() {
             return self.nearest_zone(request);
         }
-        let own = self
+        let own_zone = self
             .zone
             .filter(|_| request.origin == Origin::Caller)
             .filter(|&zone| self.catalog.region_of(zone) == request.locality);
-        own.filter(|&zone| split.share(zone) > 0.0)
+        own_zone
+            .filter(|&zone| split.share(zone) > 0.0)
             .or_else(|| split.choose(request.block, |_| true))
     }
 
@@ -657,7 +661,7 @@
                 Some(self.target_verdict(now, grant))
             }
             group::Verdict::Wait => {
-                self.waiting.insert(request.id, request.service);
+                self.queued_services.insert(request.id, request.service);
                 None
             }
             group::Verdict::Refuse(refusal) => {
@@ -749,29 +753,29 @@
 
     /// Returns the other zones that may have room, nearest first.
     fn spill_over_zones(&self, request: &RouteRequest) -> Vec<ZoneKey> {
-        let Some(own) = self.zone else {
+        let Some(own_zone) = self.zone else {
             return Vec::new();
         };
-        let region = self.catalog.region_of(own);
+        let own_region = self.catalog.region_of(own_zone);
         let mut zones: Vec<(Duration, ZoneKey)> = self
             .catalog
             .sites(request.service)
-            .filter(|&(zone, site)| zone != own && site.slots > 0)
-            .filter(|&(zone, _)| self.may_have_room(request.service, zone, region))
-            .map(|(zone, _)| (self.latency_to(region, zone), zone))
+            .filter(|&(zone, site)| zone != own_zone && site.slots > 0)
+            .filter(|&(zone, _)| self.may_have_room(request.service, zone, own_region))
+            .map(|(zone, _)| (self.latency_to(own_region, zone), zone))
             .collect();
         zones.sort();
         zones.into_iter().map(|(_, zone)| zone).collect()
     }
 
     /// Whether a zone may have free slots. Without a report, only zones of the own region count as free.
-    fn may_have_room(&self, service: ServiceKey, zone: ZoneKey, region: RegionKey) -> bool {
+    fn may_have_room(&self, service: ServiceKey, zone: ZoneKey, own_region: RegionKey) -> bool {
         if self.view.zones.get(&zone) == Some(&ZoneStatus::Lost) {
             return false;
         }
         match self.free_slots.get(&(service, zone)) {
             Some(&free) => free > 0,
-            None => self.catalog.region_of(zone) == region,
+            None => self.catalog.region_of(zone) == own_region,
         }
     }
 
@@ -794,12 +798,18 @@
     ) -> Result<RelayPermit, Refusal> {
         let host = self.choose_host(request, zone)?;
         let region = self.catalog.region_of(zone);
-        let own = self.zone.map(|zone| self.catalog.region_of(zone));
+        let own_region = self.zone.map(|zone| self.catalog.region_of(zone));
         let hold_seconds = self.mean_hold_seconds(request.service);
-        if own != Some(region) && self.switches.quota == Switch::On {
+        if own_region != Some(region) && self.switches.quota == Switch::On {
             let bytes = request.bytes as f64;
             self.quotas
-                .charge(now, own, (request.service, region), hold_seconds, bytes)
+                .charge(
+                    now,
+                    own_region,
+                    (request.service, region),
+                    hold_seconds,
+                    bytes,
+                )
                 .map_err(|refused| Refusal {
                     reason: Reason::Limited,
                     retry_after: refused.retry_after.max(MIN_RETRY_AFTER),
@@ -863,8 +873,8 @@
         if let Some(count) = self.relays_by_host.get_mut(&permit.host) {
             *count = count.saturating_sub(1);
         }
-        let own = self.zone.map(|zone| self.catalog.region_of(zone));
-        if own == Some(permit.region) || self.switches.quota == Switch::Off {
+        let own_region = self.zone.map(|zone| self.catalog.region_of(zone));
+        if own_region == Some(permit.region) || self.switches.quota == Switch::Off {
             return;
         }
         let site = (permit.service, permit.region);
@@ -872,7 +882,7 @@
             PermitUsage::Unused => {
                 let bytes = permit.bytes as f64;
                 self.quotas
-                    .refund(now, own, site, permit.slot_seconds, bytes);
+                    .refund(now, own_region, site, permit.slot_seconds, bytes);
             }
             PermitUsage::Used { bytes } => {
                 let extra_bytes = bytes.saturating_sub(permit.bytes) as f64;
@@ -882,7 +892,7 @@
                 }
                 self.quotas.charge_extra(
                     now,
-                    own,
+                    own_region,
                     site,
                     measured_seconds - permit.slot_seconds,
                     extra_bytes,
@@ -893,13 +903,13 @@
 
     /// Returns the longest time that a request sent to another region can have occupied a slot, in seconds.
     fn max_hold_seconds(&self, now: Instant, permit: &RelayPermit) -> f64 {
-        let time = now.saturating_duration_since(permit.issued_at);
+        let elapsed = now.saturating_duration_since(permit.issued_at);
         let link = self.zone.and_then(|zone| {
             self.catalog
                 .link(self.catalog.region_of(zone), permit.region)
         });
         let latency = link.map_or(Duration::ZERO, |link| link.latency);
-        time.saturating_sub(2 * latency).as_secs_f64()
+        elapsed.saturating_sub(2 * latency).as_secs_f64()
     }
 
     /// Ends a target's grant. Returns the decisions on queued requests that can now be sent.
@@ -941,7 +951,7 @@
         self.undecided.retain(|(_, request)| request.id != id);
         self.release_suspect_permit(id);
         self.reroutable.remove(&id);
-        if let Some(service) = self.waiting.remove(&id) {
+        if let Some(service) = self.queued_services.remove(&id) {
             if let Some(group) = self.groups.get_mut(&service) {
                 group.cancel(id);
             }
@@ -966,7 +976,7 @@
         self.quarantine.expire(now);
         self.expire_rates(now);
         for (id, refusal) in refused {
-            self.waiting.remove(&id);
+            self.queued_services.remove(&id);
             let verdict = match self.reroutable.remove(&id) {
                 Some(request) => self.reroute(now, &request, refusal.into()),
                 None => Verdict::Refused(refusal.into()),
@@ -987,7 +997,7 @@
     fn dispatch_ready(&mut self, now: Instant, ready: Vec<(Id, group::Grant)>) -> Vec<Decision> {
         let mut decisions = Vec::with_capacity(ready.len());
         for (id, grant) in ready {
-            self.waiting.remove(&id);
+            self.queued_services.remove(&id);
             self.reroutable.remove(&id);
             let service = self.catalog.target(grant.target()).service;
             self.tally(now, service).admitted += 1;
--- a/src/steer/engine/rate.rs
+++ b/src/steer/engine/rate.rs
@@ -32,11 +32,11 @@
 
     /// Merges another host's news of a target's rate; returns whether the target starts or stops announcing a rate by it.
     pub fn merge_rate(&mut self, now: Instant, news: &News) -> bool {
-        let is_news = self.throttle.hear(now, news);
-        if is_news {
+        let is_changed = self.throttle.hear(now, news);
+        if is_changed {
             self.apply_rate_shares(now);
         }
-        is_news
+        is_changed
     }
 
     /// Returns the targets of this zone that announce a rate.
@@ -70,7 +70,7 @@
         };
         // Until the live hosts are known, all configured hosts of the zone count as live.
         let is_settling = self.is_settling(now);
-        let hosts: Vec<u64> = self
+        let host_hashes: Vec<u64> = self
             .catalog
             .hosts()
             .filter(|(_, host)| host.zone == zone && host.state != State::Off)
@@ -79,18 +79,20 @@
             })
             .map(|(_, host)| xxh3_64(host.name.as_bytes()))
             .collect();
-        let own = xxh3_64(self.host.as_bytes());
+        let own_hash = xxh3_64(self.host.as_bytes());
         for (&service, group) in &mut self.groups {
             let targets = self.catalog.site(service, zone).map(|site| &site.targets);
             for &target in targets.into_iter().flatten() {
                 let digest = xxh3_64(self.catalog.target(target).name.as_bytes());
                 let share = self.throttle.rate(digest).map(|rate| {
-                    let keepers = self.throttle.keepers(digest, hosts.len());
+                    let sender_count = self.throttle.keepers(digest, host_hashes.len());
                     let rank = |host: &u64| xxh3_64_with_seed(&host.to_le_bytes(), digest);
-                    let preceding = hosts.iter().filter(|host| rank(host) > rank(&own));
-                    let is_keeper = preceding.take(keepers).count() < keepers;
-                    if is_keeper {
-                        rate / keepers as f64
+                    let preceding = host_hashes
+                        .iter()
+                        .filter(|host| rank(host) > rank(&own_hash));
+                    let is_sender = preceding.take(sender_count).count() < sender_count;
+                    if is_sender {
+                        rate / sender_count as f64
                     } else {
                         0.0
                     }
--- a/src/steer/group.rs
+++ b/src/steer/group.rs
@@ -198,7 +198,7 @@
             .unwrap_or_default();
         for member in &mut self.members {
             if !listed.contains(&member.key) {
-                member.configured = catalog::State::Off;
+                member.configured_state = catalog::State::Off;
             }
         }
         self.members
@@ -237,7 +237,7 @@
         };
         let member = &mut self.members[position];
         let was_serving = member.is_serving();
-        member.configured = state;
+        member.configured_state = state;
         member.slots = target.slots;
         member.limit = member
             .limit
@@ -310,15 +310,15 @@
     /// Returns the time until a target may take a request if all untried targets have used up their rate limits. Targets without a
     /// rate limit become free with each answer; these don't, and a request queued for one of them would block those behind it.
     fn rate_limit_wait(&self, now: Instant, request: &TargetRequest) -> Option<Duration> {
-        let mut first = None;
+        let mut shortest = None;
         for member in in_rotation(&self.members).filter(|member| !member.has_tried(request)) {
             let wait = member.rate_limit_wait(now);
             if wait.is_zero() {
                 return None;
             }
-            first = first.into_iter().chain([wait]).min();
+            shortest = shortest.into_iter().chain([wait]).min();
         }
-        first
+        shortest
     }
 
     /// Sets this host's share of the rate limit that a target announces, in requests per second; `None` if it announces none.
@@ -440,7 +440,7 @@
         let preferred = self.affinity_target(request);
         self.picker
             .choose(&self.candidates, rng, |position, candidate| {
-                let usable = candidate.is_free()
+                let is_usable = candidate.is_free()
                     && (cold || candidate.warm_fraction >= 1.0)
                     && (request.exclude.is_empty() || !members[position].has_tried(request))
                     && members[position].rate_limit_wait(now).is_zero();
@@ -449,7 +449,7 @@
                 } else {
                     1.0
                 };
-                usable.then(|| candidate.cost(pick) * factor)
+                is_usable.then(|| candidate.cost(pick) * factor)
             })
     }
 
@@ -472,7 +472,7 @@
         if !self.stats.is_probe_due {
             return None;
         }
-        let left = request
+        let seconds_left = request
             .deadline
             .saturating_duration_since(now)
             .as_secs_f64();
@@ -483,7 +483,7 @@
                 && member.eject.is_due(now)
                 && !member.has_tried(request)
                 && member.rate_limit_wait(now).is_zero()
-                && left > PROBE_SLACK_LATENCIES * self.stats.median_latency
+                && seconds_left > PROBE_SLACK_LATENCIES * self.stats.median_latency
         })
     }
 
@@ -551,11 +551,7 @@
             }
             End::ConnectFailed | End::Broken => member.start_backoff(now),
             End::TimedOut | End::Cancelled => {
-                if member
-                    .estimate
-                    .latency()
-                    .is_some_and(|known| seconds > known)
-                {
+                if member.estimate.latency().is_some_and(|mean| seconds > mean) {
                     member.estimate.record_latency(now, report.latency);
                 }
             }
@@ -631,17 +627,17 @@
     /// Returns the requests that leave the queue unexecuted: those that can no longer meet their
     /// deadline, those dropped from a full queue, and all if no target accepts requests.
     pub fn expire(&mut self, now: Instant) -> Vec<(Id, Refusal)> {
-        let mut out = std::mem::take(&mut self.shed);
+        let mut removed = std::mem::take(&mut self.shed);
         while let Some(entry) = self.queue.pop_due(now) {
-            out.push((entry.id, self.refusal(Reason::Deadline)));
+            removed.push((entry.id, self.refusal(Reason::Deadline)));
         }
         if self.members.iter().any(Member::is_serving) {
-            return out;
+            return removed;
         }
         while let Some(entry) = self.queue.pop_last() {
-            out.push((entry.id, self.refusal(Reason::NoTarget)));
+            removed.push((entry.id, self.refusal(Reason::NoTarget)));
         }
-        out
+        removed
     }
 
     /// Removes a queued request. Returns false if it is not queued, having been admitted or refused.
@@ -666,7 +662,7 @@
 
     /// Returns the earliest end of a target's backoff or ejection.
     fn next_change(&self, now: Instant) -> Option<Instant> {
-        let rests = self
+        let backoffs = self
             .members
             .iter()
             .filter_map(|member| member.backoff_until);
@@ -674,7 +670,7 @@
             .members
             .iter()
             .filter_map(|member| member.eject.until());
-        rests.chain(ejections).filter(|&at| at > now).min()
+        backoffs.chain(ejections).filter(|&at| at > now).min()
     }
 
     /// Returns the group's summary.
@@ -825,12 +821,12 @@
 
 /// Returns the evidence for outlier ejection in a request's report, if any.
 fn health_sign(report: &Report, median: f64) -> Option<Sign> {
-    let slow = report.latency.as_secs_f64() > LATENCY_RATIO * median;
+    let is_slow = report.latency.as_secs_f64() > LATENCY_RATIO * median;
     match report.end {
-        End::Answered if slow => Some(Sign::Slow),
+        End::Answered if is_slow => Some(Sign::Slow),
         End::Answered => Some(Sign::Good),
         End::ConnectFailed | End::Broken => Some(Sign::Bad),
-        End::TimedOut if slow => Some(Sign::Bad),
+        End::TimedOut if is_slow => Some(Sign::Bad),
         End::Refused | End::TimedOut | End::Cancelled => None,
     }
 }
--- a/src/steer/group/member.rs
+++ b/src/steer/group/member.rs
@@ -21,7 +21,7 @@
 pub(super) struct Member {
     pub(super) key: TargetKey,
     pub(super) slots: u32,
-    pub(super) configured: catalog::State,
+    pub(super) configured_state: catalog::State,
     pub(super) draining_sources: BTreeMap<Source, Instant>,
     pub(super) header_state: State,
     pub(super) health: Health,
@@ -49,7 +49,7 @@
         Self {
             key,
             slots: target.slots,
-            configured: catalog::State::Serving,
+            configured_state: catalog::State::Serving,
             draining_sources: BTreeMap::new(),
             header_state: State::Serving,
             health: Health::Up,
@@ -81,7 +81,7 @@
 
     /// Whether the target accepts new requests by its configured and reported states.
     pub(super) fn is_serving(&self) -> bool {
-        self.configured == catalog::State::Serving && self.draining_sources.is_empty()
+        self.configured_state == catalog::State::Serving && self.draining_sources.is_empty()
     }
 
     pub(super) fn is_backing_off(&self, now: Instant) -> bool {
--- a/src/steer/quota.rs
+++ b/src/steer/quota.rs
@@ -101,8 +101,8 @@
 pub struct Quota {
     static_part: f64,
     tokens: f64,
-    refilled: Instant,
-    started: Option<Instant>,
+    refilled_at: Instant,
+    started_at: Option<Instant>,
     released: Vec<TimedRate>,
     bonuses: Vec<TimedRate>,
     pending_requests: BTreeMap<Serial, Instant>,
@@ -115,8 +115,8 @@
         Self {
             static_part: part,
             tokens: 0.0,
-            refilled: now,
-            started: None,
+            refilled_at: now,
+            started_at: None,
             released: Vec::new(),
             bonuses: Vec::new(),
             pending_requests: BTreeMap::new(),
@@ -127,7 +127,7 @@
     /// Creates the quota of a host that may have replaced one of the same name.
     pub fn with_start(part: f64, now: Instant, incarnation: u64) -> Self {
         Self {
-            started: Some(now),
+            started_at: Some(now),
             ..Self::new(part, now, incarnation)
         }
     }
@@ -224,7 +224,7 @@
     /// Returns the time at which all loans of a predecessor's part have ended.
     fn predecessor_loans_end(&self) -> Option<Instant> {
         Some(
-            self.started?
+            self.started_at?
                 + MAX_RELEASE_TIME.mul_f64(1.0 + 2.0 * MAX_CLOCK_DRIFT)
                 + LOAN_RETURN_MARGIN,
         )
@@ -236,8 +236,8 @@
 
     /// Adds the tokens since the last refill, at the rates that applied meanwhile.
     fn refill(&mut self, now: Instant) {
-        let now = now.max(self.refilled);
-        let from = self.refilled;
+        let now = now.max(self.refilled_at);
+        let from = self.refilled_at;
         let change_times = self
             .released
             .iter()
@@ -253,7 +253,7 @@
             self.tokens += self.rate(at) * (time - at).as_secs_f64();
             at = time;
         }
-        self.refilled = now;
+        self.refilled_at = now;
         self.released.retain(|rate| rate.until > now);
         self.bonuses.retain(|rate| rate.until > now);
         self.tokens = self.tokens.min(self.bucket_depth(now));
--- a/src/steer/relay_permit.rs
+++ b/src/steer/relay_permit.rs
@@ -1,4 +1,4 @@
-//! Permits to relay requests to other zones, and the quotas they are charged to.
+//! Requests relayed to other zones, and the quotas they are charged to.
 //!
 //! A request to another region is charged to the region's quota, in slot-seconds, and to the link's
 //! quotas, in requests and bytes. The static parts of all configured hosts add up to the capacity that
@@ -78,10 +78,10 @@
     /// Returns the unused fraction of this host's quota of each link since the last call, 0 to 1.
     pub(crate) fn link_headroom(&mut self, now: Instant) -> BTreeMap<LinkDirection, f64> {
         let since = self.headroom_read_at.replace(now).unwrap_or(now);
-        let time = now.saturating_duration_since(since).as_secs_f64();
+        let seconds = now.saturating_duration_since(since).as_secs_f64();
         let sent = std::mem::take(&mut self.sent_requests);
         let unused_fraction = |link: &LinkDirection, quota: &Quota| {
-            let quota_requests = quota.rate(now) * time;
+            let quota_requests = quota.rate(now) * seconds;
             let used_requests = f64::from(sent.get(link).copied().unwrap_or_default());
             if quota_requests > 0.0 {
                 (1.0 - used_requests / quota_requests).clamp(0.0, 1.0)
@@ -151,22 +151,22 @@
         &mut self,
         now: Instant,
         own: Option<RegionKey>,
-        service_region: RegionalService,
+        site: RegionalService,
         slot_seconds: f64,
         bytes: f64,
     ) -> Result<(), Refusal> {
-        let no_quota = Refusal {
+        let none = Refusal {
             retry_after: Duration::from_secs(1),
         };
-        let link = (own.ok_or(no_quota)?, service_region.1);
-        if !self.region_quotas.contains_key(&service_region) {
-            return Err(no_quota);
+        let link = (own.ok_or(none)?, site.1);
+        if !self.region_quotas.contains_key(&site) {
+            return Err(none);
         }
-        let mut charges = self.quotas_and_costs(link, service_region, slot_seconds, bytes);
-        for index in 0..charges.len() {
-            let (quota, cost) = &mut charges[index];
+        let mut charges = self.quotas_and_costs(link, site, slot_seconds, bytes);
+        for at in 0..charges.len() {
+            let (quota, cost) = &mut charges[at];
             if let Err(refusal) = quota.take(now, *cost) {
-                for (quota, cost) in &mut charges[..index] {
+                for (quota, cost) in &mut charges[..at] {
                     quota.refund(now, *cost);
                 }
                 return Err(refusal);
@@ -180,12 +180,12 @@
     fn quotas_and_costs(
         &mut self,
         link: LinkDirection,
-        service_region: RegionalService,
+        site: RegionalService,
         slot_seconds: f64,
         bytes: f64,
     ) -> Vec<(&mut Quota, f64)> {
         let quotas = [
-            (self.region_quotas.get_mut(&service_region), slot_seconds),
+            (self.region_quotas.get_mut(&site), slot_seconds),
             (self.link_request_quotas.get_mut(&link), 1.0),
             (self.link_byte_quotas.get_mut(&link), bytes),
         ];
@@ -200,18 +200,18 @@
         &mut self,
         now: Instant,
         own: Option<RegionKey>,
-        service_region: RegionalService,
+        site: RegionalService,
         slot_seconds: f64,
         bytes: f64,
     ) {
         let Some(own) = own else {
             return;
         };
-        let link = (own, service_region.1);
+        let link = (own, site.1);
         if let Some(sent) = self.sent_requests.get_mut(&link) {
             *sent = sent.saturating_sub(1);
         }
-        for (quota, cost) in self.quotas_and_costs(link, service_region, slot_seconds, bytes) {
+        for (quota, cost) in self.quotas_and_costs(link, site, slot_seconds, bytes) {
             quota.refund(now, cost);
         }
     }
@@ -222,19 +222,18 @@
         &mut self,
         now: Instant,
         own: Option<RegionKey>,
-        service_region: RegionalService,
+        site: RegionalService,
         slot_seconds: f64,
         bytes: f64,
     ) {
         if let Some(region_quota) = self
             .region_quotas
-            .get_mut(&service_region)
+            .get_mut(&site)
             .filter(|_| slot_seconds > 0.0)
         {
             region_quota.refund(now, -slot_seconds);
         }
-        if let Some(link_quota) =
-            own.and_then(|own| self.link_byte_quotas.get_mut(&(own, service_region.1)))
+        if let Some(link_quota) = own.and_then(|own| self.link_byte_quotas.get_mut(&(own, site.1)))
         {
             link_quota.refund(now, -bytes);
         }
--- a/src/steer/shift.rs
+++ b/src/steer/shift.rs
@@ -72,8 +72,8 @@
 /// Counts of a short period.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
-    first: Instant,
-    last: Instant,
+    first_at: Instant,
+    last_at: Instant,
     moved: f64,
     charged: f64,
     spilled: u64,
@@ -97,8 +97,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct MoveBudget {
     buckets: VecDeque<Bucket>,
-    added: usize,
-    started: Option<Instant>,
+    buckets_since_merge: usize,
+    history_start: Option<Instant>,
 }
 
 impl MoveBudget {
@@ -109,9 +109,9 @@
 
     /// Creates a budget whose history before `started` is unknown, as after a restart. It allows no move
     /// until a window has passed.
-    pub fn with_start(started: Instant) -> Self {
+    pub fn with_start(history_start: Instant) -> Self {
         Self {
-            started: Some(started),
+            history_start: Some(history_start),
             ..Self::default()
         }
     }
@@ -171,15 +171,15 @@
 
     /// Whether the window includes a time before the known history.
     fn has_unknown_past(&self, now: Instant, window: Duration) -> bool {
-        self.started
-            .is_some_and(|started| now.saturating_duration_since(started) <= window)
+        self.history_start
+            .is_some_and(|history_start| now.saturating_duration_since(history_start) <= window)
     }
 
     /// Returns the totals of the window.
     fn window_totals(&self, now: Instant, window: Duration) -> WindowTotals {
         let mut totals = WindowTotals::default();
         for bucket in self.buckets_in_window(now, window) {
-            if now.saturating_duration_since(bucket.first) <= window {
+            if now.saturating_duration_since(bucket.first_at) <= window {
                 totals.requests += bucket.requests;
             }
             totals.spilled += bucket.spilled;
@@ -193,21 +193,24 @@
         self.buckets
             .iter()
             .rev()
-            .take_while(move |bucket| now.saturating_duration_since(bucket.last) <= window)
+            .take_while(move |bucket| now.saturating_duration_since(bucket.last_at) <= window)
     }
 
     /// Returns the bucket for events at `now`.
     fn current_bucket(&mut self, now: Instant) -> &mut Bucket {
-        let now = self.buckets.back().map_or(now, |last| last.last.max(now));
-        let fits = |last: &Bucket| now.duration_since(last.first) < BUCKET_SPAN;
+        let now = self
+            .buckets
+            .back()
+            .map_or(now, |last| last.last_at.max(now));
+        let fits = |last: &Bucket| now.duration_since(last.first_at) < BUCKET_SPAN;
         if !self.buckets.back().is_some_and(fits) {
-            self.added += 1;
-            if self.added >= BUCKETS_PER_MERGE {
+            self.buckets_since_merge += 1;
+            if self.buckets_since_merge >= BUCKETS_PER_MERGE {
                 self.merge_old_buckets(now);
             }
             self.buckets.push_back(Bucket {
-                first: now,
-                last: now,
+                first_at: now,
+                last_at: now,
                 moved: 0.0,
                 charged: 0.0,
                 spilled: 0,
@@ -216,7 +219,7 @@
         }
         let last_index = self.buckets.len() - 1;
         let bucket = &mut self.buckets[last_index];
-        bucket.last = now;
+        bucket.last_at = now;
         bucket
     }
 
@@ -224,13 +227,13 @@
     fn merge_old_buckets(&mut self, now: Instant) {
         let mut merged: VecDeque<Bucket> = VecDeque::with_capacity(self.buckets.len() + 1);
         for bucket in self.buckets.drain(..) {
-            let age = now.saturating_duration_since(bucket.last);
+            let age = now.saturating_duration_since(bucket.last_at);
             if age > MAX_BUCKET_AGE {
                 continue;
             }
             match merged.back_mut() {
-                Some(previous) if bucket.last - previous.first <= age / MERGE_AGE_DIVISOR => {
-                    previous.last = bucket.last;
+                Some(previous) if bucket.last_at - previous.first_at <= age / MERGE_AGE_DIVISOR => {
+                    previous.last_at = bucket.last_at;
                     previous.moved += bucket.moved;
                     previous.charged += bucket.charged;
                     previous.spilled += bucket.spilled;
@@ -240,7 +243,7 @@
             }
         }
         self.buckets = merged;
-        self.added = 0;
+        self.buckets_since_merge = 0;
     }
 }
 
