--- a/src/steer/dedupe.rs
+++ b/src/steer/dedupe.rs
@@ -96,10 +96,10 @@
     Unknown,
 }
 
-/// Outcome of an executed request.
+/// Outcome of a request that held a [`RunPermit`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// It was certainly not executed; the key may be used again.
+    /// It was certainly not executed; a request with the key may be executed again.
     NotRun,
     /// It may have been executed.
     Unknown,
@@ -254,29 +254,30 @@
         Admission::Run(RunPermit { record_key, serial })
     }
 
-    /// Records the outcome of an executed request. Returns the requests that waited for it and get the
-    /// same outcome.
+    /// Records the outcome of the request that holds `permit`. Returns the requests that waited for it and
+    /// get the same outcome.
     ///
     /// An unknown outcome may be replaced by a second call; the outcome of a request whose record was
     /// removed is ignored.
-    pub fn complete(&mut self, run: &RunPermit, end: RunOutcome) -> Vec<W> {
-        let Some(record) = self.records.get_mut(&run.record_key) else {
+    pub fn complete(&mut self, permit: &RunPermit, outcome: RunOutcome) -> Vec<W> {
+        let Some(record) = self.records.get_mut(&permit.record_key) else {
             return Vec::new();
         };
         let is_settled = matches!(record.state, State::Answered(_));
-        if record.serial != run.serial || is_settled {
+        if record.serial != permit.serial || is_settled {
             return Vec::new();
         }
         let waiters = match &mut record.state {
             State::Running(waiters) => std::mem::take(waiters),
             State::Unknown | State::Answered(_) => Vec::new(),
         };
-        match end {
-            RunOutcome::NotRun => self.remove_record(&run.record_key),
-            RunOutcome::Unknown => self.store_state(&run.record_key, State::Unknown),
+        match outcome {
+            RunOutcome::NotRun => self.remove_record(&permit.record_key),
+            RunOutcome::Unknown => self.store_state(&permit.record_key, State::Unknown),
             RunOutcome::Answered(answer) => {
-                let answer = answer.filter(|answer| self.can_store_answer(&run.record_key, answer));
-                self.store_state(&run.record_key, State::Answered(answer));
+                let answer =
+                    answer.filter(|answer| self.can_store_answer(&permit.record_key, answer));
+                self.store_state(&permit.record_key, State::Answered(answer));
             }
         }
         waiters
@@ -318,7 +319,7 @@
         let oldest = self
             .by_generation
             .keys()
-            .find(|&&g| g >= self.oldest_accepted);
+            .find(|&&generation| generation >= self.oldest_accepted);
         let remaining = oldest.map(|&generation| self.rotation.remaining(now, generation));
         remaining.unwrap_or(MIN_RETRY_AFTER).max(MIN_RETRY_AFTER)
     }
--- a/src/steer/goal.rs
+++ b/src/steer/goal.rs
@@ -269,18 +269,18 @@
     }
 
     /// Returns the damped status of a zone, given the observed one. Must be called regularly for each zone.
-    pub fn observe(&mut self, now: Instant, zone: ZoneKey, seen: ZoneStatus) -> ZoneStatus {
-        if seen == ZoneStatus::Lost {
+    pub fn observe(&mut self, now: Instant, zone: ZoneKey, observed: ZoneStatus) -> ZoneStatus {
+        if observed == ZoneStatus::Lost {
             self.record_loss(zone);
             return ZoneStatus::Lost;
         }
         let Some(recovery) = self.zones.get_mut(&zone) else {
-            return seen;
+            return observed;
         };
-        if seen == ZoneStatus::Unknown {
+        if observed == ZoneStatus::Unknown {
             recovery.healthy_since = None;
             return if recovery.is_in_use {
-                seen
+                observed
             } else {
                 ZoneStatus::Lost
             };
--- a/src/steer/group/request.rs
+++ b/src/steer/group/request.rs
@@ -51,7 +51,8 @@
     pub exclude: Vec<TargetKey>,
 }
 
-/// Permission to send one request to one target. Must be returned with [`Group::finish`].
+/// Permission to send one request to one target. Must be returned with
+/// [`Group::finish`](super::Group::finish).
 #[derive(Debug, PartialEq, Eq)]
 pub struct Grant {
     pub(super) target: TargetKey,
@@ -105,7 +106,8 @@
 pub enum Verdict {
     /// Send the request now.
     Admit(Grant),
-    /// The request is queued; [`Group::finish`], [`Group::ready`] or [`Group::expire`] returns it later.
+    /// The request is queued; [`Group::finish`](super::Group::finish), [`Group::ready`](super::Group::ready)
+    /// or [`Group::expire`](super::Group::expire) returns it later.
     Wait,
     /// Refuse the request; it was not executed.
     Refuse(Refusal),
--- a/src/steer/lookup.rs
+++ b/src/steer/lookup.rs
@@ -177,11 +177,11 @@
         };
         answer.zone = Some(chosen);
         self.push_ranked::<MAX_FROM_CHOSEN_ZONE>(answer, chosen);
-        let is_own = |zones: &&Vec<ZoneKey>| zones.contains(&chosen);
-        for zones in route.regions.iter().filter(is_own) {
+        let contains_chosen = |zones: &&Vec<ZoneKey>| zones.contains(&chosen);
+        for zones in route.regions.iter().filter(contains_chosen) {
             self.push_from_zones(answer, zones, MAX_FROM_CHOSEN_REGION);
         }
-        for zones in route.regions.iter().filter(|zones| !is_own(zones)) {
+        for zones in route.regions.iter().filter(|zones| !contains_chosen(zones)) {
             let limit = MAX_ENTRIES.min(answer.len() + 1);
             self.push_from_zones(answer, zones, limit);
         }
@@ -312,8 +312,8 @@
 ) -> Vec<Vec<ZoneKey>> {
     let zones_of = |&region: &RegionKey| -> Vec<ZoneKey> {
         let zones = catalog.zones().filter(|(_, zone)| zone.region == region);
-        let alive = zones.filter(|&(zone, _)| !hosts[arena_index(zone)].is_empty());
-        alive
+        let with_hosts = zones.filter(|&(zone, _)| !hosts[arena_index(zone)].is_empty());
+        with_hosts
             .map(|(zone, _)| zone)
             .filter(|&zone| is_wanted(zone))
             .collect()
--- a/src/steer/shift.rs
+++ b/src/steer/shift.rs
@@ -107,7 +107,7 @@
         Self::default()
     }
 
-    /// Creates a budget whose history before `started` is unknown, as after a restart. It allows no move
+    /// Creates a budget whose history before `history_start` is unknown, as after a restart. It allows no move
     /// until a window has passed.
     pub fn with_start(history_start: Instant) -> Self {
         Self {
--- a/src/steer/ticket.rs
+++ b/src/steer/ticket.rs
@@ -37,7 +37,7 @@
 /// Error in the text of a ticket.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The text is longer than [`MAX_LENGTH`].
+    /// The text is longer than [`MAX_TICKET_BYTES`].
     #[error("ticket: {0} bytes, at most {MAX_TICKET_BYTES} allowed")]
     TooLong(usize),
     /// There is no dot between the host and the incarnation.
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -145,11 +145,11 @@
                 self.finish(grant);
                 Routing::Target
             }
-            Some(Verdict::Host(pass)) => {
-                let zone = self.catalog.host(pass.host).zone;
-                let host = pass.host;
+            Some(Verdict::Host(permit)) => {
+                let zone = self.catalog.host(permit.host).zone;
+                let host = permit.host;
                 self.engine
-                    .finish_relay(self.now, &pass, PermitUsage::Used { bytes: 0 });
+                    .finish_relay(self.now, &permit, PermitUsage::Used { bytes: 0 });
                 Routing::Host(self.catalog.zone(zone).name.to_string(), host)
             }
             Some(Verdict::Refused(refusal)) => {
