--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -8,9 +8,9 @@
 use ragwortfold::catalog::{Catalog, HostKey, RegionKey, ServiceKey, TargetKey, ZoneKey};
 use ragwortfold::steer::engine::{AttemptKind, Decision, Engine, Origin, RouteRequest, Verdict};
 use ragwortfold::steer::fingerprint::Fingerprint;
-use ragwortfold::steer::goal::{Standing, View};
+use ragwortfold::steer::goal::{View, ZoneStatus};
 use ragwortfold::steer::group::{End, Grant, Health, Report, State};
-use ragwortfold::steer::pass::{Back, Pass};
+use ragwortfold::steer::relay_permit::{PermitUsage, RelayPermit};
 use ragwortfold::steer::split::Split;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -66,7 +66,7 @@
 struct Upstream {
     host: usize,
     incarnation: u64,
-    pass: Pass,
+    pass: RelayPermit,
     ask: RouteRequest,
 }
 
@@ -332,9 +332,9 @@
         for &zone in &self.zones {
             let partitioned = self.partitioned.contains(&zone);
             let standing = if partitioned {
-                Standing::Lost
+                ZoneStatus::Lost
             } else {
-                Standing::Alive
+                ZoneStatus::Alive
             };
             view.zones.insert(zone, standing);
             let site = self.catalog.site(service, zone);
@@ -432,7 +432,7 @@
         }
     }
 
-    fn relay(&mut self, at: usize, pending: PendingRequest, pass: Pass) {
+    fn relay(&mut self, at: usize, pending: PendingRequest, pass: RelayPermit) {
         let node = &mut self.nodes[at];
         assert_eq!(pending.ask.origin, Origin::Caller, "a relayed request left");
         assert!(node.live.contains(&pass.host));
@@ -447,7 +447,7 @@
         );
         let mut ask = pending.ask;
         if self.partitioned.contains(&to) != self.partitioned.contains(&self.nodes[at].zone) {
-            self.hand_back(at, &pass, Back::All);
+            self.hand_back(at, &pass, PermitUsage::Unused);
             ask.hosts.push(pass.host);
             return self.retry(at, ask);
         }
@@ -477,10 +477,10 @@
         self.submit(there.expect("a host"), pending);
     }
 
-    fn hand_back(&mut self, at: usize, pass: &Pass, back: Back) {
+    fn hand_back(&mut self, at: usize, pass: &RelayPermit, back: PermitUsage) {
         let node = &mut self.nodes[at];
         node.passes -= 1;
-        node.engine.finish_pass(self.now, pass, back);
+        node.engine.finish_relay(self.now, pass, back);
     }
 
     /// Ends a request without an answer; a relayed one may be retried elsewhere.
@@ -489,7 +489,11 @@
             self.completed += 1;
             return;
         };
-        self.hand_back(upstream.host, &upstream.pass, Back::Nothing { bytes: 0 });
+        self.hand_back(
+            upstream.host,
+            &upstream.pass,
+            PermitUsage::Used { bytes: 0 },
+        );
         let mut ask = upstream.ask;
         ask.hosts.push(upstream.pass.host);
         self.retry(upstream.host, ask);
@@ -550,7 +554,11 @@
                 self.retry(at, ask);
             }
             (None, Some(upstream)) if self.has_same_incarnation(&upstream) => {
-                self.hand_back(upstream.host, &upstream.pass, Back::Nothing { bytes: 200 });
+                self.hand_back(
+                    upstream.host,
+                    &upstream.pass,
+                    PermitUsage::Used { bytes: 200 },
+                );
                 self.completed += 1;
             }
             (None, _) => self.completed += 1,
@@ -563,7 +571,7 @@
         let node = &mut self.nodes[at];
         for (key, split) in node.engine.splits() {
             let before = node.splits.insert(key, split.clone());
-            let share = before.map_or(0.0, |before| before.moved(&split));
+            let share = before.map_or(0.0, |before| before.moved_share(&split));
             if share > 0.0 {
                 let moved = node.moved.entry(key.1).or_default();
                 moved.push(Moved { at: now, share });
@@ -620,7 +628,7 @@
         let group = node.engine.group(service(&self.catalog));
         let in_flight = group.map_or(0, |group| group.headroom().in_flight);
         assert_eq!(in_flight as usize, node.running.len());
-        assert_eq!(node.engine.passes(), node.passes);
+        assert_eq!(node.engine.outstanding_relays(), node.passes);
     }
 
     /// Lets all requests finish, then checks the invariants over the whole run.
