--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -18,7 +18,7 @@
 use ragwortfold::catalog::{Cap, Catalog, HostKey, RegionKey, ServiceKey, Table, ZoneKey};
 use ragwortfold::steer::engine::{AttemptKind, Engine, Origin, RouteRequest, Verdict};
 use ragwortfold::steer::fingerprint::Fingerprint;
-use ragwortfold::steer::goal::{View, ZoneStatus};
+use ragwortfold::steer::goal::{View, ZoneHealth};
 use ragwortfold::steer::group::{End, Report};
 use ragwortfold::steer::lookup::Snapshot;
 use ragwortfold::steer::quota::Quota;
@@ -293,7 +293,7 @@
     let mut view = View::default();
     let mut free = BTreeMap::new();
     for (zone, _) in catalog.zones() {
-        view.zones.insert(zone, ZoneStatus::Alive);
+        view.zones.insert(zone, ZoneHealth::Alive);
         for (service, _) in catalog.services() {
             let slots = catalog.site(service, zone).map_or(0, |site| site.slots);
             view.slots.insert((service, zone), slots);
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -20,7 +20,7 @@
 use crate::control::{lease, publish};
 use crate::peer::frame::{Fetch, Message, Split as Share, Splits};
 use crate::peer::mesh::{Event, Mesh};
-use crate::steer::goal::{View, ZoneStatus};
+use crate::steer::goal::{View, ZoneHealth};
 use crate::steer::quarantine::Notice;
 use crate::steer::split::Split;
 use crate::steer::throttle;
@@ -407,7 +407,7 @@
         for (zone, sight) in agent.zone_statuses() {
             let standing = match to_standing(sight) {
                 // Places fail together: nothing moves to a zone that may be the next one lost.
-                ZoneStatus::Alive if !agent.is_heard(zone) => ZoneStatus::Unknown,
+                ZoneHealth::Alive if !agent.is_heard(zone) => ZoneHealth::Unknown,
                 standing => standing,
             };
             view.zones.insert(zone, standing);
@@ -435,11 +435,11 @@
     }
 }
 
-fn to_standing(sight: ZoneStatus) -> ZoneStatus {
+fn to_standing(sight: ZoneStatus) -> ZoneHealth {
     match sight {
-        ZoneStatus::Alive => ZoneStatus::Alive,
-        ZoneStatus::Lost => ZoneStatus::Lost,
-        ZoneStatus::Unknown(_) => ZoneStatus::Unknown,
+        ZoneStatus::Alive => ZoneHealth::Alive,
+        ZoneStatus::Lost => ZoneHealth::Lost,
+        ZoneStatus::Unknown(_) => ZoneHealth::Unknown,
     }
 }
 
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -35,13 +35,10 @@
 use crate::steer::engine::{AttemptKind, Decision, Engine, Id, Refusal, RouteRequest, Verdict};
 use crate::steer::fingerprint::Fingerprint;
 use crate::steer::group;
-use crate::steer::quarantine::Note;
+use crate::steer::quarantine::Notice;
+use crate::steer::relay_permit::{PermitUsage, RelayPermit};
 use crate::steer::throttle::{Rate, RateUpdate};
 use crate::steer::ticket::{Generation, Rotation};
-use crate::steer::{
-    quarantine::Notice,
-    relay_permit::{PermitUsage, RelayPermit},
-};
 use crate::store::client::Host;
 
 /// Requests that may wait for a verdict at once.
--- a/src/steer/engine.rs
+++ b/src/steer/engine.rs
@@ -16,18 +16,15 @@
 use super::attempt::Reason;
 use super::budgets::{ServiceBudgets, Switches};
 use super::fingerprint::Fingerprint;
-use super::goal::{compute_goal, FlapDamping, View, ZoneStatus};
+use super::goal::{compute_goal, FlapDamping, View, ZoneHealth};
 use super::group::{self, Group};
 use super::hedge;
 use super::lookup::Snapshot;
-use super::quarantine::{Note, Quarantine, UNSURE};
+use super::quarantine::{Notice, Quarantine, MAX_VERDICT_WAIT};
+use super::relay_permit::{PermitUsage, RelayPermit, RelayQuotas};
 use super::shift::{self, Caps, MoveKind, SplitController};
 use super::split::Split;
 use super::throttle::Throttle;
-use super::{
-    quarantine::{Notice, MAX_VERDICT_WAIT},
-    relay_permit::{PermitUsage, RelayPermit, RelayQuotas},
-};
 use crate::border::settings::{self as border, Switch};
 use crate::catalog::{Catalog, HostKey, RegionKey, Repeat, ServiceKey, State, TargetKey, ZoneKey};
 use crate::control::summary::Load;
@@ -337,7 +334,7 @@
         let Some(zone) = self.zone else {
             return;
         };
-        view.zones.insert(zone, ZoneStatus::Alive);
+        view.zones.insert(zone, ZoneHealth::Alive);
         for (&service, group) in &self.groups {
             view.slots.insert((service, zone), group.headroom().slots);
         }
@@ -355,9 +352,9 @@
         let mut view = view.clone();
         for (service, _) in self.catalog.services() {
             for (zone, site) in self.catalog.sites(service) {
-                let status = view.zones.entry(zone).or_insert(ZoneStatus::Unknown);
-                if *status == ZoneStatus::Unknown {
-                    *status = ZoneStatus::Alive;
+                let status = view.zones.entry(zone).or_insert(ZoneHealth::Unknown);
+                if *status == ZoneHealth::Unknown {
+                    *status = ZoneHealth::Alive;
                 }
                 view.slots.entry((service, zone)).or_insert(site.slots);
             }
@@ -778,7 +775,7 @@
 
     /// Whether a zone may have free slots. Without a report, only zones of the own region count as free.
     fn may_have_room(&self, service: ServiceKey, zone: ZoneKey, own_region: RegionKey) -> bool {
-        if self.view.zones.get(&zone) == Some(&ZoneStatus::Lost) {
+        if self.view.zones.get(&zone) == Some(&ZoneHealth::Lost) {
             return false;
         }
         match self.free_slots.get(&(service, zone)) {
--- a/src/steer/goal.rs
+++ b/src/steer/goal.rs
@@ -13,7 +13,7 @@
 
 /// Observed status of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ZoneStatus {
+pub enum ZoneHealth {
     /// It responds.
     Alive,
     /// It is known to be lost.
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// Status of each zone; a missing zone is unknown.
-    pub zones: BTreeMap<ZoneKey, ZoneStatus>,
+    pub zones: BTreeMap<ZoneKey, ZoneHealth>,
     /// Slots of the serving targets, as last measured; missing if there is no recent measurement.
     pub slots: BTreeMap<(ServiceKey, ZoneKey), u32>,
     /// Splits of the last plan, if it is recent and its epoch is accepted.
@@ -110,14 +110,14 @@
 
 fn zone_use(catalog: &Catalog, service: ServiceKey, view: &View, zone: ZoneKey) -> ZoneUse {
     let status = view.zones.get(&zone).copied();
-    if status == Some(ZoneStatus::Lost) {
+    if status == Some(ZoneHealth::Lost) {
         return ZoneUse::Lost;
     }
     let slots = catalog.site(service, zone).map_or(0, |site| site.slots);
     if slots == 0 || catalog.zone_state(zone) != State::Serving {
         return ZoneUse::Closed;
     }
-    if status != Some(ZoneStatus::Alive) {
+    if status != Some(ZoneHealth::Alive) {
         return ZoneUse::Frozen;
     }
     match view.slots.get(&(service, zone)) {
@@ -269,20 +269,20 @@
     }
 
     /// Returns the damped status of a zone, given the observed one. Must be called regularly for each zone.
-    pub fn observe(&mut self, now: Instant, zone: ZoneKey, observed: ZoneStatus) -> ZoneStatus {
-        if observed == ZoneStatus::Lost {
+    pub fn observe(&mut self, now: Instant, zone: ZoneKey, observed: ZoneHealth) -> ZoneHealth {
+        if observed == ZoneHealth::Lost {
             self.record_loss(zone);
-            return ZoneStatus::Lost;
+            return ZoneHealth::Lost;
         }
         let Some(recovery) = self.zones.get_mut(&zone) else {
             return observed;
         };
-        if observed == ZoneStatus::Unknown {
+        if observed == ZoneHealth::Unknown {
             recovery.healthy_since = None;
             return if recovery.is_in_use {
                 observed
             } else {
-                ZoneStatus::Lost
+                ZoneHealth::Lost
             };
         }
         let healthy_time =
@@ -295,9 +295,9 @@
             self.zones.remove(&zone);
         }
         if is_in_use {
-            ZoneStatus::Alive
+            ZoneHealth::Alive
         } else {
-            ZoneStatus::Lost
+            ZoneHealth::Lost
         }
     }
 
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -19,7 +19,7 @@
 use ragwortfold::steer::attempt::Reason;
 use ragwortfold::steer::engine::{AttemptKind, Engine, Origin, RouteRequest, Verdict};
 use ragwortfold::steer::fingerprint::Fingerprint;
-use ragwortfold::steer::goal::{View, ZoneStatus};
+use ragwortfold::steer::goal::{View, ZoneHealth};
 use ragwortfold::steer::group::{End, Grant, Health, Report, State};
 use ragwortfold::steer::relay_permit::PermitUsage;
 use rand::SeedableRng;
@@ -74,7 +74,7 @@
         };
         for name in ZONES {
             let zone = zone(&rig.catalog, name);
-            rig.view.zones.insert(zone, ZoneStatus::Alive);
+            rig.view.zones.insert(zone, ZoneHealth::Alive);
             rig.view.slots.insert((service(&rig.catalog), zone), 8);
         }
         rig.configure();
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -8,7 +8,7 @@
 use ragwortfold::catalog::{Catalog, HostKey, RegionKey, ServiceKey, TargetKey, ZoneKey};
 use ragwortfold::steer::engine::{AttemptKind, Decision, Engine, Origin, RouteRequest, Verdict};
 use ragwortfold::steer::fingerprint::Fingerprint;
-use ragwortfold::steer::goal::{View, ZoneStatus};
+use ragwortfold::steer::goal::{View, ZoneHealth};
 use ragwortfold::steer::group::{End, Grant, Health, Report, State};
 use ragwortfold::steer::relay_permit::{PermitUsage, RelayPermit};
 use ragwortfold::steer::split::Split;
@@ -332,9 +332,9 @@
         for &zone in &self.zones {
             let partitioned = self.partitioned.contains(&zone);
             let standing = if partitioned {
-                ZoneStatus::Lost
+                ZoneHealth::Lost
             } else {
-                ZoneStatus::Alive
+                ZoneHealth::Alive
             };
             view.zones.insert(zone, standing);
             let site = self.catalog.site(service, zone);
--- a/tests/split.rs
+++ b/tests/split.rs
@@ -12,7 +12,7 @@
 use proptest::prelude::*;
 
 use ragwortfold::catalog::Catalog;
-use ragwortfold::steer::goal::{compute_goal, FlapDamping, Goal, View, ZoneStatus};
+use ragwortfold::steer::goal::{compute_goal, FlapDamping, Goal, View, ZoneHealth};
 use ragwortfold::steer::shift::MoveKind;
 use ragwortfold::steer::split::Split;
 
@@ -142,9 +142,9 @@
     let mut view = View::default();
     for ((key, _), mark) in catalog.zones().zip(observed.chars()) {
         let status = match mark {
-            'L' => ZoneStatus::Lost,
-            '?' => ZoneStatus::Unknown,
-            _ => ZoneStatus::Alive,
+            'L' => ZoneHealth::Lost,
+            '?' => ZoneHealth::Unknown,
+            _ => ZoneHealth::Alive,
         };
         view.zones.insert(key, status);
         if let Some(slots) = mark.to_digit(10) {
@@ -209,16 +209,16 @@
     let base = Instant::now();
     let mut damping = FlapDamping::new(Duration::from_secs(10));
     let mut observe = |at, seen| damping.observe(base + Duration::from_secs(at), zone, seen);
-    assert_eq!(observe(0, ZoneStatus::Alive), ZoneStatus::Alive);
-    assert_eq!(observe(1, ZoneStatus::Lost), ZoneStatus::Lost);
-    assert_eq!(observe(2, ZoneStatus::Alive), ZoneStatus::Lost);
-    assert_eq!(observe(9, ZoneStatus::Unknown), ZoneStatus::Lost);
-    assert_eq!(observe(10, ZoneStatus::Alive), ZoneStatus::Lost);
-    assert_eq!(observe(19, ZoneStatus::Alive), ZoneStatus::Lost);
-    assert_eq!(observe(20, ZoneStatus::Alive), ZoneStatus::Alive);
-    assert_eq!(observe(21, ZoneStatus::Unknown), ZoneStatus::Unknown);
-    assert_eq!(observe(22, ZoneStatus::Lost), ZoneStatus::Lost);
-    assert_eq!(observe(30, ZoneStatus::Alive), ZoneStatus::Lost);
-    assert_eq!(observe(49, ZoneStatus::Alive), ZoneStatus::Lost);
-    assert_eq!(observe(50, ZoneStatus::Alive), ZoneStatus::Alive);
+    assert_eq!(observe(0, ZoneHealth::Alive), ZoneHealth::Alive);
+    assert_eq!(observe(1, ZoneHealth::Lost), ZoneHealth::Lost);
+    assert_eq!(observe(2, ZoneHealth::Alive), ZoneHealth::Lost);
+    assert_eq!(observe(9, ZoneHealth::Unknown), ZoneHealth::Lost);
+    assert_eq!(observe(10, ZoneHealth::Alive), ZoneHealth::Lost);
+    assert_eq!(observe(19, ZoneHealth::Alive), ZoneHealth::Lost);
+    assert_eq!(observe(20, ZoneHealth::Alive), ZoneHealth::Alive);
+    assert_eq!(observe(21, ZoneHealth::Unknown), ZoneHealth::Unknown);
+    assert_eq!(observe(22, ZoneHealth::Lost), ZoneHealth::Lost);
+    assert_eq!(observe(30, ZoneHealth::Alive), ZoneHealth::Lost);
+    assert_eq!(observe(49, ZoneHealth::Alive), ZoneHealth::Lost);
+    assert_eq!(observe(50, ZoneHealth::Alive), ZoneHealth::Alive);
 }
