--- a/src/control/membership.rs
+++ b/src/control/membership.rs
@@ -82,7 +82,7 @@
     incarnation: u64,
     sequence: u64,
     state: State,
-    records: BTreeMap<HostKey, PeerState>,
+    peers: BTreeMap<HostKey, PeerState>,
     hosts_by_name: BTreeMap<Arc<str>, HostKey>,
     zone_names: BTreeMap<ZoneKey, Arc<str>>,
     zone_reports: BTreeMap<ZoneKey, ZoneReport>,
@@ -103,7 +103,7 @@
             incarnation,
             sequence: 0,
             state: State::Serving,
-            records: BTreeMap::new(),
+            peers: BTreeMap::new(),
             hosts_by_name: BTreeMap::new(),
             zone_names: BTreeMap::new(),
             zone_reports: BTreeMap::new(),
@@ -119,7 +119,7 @@
 
     /// Applies the hosts of a configuration; removed hosts are forgotten.
     pub fn apply_catalog(&mut self, catalog: &Catalog) {
-        let mut records = BTreeMap::new();
+        let mut peers = BTreeMap::new();
         self.hosts_by_name.clear();
         self.zone_names.clear();
         for (key, host) in catalog.hosts() {
@@ -130,13 +130,13 @@
             self.zone_names
                 .insert(host.zone, catalog.zone(host.zone).name.clone());
             if key != self.own {
-                let previous = self.records.remove(&key);
-                let mut record = previous.unwrap_or_else(|| PeerState::new(host));
-                record.zone = host.zone;
-                records.insert(key, record);
+                let previous = self.peers.remove(&key);
+                let mut peer = previous.unwrap_or_else(|| PeerState::new(host));
+                peer.zone = host.zone;
+                peers.insert(key, peer);
             }
         }
-        self.records = records;
+        self.peers = peers;
         self.zone_reports
             .retain(|zone, _| self.zone_names.contains_key(zone));
         self.rosters
@@ -173,32 +173,32 @@
         interval: Duration,
     ) {
         self.detect_pause(now);
-        let Some(record) = self.records.get_mut(&host) else {
+        let Some(peer) = self.peers.get_mut(&host) else {
             return;
         };
-        if incarnation < record.incarnation {
+        if incarnation < peer.incarnation {
             return;
         }
-        let restarted = incarnation > record.incarnation;
+        let restarted = incarnation > peer.incarnation;
         if restarted {
-            if record.status != Status::Unknown {
+            if peer.status != Status::Unknown {
                 self.changes.push(Change::Restarted(host));
             }
-            record.incarnation = incarnation;
-            record.sequence = 0;
-            record.state = State::Serving;
-            record.listing = Listing::Live;
-            record.detector = Detector::new(interval);
-            record.last_heard = None;
-            record.is_unheard = false;
+            peer.incarnation = incarnation;
+            peer.sequence = 0;
+            peer.state = State::Serving;
+            peer.listing = Listing::Live;
+            peer.detector = Detector::new(interval);
+            peer.last_heard = None;
+            peer.is_unheard = false;
         }
         let at = match via {
-            Via::Direct if sequence < record.sequence => return,
+            Via::Direct if sequence < peer.sequence => return,
             Via::Direct => {
-                if sequence > record.sequence || record.last_direct.is_none() {
-                    record.detector.record_arrival(now, interval, sequence);
+                if sequence > peer.sequence || peer.last_direct.is_none() {
+                    peer.detector.record_arrival(now, interval, sequence);
                 }
-                record.last_direct = Some(now);
+                peer.last_direct = Some(now);
                 now
             }
             Via::Relayed(age) => match now.checked_sub(age) {
@@ -206,27 +206,27 @@
                 None => return,
             },
         };
-        record.sequence = record.sequence.max(sequence);
-        let was_leaving = record.is_leaving();
-        record.state = record.state.max(state);
-        if !was_leaving && record.is_leaving() {
+        peer.sequence = peer.sequence.max(sequence);
+        let was_leaving = peer.is_leaving();
+        peer.state = peer.state.max(state);
+        if !was_leaving && peer.is_leaving() {
             self.changes.push(Change::Left(host));
         }
-        let is_newer = record.last_heard.is_none_or(|heard| at > heard);
+        let is_newer = peer.last_heard.is_none_or(|heard| at > heard);
         if is_newer {
-            record.last_heard = Some(at);
-            record.is_confirmed = false;
+            peer.last_heard = Some(at);
+            peer.is_confirmed = false;
         }
-        let (_, dead) = record.silence_limits();
+        let (_, dead) = peer.silence_limits();
         let is_recent = now.saturating_duration_since(at) < dead;
         if !is_newer || !is_recent {
             return;
         }
-        match record.status {
+        match peer.status {
             Status::Alive => {}
-            Status::Suspect => record.status = Status::Alive,
+            Status::Suspect => peer.status = Status::Alive,
             Status::Unknown | Status::Dead => {
-                record.status = Status::Alive;
+                peer.status = Status::Alive;
                 self.changes.push(Change::Joined(host));
             }
         }
@@ -235,16 +235,16 @@
     /// Records that a link to a host is open.
     pub fn link_up(&mut self, now: Instant, host: HostKey) {
         self.detect_pause(now);
-        if let Some(record) = self.records.get_mut(&host) {
-            record.link = Link::Up;
+        if let Some(peer) = self.peers.get_mut(&host) {
+            peer.link = Link::Up;
         }
     }
 
     /// Records that a link to a host is to be opened.
     pub fn link_opening(&mut self, now: Instant, host: HostKey) {
-        if let Some(record) = self.records.get_mut(&host) {
-            if record.link == Link::Absent {
-                record.link = Link::Opening(now);
+        if let Some(peer) = self.peers.get_mut(&host) {
+            if peer.link == Link::Absent {
+                peer.link = Link::Opening(now);
             }
         }
     }
@@ -252,10 +252,10 @@
     /// Records that the link to a host broke or could not be opened.
     pub fn link_down(&mut self, now: Instant, host: HostKey) {
         self.detect_pause(now);
-        if let Some(record) = self.records.get_mut(&host) {
+        if let Some(peer) = self.peers.get_mut(&host) {
             // Another failure to open the link is no news about a host that other hosts hear.
-            if !(matches!(record.link, Link::Down(_)) && record.is_alive()) {
-                record.link = Link::Down(now);
+            if !(matches!(peer.link, Link::Down(_)) && peer.is_alive()) {
+                peer.link = Link::Down(now);
             }
         }
     }
@@ -263,22 +263,22 @@
     /// Records that the link to a host was closed on purpose. From now on the host is known only
     /// through others.
     pub fn link_closed(&mut self, host: HostKey) {
-        if let Some(record) = self.records.get_mut(&host) {
-            record.link = Link::Absent;
-            record.last_direct = None;
-            record.detector.forget_arrival();
+        if let Some(peer) = self.peers.get_mut(&host) {
+            peer.link = Link::Absent;
+            peer.last_direct = None;
+            peer.detector.forget_arrival();
         }
     }
 
     /// Records how the platform lists a host.
     pub fn set_listing(&mut self, now: Instant, host: HostKey, listing: Listing) {
         self.detect_pause(now);
-        let Some(record) = self.records.get_mut(&host) else {
+        let Some(peer) = self.peers.get_mut(&host) else {
             return;
         };
-        let was_leaving = record.is_leaving();
-        record.listing = listing;
-        if !was_leaving && record.is_leaving() {
+        let was_leaving = peer.is_leaving();
+        peer.listing = listing;
+        if !was_leaving && peer.is_leaving() {
             self.changes.push(Change::Left(host));
         }
     }
@@ -307,21 +307,19 @@
     /// The live hosts with a link that are not heard directly, whether other hosts hear them or
     /// not.
     fn missed_hosts(&self) -> Vec<Arc<str>> {
-        self.records
+        self.peers
             .values()
-            .filter(|record| record.is_linked() && record.is_alive())
-            .filter(|record| {
-                !self.is_heard_directly_within(record, record.detector.suspect_after())
-            })
-            .map(|record| record.name.clone())
+            .filter(|peer| peer.is_linked() && peer.is_alive())
+            .filter(|peer| !self.is_heard_directly_within(peer, peer.detector.suspect_after()))
+            .map(|peer| peer.name.clone())
             .collect()
     }
 
-    fn is_heard_directly_within(&self, record: &PeerState, silence: Duration) -> bool {
-        let is_link_intact = !matches!(record.link, Link::Down(_));
+    fn is_heard_directly_within(&self, peer: &PeerState, silence: Duration) -> bool {
+        let is_link_intact = !matches!(peer.link, Link::Down(_));
         let silence_since = |at| self.last_tick.saturating_duration_since(at);
         is_link_intact
-            && record
+            && peer
                 .last_direct
                 .is_some_and(|at| silence_since(at) < silence)
     }
@@ -351,7 +349,7 @@
             .iter()
             .filter_map(|name| self.hosts_by_name.get(name))
             .filter(|&&asked| self.is_recently_heard(asked))
-            .filter_map(|asked| self.records[asked].to_known(now))
+            .filter_map(|asked| self.peers[asked].to_known(now))
             .collect();
         if known.is_empty() {
             return None;
@@ -369,16 +367,16 @@
             .missed
             .iter()
             .any(|name| self.hosts_by_name.get(name) == Some(&own));
-        if let Some(record) = self.records.get_mut(&host) {
-            record.is_unheard = is_unheard;
+        if let Some(peer) = self.peers.get_mut(&host) {
+            peer.is_unheard = is_unheard;
         }
     }
 
     /// Whether a host was heard over a link so recently that it is worth reporting to others.
     fn is_recently_heard(&self, host: HostKey) -> bool {
-        self.records
+        self.peers
             .get(&host)
-            .is_some_and(|record| self.is_heard_directly_within(record, INTERVAL.mul_f64(1.5)))
+            .is_some_and(|peer| self.is_heard_directly_within(peer, INTERVAL.mul_f64(1.5)))
     }
 
     /// Merges what other hosts know, `delay` after they sent it.
@@ -446,8 +444,8 @@
 
     /// Marks a host whose most recent sign of life is the confirmation of its zone's roster.
     fn mark_confirmed(&mut self, now: Instant, host: HostKey, age: Duration) {
-        if let Some(record) = self.records.get_mut(&host) {
-            record.is_confirmed |= record.last_heard == now.checked_sub(age);
+        if let Some(peer) = self.peers.get_mut(&host) {
+            peer.is_confirmed |= peer.last_heard == now.checked_sub(age);
         }
     }
 
@@ -455,9 +453,9 @@
     pub fn cached_roster(&self, now: Instant, zone: ZoneKey) -> Option<Roster> {
         let mut roster = self.rosters.get(&zone)?.clone();
         for known in &mut roster.hosts {
-            let record = self.hosts_by_name.get(&known.host);
-            let record = record.and_then(|host| self.records.get(host));
-            if let Some(heard) = record.and_then(|record| record.last_heard) {
+            let peer = self.hosts_by_name.get(&known.host);
+            let peer = peer.and_then(|host| self.peers.get(host));
+            if let Some(heard) = peer.and_then(|peer| peer.last_heard) {
                 known.age_ms = millis(now.saturating_duration_since(heard));
             }
         }
@@ -474,21 +472,21 @@
         age: Duration,
     ) {
         self.detect_pause(now);
-        let Some(record) = self.records.get_mut(&host) else {
+        let Some(peer) = self.peers.get_mut(&host) else {
             return;
         };
-        let is_heard_later = match (record.last_heard, now.checked_sub(age)) {
+        let is_heard_later = match (peer.last_heard, now.checked_sub(age)) {
             // Its zone confirmed it when the silence had already begun, and no longer does.
-            _ if record.is_confirmed => false,
+            _ if peer.is_confirmed => false,
             (Some(heard), Some(reported)) => heard > reported + DEATH_CONFIRMATION,
             (Some(_), None) => true,
             (None, _) => true,
         };
-        if is_heard_later || record.is_linked() || incarnation < record.incarnation {
+        if is_heard_later || peer.is_linked() || incarnation < peer.incarnation {
             return;
         }
-        if record.status != Status::Dead {
-            record.status = Status::Dead;
+        if peer.status != Status::Dead {
+            peer.status = Status::Dead;
             self.changes.push(Change::Died(host));
         }
     }
@@ -504,10 +502,10 @@
             dead: false,
         };
         let others = self
-            .records
+            .peers
             .values()
-            .filter(|record| record.zone == self.zone)
-            .filter_map(|record| record.to_known(now));
+            .filter(|peer| peer.zone == self.zone)
+            .filter_map(|peer| peer.to_known(now));
         Roster {
             zone: self.zone_names.get(&self.zone).cloned().unwrap_or_default(),
             hosts: std::iter::once(own).chain(others).collect(),
@@ -565,12 +563,12 @@
     pub fn tick(&mut self, now: Instant) -> Vec<Change> {
         self.detect_pause(now);
         let resumed = self.resumed_at;
-        for (&host, record) in &mut self.records {
-            let status = record.evaluate(now, resumed);
-            if status == record.status {
+        for (&host, peer) in &mut self.peers {
+            let status = peer.evaluate(now, resumed);
+            if status == peer.status {
                 continue;
             }
-            record.status = status;
+            peer.status = status;
             match status {
                 Status::Suspect => self.changes.push(Change::Suspected(host)),
                 Status::Dead => self.changes.push(Change::Died(host)),
@@ -584,8 +582,8 @@
     fn detect_pause(&mut self, now: Instant) {
         if now.saturating_duration_since(self.last_tick) >= PAUSE_THRESHOLD {
             self.resumed_at = now;
-            for record in self.records.values_mut() {
-                record.detector.forget_arrival();
+            for peer in self.peers.values_mut() {
+                peer.detector.forget_arrival();
             }
         }
         self.last_tick = self.last_tick.max(now);
@@ -645,21 +643,21 @@
     }
 
     fn has_zone_link(&self, zone: ZoneKey) -> bool {
-        self.zone_records(zone)
-            .any(|(_, record)| record.is_linked() || record.is_opening())
+        self.zone_peers(zone)
+            .any(|(_, peer)| peer.is_linked() || peer.is_opening())
     }
 
-    fn zone_records(&self, zone: ZoneKey) -> impl Iterator<Item = (HostKey, &PeerState)> {
-        self.records
+    fn zone_peers(&self, zone: ZoneKey) -> impl Iterator<Item = (HostKey, &PeerState)> {
+        self.peers
             .iter()
-            .filter(move |(_, record)| record.zone == zone)
-            .map(|(&host, record)| (host, record))
+            .filter(move |(_, peer)| peer.zone == zone)
+            .map(|(&host, peer)| (host, peer))
     }
 
     /// When any host of a zone was last heard.
     fn zone_last_heard(&self, zone: ZoneKey) -> Option<Instant> {
         let hosts = self
-            .zone_records(zone)
+            .zone_peers(zone)
             .filter_map(|(_, r)| r.last_heard)
             .max();
         let report = self.zone_reports.get(&zone).map(|report| report.heard);
@@ -680,13 +678,13 @@
             return silence >= REMOTE_DEAD_SILENCE || self.is_reported_lost(now, zone);
         }
         let is_dead = self
-            .zone_records(zone)
-            .filter(|(_, record)| record.is_linked())
-            .all(|(_, record)| matches!(record.status, Status::Dead | Status::Unknown));
+            .zone_peers(zone)
+            .filter(|(_, peer)| peer.is_linked())
+            .all(|(_, peer)| matches!(peer.status, Status::Dead | Status::Unknown));
         // Other hosts of the zone may answer once there are links to them.
         let has_untried = self
-            .zone_records(zone)
-            .any(|(_, record)| record.is_alive() && !record.is_linked());
+            .zone_peers(zone)
+            .any(|(_, peer)| peer.is_alive() && !peer.is_linked());
         let limit = match has_untried {
             true => ZONE_LOSS_SILENCE + OPENING_ALLOWANCE,
             false => ZONE_LOSS_SILENCE,
@@ -704,24 +702,24 @@
         if host == self.own {
             return Status::Alive;
         }
-        self.records
+        self.peers
             .get(&host)
-            .map_or(Status::Unknown, |record| record.status)
+            .map_or(Status::Unknown, |peer| peer.status)
     }
 
     /// Whether a host is alive, even if it takes no new work. A suspect counts as alive until it is
     /// dead.
     pub fn is_alive(&self, host: HostKey) -> bool {
-        host == self.own || self.records.get(&host).is_some_and(PeerState::is_alive)
+        host == self.own || self.peers.get(&host).is_some_and(PeerState::is_alive)
     }
 
     /// Whether a host is alive and a link to it works in both directions.
     pub fn is_reachable(&self, host: HostKey) -> bool {
-        let Some(record) = self.records.get(&host) else {
+        let Some(peer) = self.peers.get(&host) else {
             return host == self.own;
         };
-        let direct = self.is_heard_directly_within(record, record.detector.suspect_after());
-        record.link == Link::Up && direct && !record.is_unheard
+        let direct = self.is_heard_directly_within(peer, peer.detector.suspect_after());
+        peer.link == Link::Up && direct && !peer.is_unheard
     }
 
     /// The incarnation with which a host was last heard.
@@ -729,16 +727,16 @@
         if host == self.own {
             return Some(self.incarnation);
         }
-        let record = self.records.get(&host)?;
-        record.last_heard.map(|_| record.incarnation)
+        let peer = self.peers.get(&host)?;
+        peer.last_heard.map(|_| peer.incarnation)
     }
 
     /// The hosts that may receive new work: alive and not leaving.
     pub fn live_hosts(&self) -> BTreeSet<HostKey> {
         let others = self
-            .records
+            .peers
             .iter()
-            .filter(|(_, record)| record.is_alive() && !record.is_leaving())
+            .filter(|(_, peer)| peer.is_alive() && !peer.is_leaving())
             .map(|(&host, _)| host);
         let own = (self.state == State::Serving).then_some(self.own);
         others.chain(own).collect()
@@ -747,8 +745,8 @@
     /// The hosts of a zone that may receive new work.
     pub fn zone_hosts(&self, zone: ZoneKey) -> BTreeSet<HostKey> {
         let others = self
-            .zone_records(zone)
-            .filter(|(_, record)| record.is_alive() && !record.is_leaving())
+            .zone_peers(zone)
+            .filter(|(_, peer)| peer.is_alive() && !peer.is_leaving())
             .map(|(host, _)| host);
         let own = zone == self.zone && self.state == State::Serving;
         others.chain(own.then_some(self.own)).collect()
@@ -767,7 +765,7 @@
 
     /// When the link to a host broke or could not be opened, if it is not open now.
     pub(crate) fn link_failed(&self, host: HostKey) -> Option<Instant> {
-        match self.records.get(&host)?.link {
+        match self.peers.get(&host)?.link {
             Link::Down(at) => Some(at),
             Link::Up | Link::Opening(_) | Link::Absent => None,
         }
--- a/src/control/planner.rs
+++ b/src/control/planner.rs
@@ -119,9 +119,9 @@
     /// It may receive more load.
     Open,
     /// It may not receive more, as not all its hosts have reported.
-    Shut,
+    Incomplete,
     /// It is draining and gives up all its load.
-    Leaving,
+    Draining,
     /// It is lost and gives up all its load, under the cap for failover.
     Lost,
 }
@@ -140,18 +140,18 @@
     fn headroom(&self) -> f64 {
         match self.access {
             Access::Open => (self.limit * FILL_LEVEL - self.demand).max(0.0),
-            Access::Shut | Access::Leaving | Access::Lost => 0.0,
+            Access::Incomplete | Access::Draining | Access::Lost => 0.0,
         }
     }
 
     /// The fraction of the load that one step moves away.
     fn excess_fraction(&self) -> f64 {
         match self.access {
-            Access::Leaving | Access::Lost => 1.0,
-            Access::Open | Access::Shut if self.demand > self.limit => {
+            Access::Draining | Access::Lost => 1.0,
+            Access::Open | Access::Incomplete if self.demand > self.limit => {
                 STEP_GAIN * (self.demand - self.limit * FILL_LEVEL) / self.demand
             }
-            Access::Open | Access::Shut => 0.0,
+            Access::Open | Access::Incomplete => 0.0,
         }
     }
 }
@@ -459,9 +459,9 @@
     let (live, reported) = source.hosts;
     let warm = 1.0 - COLD_SLOT_DISCOUNT * f64::from(load.cold);
     let access = if view.catalog.zone_state(zone) != State::Serving {
-        Access::Leaving
+        Access::Draining
     } else if reported < live {
-        Access::Shut
+        Access::Incomplete
     } else {
         Access::Open
     };
--- a/src/control/presence.rs
+++ b/src/control/presence.rs
@@ -171,8 +171,8 @@
     }
 
     /// Sets which hosts look-ups may name.
-    pub fn with_lookup_filter(mut self, naming: LookupFilter) -> Self {
-        self.lookup_filter = naming;
+    pub fn with_lookup_filter(mut self, filter: LookupFilter) -> Self {
+        self.lookup_filter = filter;
         self
     }
 
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -67,7 +67,7 @@
     Plan(publish::Event),
 }
 
-/// An event at a time, in milliseconds.
+/// A scheduled event.
 enum Pending {
     Effect(usize, Call, AnswerFate),
     Answer(usize, Answer),
@@ -120,7 +120,7 @@
     lease: Object<lease::Value>,
     plan: Object<(Stamp, usize)>,
     due: BTreeMap<(u64, u64), Pending>,
-    next_serial: u64,
+    last_serial: u64,
     /// Plan writes by a host whose epoch was no longer the highest: attempted, and accepted.
     stale_writes: usize,
     stale_accepted: usize,
@@ -158,7 +158,7 @@
             lease: Object::new(),
             plan: Object::new(),
             due: BTreeMap::new(),
-            next_serial: 0,
+            last_serial: 0,
             stale_writes: 0,
             stale_accepted: 0,
             epochs: BTreeMap::new(),
@@ -172,15 +172,15 @@
         self.base + Duration::from_secs_f64(millis / 1000.0)
     }
 
-    fn at(&mut self, time: u64, due: Pending) {
-        self.next_serial += 1;
-        self.due.insert((time, self.next_serial), due);
+    fn schedule(&mut self, time: u64, due: Pending) {
+        self.last_serial += 1;
+        self.due.insert((time, self.last_serial), due);
     }
 
     fn send(&mut self, host: usize, call: Call) {
         self.calls += 1;
         if let Some(delay) = self.call_delay {
-            return self.at(
+            return self.schedule(
                 self.time + delay,
                 Pending::Effect(host, call, AnswerFate::Answered),
             );
@@ -190,7 +190,7 @@
                 Call::Lease(_) => Answer::Lease(lease::Event::Down),
                 Call::Plan(_) => Answer::Plan(publish::Event::Down),
             };
-            return self.at(self.time + 10, Pending::Answer(host, answer));
+            return self.schedule(self.time + 10, Pending::Answer(host, answer));
         }
         let slow = self.rng.random_bool(self.faults.slow);
         let longest = if slow { 12_000 } else { 10 };
@@ -210,12 +210,12 @@
                 }
                 Call::Plan(publish::Command::Read) => Answer::Plan(publish::Event::Down),
             };
-            self.at(
+            self.schedule(
                 self.time + 2_000.min(delay + 500),
                 Pending::Answer(host, answer),
             );
         }
-        self.at(self.time + delay, Pending::Effect(host, call, answer_fate));
+        self.schedule(self.time + delay, Pending::Effect(host, call, answer_fate));
     }
 
     /// Runs a call at the store. The answer follows unless it is lost.
@@ -254,7 +254,7 @@
             }
         };
         if answer_fate == AnswerFate::Answered {
-            self.at(self.time + 2, Pending::Answer(host, answer));
+            self.schedule(self.time + 2, Pending::Answer(host, answer));
         }
     }
 
@@ -264,7 +264,7 @@
         }
         let paused = self.hosts[host].paused_until;
         if paused > self.time {
-            return self.at(paused, Pending::Answer(host, answer));
+            return self.schedule(paused, Pending::Answer(host, answer));
         }
         let now = self.clock(host);
         let rng = &mut self.rng;
--- a/tests/net/mod.rs
+++ b/tests/net/mod.rs
@@ -64,7 +64,7 @@
     pub jitter: u64,
     pub rng: Pcg64,
     pub due: BTreeMap<(u64, u64), (HostKey, HostKey, Heartbeat)>,
-    pub next_serial: u64,
+    pub last_serial: u64,
 }
 
 impl Net {
@@ -93,7 +93,7 @@
             jitter: 5,
             rng: Pcg64::seed_from_u64(11),
             due: BTreeMap::new(),
-            next_serial: 0,
+            last_serial: 0,
         }
     }
 
@@ -120,9 +120,9 @@
         if lost || self.cut.contains(&(from, to)) {
             return;
         }
-        self.next_serial += 1;
+        self.last_serial += 1;
         let at = self.time + self.rng.random_range(1..=self.jitter);
-        self.due.insert((at, self.next_serial), (from, to, beat));
+        self.due.insert((at, self.last_serial), (from, to, beat));
     }
 
     pub fn send_heartbeats(&mut self, from: HostKey) {
--- a/tests/presence.rs
+++ b/tests/presence.rs
@@ -269,7 +269,7 @@
     let now = Instant::now();
     let zones = ["n-a", "s-a", "e-a"];
     let host = |index: usize| record(&format!("h{index}"), zones[index % 3], 1);
-    let watcher_counts: Vec<_> = (0..12)
+    let watcher_zones: Vec<_> = (0..12)
         .filter(|own| {
             let mut presence = Presence::new(now, host(*own), regions());
             presence.set_store_view(StoreView::Store);
@@ -280,8 +280,8 @@
         })
         .map(|index| zones[index % 3])
         .collect();
-    let regions: BTreeSet<_> = watcher_counts.iter().collect();
-    assert_eq!((watcher_counts.len(), regions.len()), (3, 3));
+    let regions: BTreeSet<_> = watcher_zones.iter().collect();
+    assert_eq!((watcher_zones.len(), regions.len()), (3, 3));
 }
 
 #[test]
