--- a/src/control/presence.rs
+++ b/src/control/presence.rs
@@ -286,7 +286,7 @@
     /// The addresses to notify at once after this host's view of the store changed from `before`:
     /// all hosts if this host saw the store or sees it now, else those of its region. Hosts of
     /// other regions only need to know whether any host sees the store. If followers announced
-    /// their views to them as well, the messages would grow with the product of the hosts.
+    /// their views to them as well, the messages would grow with the square of the number of hosts.
     pub fn store_view_recipients(&self, before: StoreView) -> Vec<SocketAddr> {
         let is_for_all = before == StoreView::Store || self.store_view == StoreView::Store;
         self.peers
