--- a/standin/src/http.rs
+++ b/standin/src/http.rs
@@ -230,12 +230,12 @@
 fn serve_connection(shared: &Shared, stream: &TcpStream) -> io::Result<()> {
     stream.set_read_timeout(Some(IDLE_TIMEOUT))?;
     stream.set_write_timeout(Some(IDLE_TIMEOUT))?;
-    let mut input = Input {
+    let mut reader = RequestReader {
         stream,
         buffer: Vec::new(),
         peer: stream.peer_addr()?,
     };
-    while let Some((request, keep_alive)) = input.read_request()? {
+    while let Some((request, keep_alive)) = reader.read_request()? {
         let is_head = request.method == "HEAD";
         match (shared.handler)(request) {
             Reply::Response(response) => {
@@ -256,7 +256,7 @@
                 return Ok(());
             }
             Reply::Hang => {
-                input.discard_all();
+                reader.discard_all();
                 break;
             }
         }
@@ -265,13 +265,13 @@
 }
 
 /// Reads requests from a connection.
-struct Input<'a> {
+struct RequestReader<'a> {
     stream: &'a TcpStream,
     buffer: Vec<u8>,
     peer: SocketAddr,
 }
 
-impl Input<'_> {
+impl RequestReader<'_> {
     /// Reads the next request, and whether the connection stays open after it; none if the peer has closed the connection.
     fn read_request(&mut self) -> io::Result<Option<(Request, bool)>> {
         loop {
--- a/standin/src/observer/checks.rs
+++ b/standin/src/observer/checks.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::{is_overlapping, violation, Evidence, Invariant, RevisionSample, Violation, SECOND};
+use super::{is_overlapping, violation, Evidence, Invariant, RevisionSample, Violation, SECOND_US};
 use crate::caller::{Attempt, Outcome, Record};
 
 /// Time after the announcement of a drain in which a target may still begin new requests.
-pub const DRAIN_NOTICE_US: u64 = 2 * SECOND;
+pub const DRAIN_NOTICE_US: u64 = 2 * SECOND_US;
 /// Allowance on that time for delays of the measurement: requests in flight to the target, and
 /// threads that wait for a processor.
-pub const DRAIN_ALLOWANCE_US: u64 = SECOND / 4;
+pub const DRAIN_ALLOWANCE_US: u64 = SECOND_US / 4;
 
 pub(super) fn violations(evidence: &Evidence) -> Vec<Violation> {
     let runs = runs_by_call(evidence);
--- a/standin/src/observer/mod.rs
+++ b/standin/src/observer/mod.rs
@@ -17,7 +17,7 @@
 use crate::target::{Entry, Journal};
 
 /// Microseconds in a second.
-pub(crate) const SECOND: u64 = 1_000_000;
+pub(crate) const SECOND_US: u64 = 1_000_000;
 
 /// The largest share of a service's traffic that may move within a window.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/standin/src/observer/overload.rs
+++ b/standin/src/observer/overload.rs
@@ -11,7 +11,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::{is_overlapping, violation, Deployment, Evidence, Invariant, Span, Violation, SECOND};
+use super::{
+    is_overlapping, violation, Deployment, Evidence, Invariant, Span, Violation, SECOND_US,
+};
 
 /// Slots above the limit that are attributed to requests in flight.
 pub const ALLOWANCE_SLOTS: f64 = 0.5;
@@ -52,10 +54,10 @@
         if load.cross_region == 0 {
             continue;
         }
-        let span = second * SECOND..(second + 1) * SECOND;
+        let span = second * SECOND_US..(second + 1) * SECOND_US;
         let slots = available_slots(deployment, evidence, (service, region), &span);
         let limit = f64::from(slots) * deployment.utilization + ALLOWANCE_SLOTS;
-        let mean = load.busy_us as f64 / SECOND as f64;
+        let mean = load.busy_us as f64 / SECOND_US as f64;
         if mean > limit {
             let description = format!(
                 "{service} in {region}: {mean:.1} of {slots} slots in use, {} calls from other regions",
@@ -84,11 +86,11 @@
         let origin = entry.call.as_deref().and_then(|call| origins.get(call));
         let is_cross_region = origin.is_some_and(|origin| **origin != info.region);
         let end = entry.ended_us.unwrap_or(entry.began_us);
-        for at in entry.began_us / SECOND..=end / SECOND {
+        for at in entry.began_us / SECOND_US..=end / SECOND_US {
             let site = (&info.service, &info.region);
             let load = seconds.entry((site, at)).or_default();
-            let from = entry.began_us.max(at * SECOND);
-            load.busy_us += end.min((at + 1) * SECOND).saturating_sub(from);
+            let from = entry.began_us.max(at * SECOND_US);
+            load.busy_us += end.min((at + 1) * SECOND_US).saturating_sub(from);
             load.cross_region += u64::from(is_cross_region);
         }
     }
--- a/standin/src/observer/shift.rs
+++ b/standin/src/observer/shift.rs
@@ -7,7 +7,7 @@
 //!
 //! Between two buckets that lie within the cap's window, no more than the cap's share may move, plus
 //! an allowance for random variation: the expected sum of increases if each call's zone were drawn
-//! again from the same shares, and [`DEVIATIONS`] standard deviations. The deviation is that of the sum
+//! again from the same shares, and [`ALLOWED_DEVIATIONS`] standard deviations. The deviation is that of the sum
 //! and of the share of client address blocks that moves, since traffic is steered by blocks and each
 //! block moves as a whole.
 //!
@@ -17,15 +17,15 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::{violation, Cap, Deployment, Evidence, Invariant, Span, Violation, SECOND};
+use super::{violation, Cap, Deployment, Evidence, Invariant, Span, Violation, SECOND_US};
 use crate::caller::{Outcome, Record};
 
 /// Lengths of buckets: short ones detect sudden moves, long ones small moves.
-const BUCKET_LENGTHS_US: [u64; 2] = [SECOND, 4 * SECOND];
+const BUCKET_LENGTHS_US: [u64; 2] = [SECOND_US, 4 * SECOND_US];
 /// Fewest calls in a bucket; one with fewer is extended by the next one.
-const MIN_CALLS: u64 = 100;
+const MIN_CALLS_PER_BUCKET: u64 = 100;
 /// Standard deviations that are attributed to random variation.
-pub const DEVIATIONS: f64 = 4.0;
+pub const ALLOWED_DEVIATIONS: f64 = 4.0;
 /// How long the failover cap still applies after the end of a failure, in windows of that cap, since the
 /// moved traffic returns then.
 pub const AFTERMATH_WINDOWS: u64 = 1;
@@ -108,14 +108,14 @@
 
     /// Describes the move, with times since `start`.
     fn describe(&self, start: u64) -> String {
-        let seconds = |at: u64| at.saturating_sub(start) as f64 / SECOND as f64;
+        let seconds = |at: u64| at.saturating_sub(start) as f64 / SECOND_US as f64;
         format!(
             "{:.0} % moved from {:.1} s to {:.1} s, cap {:.0} % in {} s, allowance {:.0} % ({} to {})",
             self.moved * 100.0,
             seconds(self.span.start),
             seconds(self.span.end),
             self.cap.share * 100.0,
-            self.cap.window_us / SECOND,
+            self.cap.window_us / SECOND_US,
             self.allowance * 100.0,
             self.descriptions[0],
             self.descriptions[1]
@@ -172,7 +172,7 @@
     // The sum of increases is half the sum of absolute changes, and so is its mean. Its deviation is at
     // most half that of the sum of changes.
     let deviation = (variance / 4.0 + block_variance).sqrt();
-    (moved, mean / 2.0 + DEVIATIONS * deviation)
+    (moved, mean / 2.0 + ALLOWED_DEVIATIONS * deviation)
 }
 
 /// Sets the shares of each bucket: those of the answered calls, and the refused calls attributed to the zones whose shares
@@ -224,7 +224,7 @@
     for record in records {
         while record.start_us >= bucket.span.end {
             let end = bucket.span.end;
-            if bucket.offered >= MIN_CALLS {
+            if bucket.offered >= MIN_CALLS_PER_BUCKET {
                 buckets.push(std::mem::take(&mut bucket));
                 bucket.span = end..end + length;
             } else {
@@ -236,7 +236,7 @@
             *bucket.zones.entry(Arc::clone(zone)).or_default() += 1;
         }
     }
-    if bucket.offered >= MIN_CALLS {
+    if bucket.offered >= MIN_CALLS_PER_BUCKET {
         buckets.push(bucket);
     }
     buckets
--- a/standin/src/observer/statistics.rs
+++ b/standin/src/observer/statistics.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use super::{is_overlapping, Deployment, Evidence, Span, SECOND};
+use super::{is_overlapping, Deployment, Evidence, Span, SECOND_US};
 use crate::caller::{Outcome, Record};
 
 /// Length of the buckets in which failed calls are counted for the error window.
-const ERROR_BUCKET_US: u64 = SECOND / 4;
+const ERROR_BUCKET_US: u64 = SECOND_US / 4;
 /// A bucket belongs to the error window if a larger share of its calls failed.
 const MAX_ERROR_SHARE: f64 = 0.01;
 
@@ -83,7 +83,7 @@
             .as_ref()
             .and_then(|target| deployment.targets.get(target));
         if let Some(info) = info.filter(|info| info.region != record.region) {
-            let key = (&record.region, &info.region, record.start_us / SECOND);
+            let key = (&record.region, &info.region, record.start_us / SECOND_US);
             *seconds.entry(key).or_default() += 1;
         }
     }
@@ -147,7 +147,7 @@
         offered += 1;
         answered += u64::from(record.outcome == Outcome::Answered);
     }
-    let seconds = (span.end - span.start) as f64 / SECOND as f64;
+    let seconds = (span.end - span.start) as f64 / SECOND_US as f64;
     let possible = (offered as f64).min(capacity * seconds);
     (offered > 0 && possible > 0.0).then(|| answered as f64 / possible)
 }
