--- a/src/host/admission.rs
+++ b/src/host/admission.rs
@@ -76,11 +76,9 @@
         match self {
             Self::NoAccount => answer::unauthorized(),
             Self::UnprovedConfiguration(_) => {
-                answer::not_run(host, "the configuration may be outdated\n")
-            }
-            Self::NoHome(_) => {
-                answer::not_run(host, "no region may serve this account on this route\n")
+                answer::not_run(host, "the keys in use are not known now\n")
             }
+            Self::NoHome(_) => answer::not_run(host, "no region may serve this\n"),
             Self::OverQuota { retry_after, .. } => answer::over_quota(host, *retry_after),
         }
     }
