--- a/src/account.rs
+++ b/src/account.rs
@@ -84,7 +84,7 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum AccountError {
     /// Two accounts have the same key, so it does not identify one of them.
-    #[error("accounts {one} and {other} share a key")]
+    #[error("{one} and {other} have a key in common")]
     SharedKey {
         /// One of the accounts.
         one: Arc<str>,
