--- a/src/steer/attempt.rs
+++ b/src/steer/attempt.rs
@@ -300,7 +300,7 @@
     No,
     /// It may have.
     Maybe,
-    /// A target executed and answered it.
+    /// Unknown, but a target answered it.
     Answered,
 }
 
--- a/tests/dedupe.rs
+++ b/tests/dedupe.rs
@@ -408,7 +408,7 @@
 struct Running {
     host: usize,
     request: usize,
-    run: RunPermit,
+    permit: RunPermit,
     tracker: AttemptTracker,
     outstanding: AttemptId,
 }
@@ -515,7 +515,7 @@
                 && keys.bytes() <= MAX_RECORDS * (MAX_STORED_ANSWER_BYTES + 300)
         );
         match admission {
-            Admission::Run(run) => self.dispatch(host, request, run),
+            Admission::Run(permit) => self.dispatch(host, request, permit),
             Admission::Join => {}
             Admission::Replay(_) => {
                 let key = self.requests[request].key;
@@ -530,7 +530,7 @@
         }
     }
 
-    fn dispatch(&mut self, host: usize, request: usize, run: RunPermit) {
+    fn dispatch(&mut self, host: usize, request: usize, permit: RunPermit) {
         let deadline = self.now + Duration::from_secs(30);
         let mut tracker = AttemptTracker::new(Repeat::Never, deadline);
         let outstanding = tracker
@@ -539,7 +539,7 @@
         self.running.push(Running {
             host,
             request,
-            run,
+            permit,
             tracker,
             outstanding,
         });
@@ -608,7 +608,7 @@
             Outcome::NotRun(_) => RunOutcome::NotRun,
             Outcome::Unknown(_) => RunOutcome::Unknown,
         };
-        let waiters = self.hosts[running.host].keys.complete(&running.run, end);
+        let waiters = self.hosts[running.host].keys.complete(&running.permit, end);
         for request in waiters.into_iter().chain([running.request]) {
             self.report_outcome(request, outcome);
         }
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -161,7 +161,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrive,
+    AddRequest,
     ReachTarget(usize, usize),
     CompleteAtTarget(usize, usize),
     ReceiveAnswer(usize, usize),
@@ -203,7 +203,7 @@
     targets: Vec<Target>,
     requests: Vec<Request>,
     latencies: Vec<u64>,
-    figures: BurstStats,
+    stats: BurstStats,
     wake_times_us: Vec<u64>,
     caches_cleared: bool,
 }
@@ -235,7 +235,7 @@
             targets: (0..load.targets).map(|_| Target::default()).collect(),
             requests: Vec::new(),
             latencies: Vec::new(),
-            figures: BurstStats::default(),
+            stats: BurstStats::default(),
             wake_times_us: vec![0; load.hosts],
             caches_cleared: false,
         }
@@ -243,7 +243,7 @@
 
     /// Runs the simulation to the end of the last request.
     pub fn run(mut self) -> BurstStats {
-        self.push(0, Event::Arrive);
+        self.push(0, Event::AddRequest);
         self.push(0, Event::SampleLoads);
         while let Some(Reverse((at, _, event))) = self.events.pop() {
             self.now_us = at;
@@ -254,13 +254,13 @@
         let percentile =
             |fraction: f64| self.latencies[((self.latencies.len() - 1) as f64 * fraction) as usize];
         let seconds = (BURST_PERIOD_US.end - BURST_PERIOD_US.start) as f64 / 1e6;
-        let offered = self.figures.offered as f64;
+        let offered = self.stats.offered as f64;
         BurstStats {
-            answered: self.latencies.len() - self.figures.late,
+            answered: self.latencies.len() - self.stats.late,
             p50: percentile(0.5) as f64 / 1e3,
             p99: percentile(0.99) as f64 / 1e3,
             unavoidable: (1.0 - self.load.capacity() * seconds / offered).max(0.0),
-            ..self.figures
+            ..self.stats
         }
     }
 
@@ -276,7 +276,7 @@
 
     fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Arrive => self.arrive_request(),
+            Event::AddRequest => self.add_request(),
             Event::ReachTarget(request, attempt) => self.reach_target(request, attempt),
             Event::CompleteAtTarget(target, request) => self.complete_at_target(target, request),
             Event::ReceiveAnswer(request, attempt) => self.receive_answer(request, attempt),
@@ -286,7 +286,7 @@
         }
     }
 
-    fn arrive_request(&mut self) {
+    fn add_request(&mut self) {
         if self.load.answers_until_warm > 0
             && !self.caches_cleared
             && self.now_us >= BURST_PERIOD_US.start
@@ -302,9 +302,9 @@
         };
         let interval = -self.rng.random::<f64>().max(1e-9).ln() * 1e6 / rate;
         if self.now_us < LAST_ARRIVAL_US {
-            self.push(interval as u64, Event::Arrive);
+            self.push(interval as u64, Event::AddRequest);
         }
-        self.figures.offered += usize::from(in_burst);
+        self.stats.offered += usize::from(in_burst);
         let host = match self.load.host_turn_us {
             turn if turn > 0 && !in_burst => (self.now_us / turn) as usize % self.load.hosts,
             _ => self.rng.random_range(0..self.load.hosts),
@@ -342,7 +342,7 @@
             .iter()
             .map(|group| group.in_flight(grant.target()))
             .sum();
-        self.figures.max_in_flight = self.figures.max_in_flight.max(in_flight);
+        self.stats.max_in_flight = self.stats.max_in_flight.max(in_flight);
         let request = &mut self.requests[id];
         request.attempts += 1;
         request.sent_us = self.now_us;
@@ -367,17 +367,17 @@
         };
         let target = &mut self.targets[position];
         if target.running.len() < SLOTS_PER_TARGET {
-            self.start(position, id, attempt);
+            self.start_at_target(position, id, attempt);
         } else if target.waiting.len() < self.load.backlog {
             target.waiting.push_back((id, attempt));
         } else {
             self.requests[id].refused = true;
-            self.figures.overrun += 1;
+            self.stats.overrun += 1;
             self.push(WIRE_DELAY_US, Event::ReceiveAnswer(id, attempt));
         }
     }
 
-    fn start(&mut self, position: usize, id: usize, attempt: usize) {
+    fn start_at_target(&mut self, position: usize, id: usize, attempt: usize) {
         let random_factor = 0.5 - 0.5 * self.rng.random::<f64>().max(1e-9).ln();
         let is_slow = position.is_multiple_of(10) && self.now_us > 1_000_000;
         let is_cold = self.targets[position].served < self.load.answers_until_warm;
@@ -410,7 +410,7 @@
         };
         target.running.swap_remove(found);
         if let Some((next, attempt)) = target.waiting.pop_front() {
-            self.start(position, next, attempt);
+            self.start_at_target(position, next, attempt);
         }
         true
     }
@@ -470,7 +470,7 @@
         self.finish(id, position, End::TimedOut);
         self.requests[id].outcomes += 1;
         if BURST_PERIOD_US.contains(&self.requests[id].arrived_us) {
-            self.figures.late += 1;
+            self.stats.late += 1;
             self.latencies.push(DEADLINE_US);
         }
     }
@@ -484,7 +484,7 @@
             self.latencies
                 .push(self.now_us - self.requests[id].arrived_us);
         } else {
-            self.figures.shed += 1;
+            self.stats.shed += 1;
         }
     }
 
