--- a/src/steer/fleet.rs
+++ b/src/steer/fleet.rs
@@ -10,17 +10,17 @@
 //! of its cache made more targets cold for its key than it relieved.
 
 mod admission;
-mod charge;
 mod choice;
 mod cold;
+mod cold_checks;
 mod cost;
-mod habit;
 mod member;
+mod object_locations;
 mod ranking;
+mod rate_limit;
+mod service_stats;
 mod silence;
 mod switches;
-mod throttled;
-mod warmth;
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -31,20 +31,20 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use self::cold::FleetHost;
-use self::habit::ServiceStats;
 use self::member::LoadReport;
+use self::object_locations::ObjectLocations;
 use self::ranking::Rankings;
-use self::warmth::ObjectLocations;
+use self::service_stats::ServiceStats;
 use super::drift::Drift;
 use super::eject::{Comparison, Outcome, OutlierDetector};
 use super::throttle::{Assignment, Throttle};
 use crate::border::settings::Switch;
 use crate::inventory::{Registration, State, TargetKey, TargetKeyAllocator};
 
-pub use self::charge::{CHECKERS_PER_TARGET, MAX_CHECK_FACTOR, MIN_CHECKS};
+pub use self::cold_checks::{CHECKERS_PER_TARGET, MAX_CHECK_FACTOR, MIN_CHECKS};
 pub use self::member::{Load, Member, TargetEstimate};
+pub use self::rate_limit::Permission;
 pub use self::switches::Switches;
-pub use self::throttled::Permission;
 
 /// A request for which a target is to be selected.
 #[derive(Clone, Debug)]
--- a/src/steer/fleet/cost.rs
+++ b/src/steer/fleet/cost.rs
@@ -3,8 +3,8 @@
 
 use std::time::{Duration, Instant};
 
-use super::habit::ServiceStats;
 use super::member::Member;
+use super::service_stats::ServiceStats;
 use super::{Fleet, Observation, TargetQuery};
 use crate::border::settings::Switch;
 use crate::inventory::TargetKey;
