--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -5,17 +5,17 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
+use super::background::Later;
 use super::body::Body;
+use super::classify::{broken, end_of, refused, to_load, to_state};
 use super::core::Event;
 use super::head::{self, Head, Header};
-use super::keyed;
-use super::later::Later;
+use super::idempotency;
 use super::metrics::Sample;
 use super::relay;
 use super::reply::{self, Reply};
 use super::request::Request;
 use super::target::{self, Answer, Connection, Sending};
-use super::verdict::{broken, end_of, refused, to_load, to_state};
 use super::Shared;
 use crate::catalog::{Catalog, HostKey, RegionKey, Repeat, ServiceKey, TargetKey};
 use crate::peer::stream::Incoming;
@@ -521,7 +521,7 @@
         if let Some(run) = lock(&self.key).take() {
             shared
                 .core
-                .send(Event::End(run, keyed::end(outcome, reply.as_ref())));
+                .send(Event::End(run, idempotency::end(outcome, reply.as_ref())));
         }
         self.record(shared, outcome);
         match lock(&self.sender).take() {
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -9,7 +9,7 @@
 use crossbeam_channel::Sender;
 use rand::Rng;
 
-use super::feed::{News, Queue};
+use super::config_sync::{News, Queue};
 use super::platform::Ask;
 use crate::catalog::{Catalog, HostKey, RegionKey, ServiceKey, State, ZoneKey};
 use crate::control::agent::{Agent, Output};
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -15,10 +15,10 @@
 use rand_pcg::Pcg64Mcg;
 use stakker::{actor, after, call, ret_nop, ActorOwn, Stakker, CX};
 
+use super::background::{self, Later, Queue};
 use super::call::Call;
+use super::config_sync;
 use super::control::{Change, Control};
-use super::feed;
-use super::later::{self, Later, Queue};
 use super::metrics::Metrics;
 use super::platform;
 use super::published::{Readiness, State};
@@ -194,7 +194,7 @@
     pub(crate) rotation: Rotation,
     pub(crate) incarnation: u64,
     pub(crate) platform: Sender<platform::Ask>,
-    pub(crate) feed: feed::Queue,
+    pub(crate) feed: config_sync::Queue,
     pub(crate) metrics: Arc<Metrics>,
     /// Set while this host is a delegate of its zone.
     pub(crate) delegate: Arc<AtomicBool>,
@@ -514,7 +514,7 @@
         match self.engine.submit(cx.now(), ask, &mut self.rng) {
             Some(Verdict::Target { grant, .. }) => {
                 if let Err(full) = self.parts.later.try_send(Later::Hedge(call, grant)) {
-                    later::give_back(&self.handle, full.into_inner());
+                    background::give_back(&self.handle, full.into_inner());
                 }
             }
             Some(Verdict::Host(pass)) => {
--- a/src/entry/front.rs
+++ b/src/entry/front.rs
@@ -13,7 +13,7 @@
 use super::body::Body;
 use super::call::{Sender as Answerer, Start};
 use super::head::{Head, SERVICES};
-use super::keyed;
+use super::idempotency;
 use super::published::{Readiness, State};
 use super::relay;
 use super::reply::Reply;
@@ -267,7 +267,7 @@
         return Reply::not_run(400, "no remote address", None).send(request);
     };
     match prepare(shared, &mut request, client, job.arrived) {
-        Ok(start) => keyed::run(shared, start, Answerer::Caller(request)),
+        Ok(start) => idempotency::run(shared, start, Answerer::Caller(request)),
         Err(reply) => reply.send(request),
     }
 }
@@ -374,7 +374,7 @@
 fn serve_relayed(shared: &Arc<Shared>, mut incoming: Incoming) {
     let _in_flight = shared.enter();
     match prepare_relayed(shared, &mut incoming) {
-        Ok(start) => keyed::run(shared, start, Answerer::Host(incoming)),
+        Ok(start) => idempotency::run(shared, start, Answerer::Host(incoming)),
         Err(outcome) => relay::reply(incoming, outcome, FULL_RETRY, None),
     }
 }
--- a/src/entry/health.rs
+++ b/src/entry/health.rs
@@ -12,9 +12,9 @@
 use ureq::unversioned::transport::TcpConnector;
 use ureq::Agent;
 
+use super::classify::to_state;
 use super::core::{Event, Handle};
 use super::published::Published;
-use super::verdict::to_state;
 use super::Error;
 use crate::catalog::{Catalog, State, Target, TargetKey};
 use crate::literal::LiteralResolver;
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,21 +1,23 @@
 //! The entry host's daemon: actors on one stakker thread, I/O on others.
 
+mod background;
 mod body;
 mod call;
+mod classify;
+mod config_sync;
 mod control;
 mod core;
-mod cut;
 mod error;
-mod feed;
 mod front;
 mod head;
 mod health;
-mod keyed;
-mod later;
+mod idempotency;
 mod log;
 pub(crate) mod metrics;
+mod pipelining;
 mod platform;
 mod published;
+mod raw_socket;
 mod relay;
 mod reply;
 mod request;
@@ -24,9 +26,7 @@
 mod stage;
 mod status;
 mod target;
-mod turn;
-mod verdict;
-mod watch;
+mod watchdog;
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -48,8 +48,8 @@
 pub use error::Error;
 
 use self::core::Parts;
+use background::{Later, Queue};
 use front::{Front, Relays};
-use later::{Later, Queue};
 use metrics::Metrics;
 use published::Published;
 use reply::Reply;
@@ -96,7 +96,7 @@
     /// Leaves work to the pool for it; drops it if there is too much.
     pub(crate) fn later(&self, piece: Later) {
         if let Err(full) = self.later.try_send(piece) {
-            later::give_back(&self.core, full.into_inner());
+            background::give_back(&self.core, full.into_inner());
         }
     }
 
@@ -138,7 +138,7 @@
 pub struct Host {
     server: Server,
     shared: Arc<Shared>,
-    feed: feed::Queue,
+    feed: config_sync::Queue,
     stop: Arc<AtomicBool>,
 }
 
@@ -159,7 +159,7 @@
         let incarnation = incarnation();
         let rotation = Rotation::new(Instant::now());
         let published = Arc::new(Published::new());
-        let (later, work) = later::queue();
+        let (later, work) = background::queue();
         let metrics = Arc::new(Metrics::new()?);
         let (asks, asked) = unbounded();
         let (feed, news) = unbounded();
@@ -175,8 +175,8 @@
             metrics: metrics.clone(),
             delegate: delegate.clone(),
         })?;
-        let known = Arc::new(feed::Known::default());
-        feed::start(core.clone(), known.clone(), news)?;
+        let known = Arc::new(config_sync::Known::default());
+        config_sync::start(core.clone(), known.clone(), news)?;
         let (relays, relayed) = Relays::new(settings.pool.backlog.get() as usize);
         let mesh = Arc::new(mesh(&settings, incarnation, core.clone(), relays)?);
         core.send(core::Event::Mesh(mesh.clone()));
@@ -195,7 +195,7 @@
             in_flight: Arc::default(),
             settings,
         });
-        later::start(&shared, &work)?;
+        background::start(&shared, &work)?;
         Relays::start(&shared, &relayed)?;
         let front = Front::new(shared.clone())?;
         let platform = platform::Parts {
@@ -264,7 +264,7 @@
     pub fn stop(&self) {
         self.stop.store(true, Ordering::Relaxed);
         self.server.stop();
-        let _ = self.feed.send(feed::News::Stop);
+        let _ = self.feed.send(config_sync::News::Stop);
         self.shared.core.send(core::Event::Stop);
     }
 }
--- a/src/entry/turn.rs
+++ b/src/entry/pipelining.rs
@@ -11,7 +11,7 @@
 
 use crossbeam_channel::Sender;
 
-use super::cut;
+use super::raw_socket;
 use super::request::Request;
 
 /// Parts of the table, each with a lock of its own.
@@ -69,7 +69,7 @@
                 let crowded = connection.waiting.len() == MAX_WAITING;
                 drop(shard);
                 if crowded {
-                    cut::close_read(peer);
+                    raw_socket::close_read(peer);
                 }
                 None
             }
@@ -129,7 +129,7 @@
             state: State::Closed(Instant::now()),
         };
         let old = self.shard(peer).insert(peer, closed);
-        cut::close(peer);
+        raw_socket::close(peer);
         // Dropping a request writes an answer; that must not happen under the lock.
         drop(old);
     }
--- a/src/entry/platform.rs
+++ b/src/entry/platform.rs
@@ -16,8 +16,8 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
+use super::config_sync::{Known, News, Queue};
 use super::core::{Event, Handle};
-use super::feed::{Known, News, Queue};
 use super::Error;
 use crate::control::plan::Record;
 use crate::control::{lease, publish};
--- a/src/entry/reply.rs
+++ b/src/entry/reply.rs
@@ -8,8 +8,8 @@
 use serde::Serialize;
 use tiny_http::{Response, StatusCode};
 
-use super::cut;
 use super::head::{self, Header};
+use super::raw_socket;
 use super::request::Request;
 
 /// The body of an answer.
@@ -105,7 +105,7 @@
 
 fn close(peer: Option<SocketAddr>) {
     if let Some(peer) = peer {
-        cut::close(peer);
+        raw_socket::close(peer);
     }
 }
 
--- a/src/entry/request.rs
+++ b/src/entry/request.rs
@@ -11,9 +11,9 @@
 
 use tiny_http::{Response, StatusCode};
 
-use super::cut;
-use super::turn::Turn;
-use super::watch::{Act, Guard, Watch};
+use super::pipelining::Turn;
+use super::raw_socket;
+use super::watchdog::{Act, Guard, Watch};
 
 /// Bodies up to this size are read before the library hands a request over, in bytes.
 const READ_AHEAD: u64 = 1024;
@@ -101,7 +101,7 @@
                 self.abandon(peer, response)
             }
             _ if self.awaits_continue() => {
-                cut::close_read(peer);
+                raw_socket::close_read(peer);
                 self.respond_now(response)
             }
             Framing::Length(_) => {
@@ -153,7 +153,7 @@
         let mut bytes = Vec::new();
         let version = self.http_version().clone();
         let printed = response.raw_print(&mut bytes, version, &[], false, None);
-        let result = printed.and_then(|()| cut::write(peer, &bytes));
+        let result = printed.and_then(|()| raw_socket::write(peer, &bytes));
         if let Some(turn) = &mut self.turn {
             turn.close();
         }
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -9,7 +9,7 @@
 //! - It has no time-outs. They are set on the listening socket, from which each accepted socket
 //!   inherits them. Since they make an idle `accept` fail, the probe connects more often than that.
 //! - It hands over the requests of one connection at once, and an answer then waits for those before
-//!   it, with its thread. [`super::turn`] lets them through one after the other.
+//!   it, with its thread. [`super::pipelining`] lets them through one after the other.
 //! - It reads the rest of a body that nobody asked for, without end, or takes it for the next
 //!   request. [`super::request`] sees to that.
 
@@ -23,9 +23,9 @@
 use crossbeam_channel::{unbounded, Receiver as Queue, RecvTimeoutError};
 use socket2::{Domain, Protocol, Socket, Type};
 
+use super::pipelining::Turns;
 use super::request::Request;
-use super::turn::Turns;
-use super::watch::{Act, Watch};
+use super::watchdog::{Act, Watch};
 
 /// Connections that wait to be accepted.
 const ACCEPT_BACKLOG: i32 = 1024;
--- a/src/entry/watch.rs
+++ b/src/entry/watchdog.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use super::cut;
+use super::raw_socket;
 
 /// How often it looks.
 const LOOK: Duration = Duration::from_millis(100);
@@ -91,8 +91,8 @@
     for entry in over {
         spdlog::debug!("http: {} takes too long", entry.peer);
         match entry.act {
-            Act::CloseRead => cut::close_read(entry.peer),
-            Act::Close => cut::close(entry.peer),
+            Act::CloseRead => raw_socket::close_read(entry.peer),
+            Act::Close => raw_socket::close(entry.peer),
         }
     }
 }
