--- a/src/entry/background.rs
+++ b/src/entry/background.rs
@@ -1,7 +1,7 @@
-//! Work that must not keep anyone waiting: second copies, cancellations.
+//! Background tasks that must not delay other threads: hedges and cancellations.
 //!
-//! A small pool does it, behind a bounded queue. What finds the queue full is dropped: a hedge is then
-//! not sent, and a cancelled request runs to its end.
+//! A small pool of threads runs them from a bounded queue. A task is dropped if the queue is full: its
+//! hedge is then not sent, and a request that should be cancelled runs to its end.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Weak};
@@ -17,31 +17,31 @@
 
 /// Threads of the pool.
 const THREADS: usize = 16;
-/// Work that may wait.
+/// Maximum number of queued tasks.
 const BACKLOG: usize = 256;
-/// Time for telling a target that a request is cancelled.
-const CANCEL_TIME: Duration = Duration::from_millis(500);
+/// Time limit of the call that cancels a request at a target.
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A piece of work.
-pub(crate) enum Later {
-    /// Send a second copy of a request.
+/// A task for the pool.
+pub(crate) enum BackgroundTask {
+    /// Send the hedge of a request to the target that was granted.
     Hedge(Arc<Call>, group::Grant),
-    /// Tell a target that a request is no longer waited for.
+    /// Cancel a request at a target.
     Cancel(SocketAddr, String),
-    /// The host that relayed a request gave it up.
+    /// End a request that the host that relayed it has cancelled.
     Abandon(Arc<Call>),
 }
 
-/// The queue's end for those who have work.
-pub(crate) type Queue = Sender<Later>;
+/// The sending end of the task queue.
+pub(crate) type TaskSender = Sender<BackgroundTask>;
 
-/// The queue, and the end that the threads will read.
-pub(crate) fn queue() -> (Queue, Receiver<Later>) {
+/// Creates the task queue.
+pub(crate) fn task_queue() -> (TaskSender, Receiver<BackgroundTask>) {
     bounded(BACKLOG)
 }
 
-/// Starts the threads. They end when the queue's senders are gone.
-pub(crate) fn start(shared: &Arc<Shared>, work: &Receiver<Later>) -> Result<(), Error> {
+/// Starts the threads. They end when all senders of the queue are dropped.
+pub(crate) fn start(shared: &Arc<Shared>, work: &Receiver<BackgroundTask>) -> Result<(), Error> {
     for index in 0..THREADS {
         let shared = Arc::downgrade(shared);
         let work = work.clone();
@@ -52,22 +52,24 @@
     Ok(())
 }
 
-fn run(shared: &Weak<Shared>, work: &Receiver<Later>) {
-    for piece in work {
+fn run(shared: &Weak<Shared>, work: &Receiver<BackgroundTask>) {
+    for task in work {
         let Some(shared) = shared.upgrade() else {
             return;
         };
-        match piece {
-            Later::Hedge(call, grant) => call.hedge(&shared, grant),
-            Later::Cancel(address, id) => shared.targets.cancel(address, &id, CANCEL_TIME),
-            Later::Abandon(call) => call.abandon(&shared),
+        match task {
+            BackgroundTask::Hedge(call, grant) => call.run_hedge(&shared, grant),
+            BackgroundTask::Cancel(address, id) => {
+                shared.targets.cancel(address, &id, CANCEL_TIMEOUT)
+            }
+            BackgroundTask::Abandon(call) => call.abandon(&shared),
         }
     }
 }
 
-/// Hands a grant back that found no thread to use it.
-pub(crate) fn give_back(core: &super::core::Handle, piece: Later) {
-    if let Later::Hedge(_, grant) = piece {
-        core.send(Event::Finish(grant, group::Report::unused()));
+/// Returns the grant of a dropped hedge to the core.
+pub(crate) fn return_grant(core: &super::core::Handle, task: BackgroundTask) {
+    if let BackgroundTask::Hedge(_, grant) = task {
+        core.send(Event::TargetFinished(grant, group::Report::unused()));
     }
 }
--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -1,21 +1,21 @@
-//! The course of one request on this host, from its head to its answer.
+//! Handles one request on this host, from its head to its answer: each attempt, hedges and the reply.
 
 use std::io::{self, Read};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use super::background::Later;
+use super::background::BackgroundTask;
 use super::body::Body;
-use super::classify::{broken, end_of, refused, to_load, to_state};
+use super::classify::{end_of, failure_of_error, failure_of_status, to_load, to_state};
 use super::core::Event;
 use super::head::{self, Head, Header};
 use super::idempotency;
-use super::metrics::Sample;
+use super::metrics::RequestSample;
 use super::relay;
 use super::reply::{self, Reply};
 use super::request::Request;
-use super::target::{self, Answer, Connection, Sending};
+use super::target::{self, Answer, Connection, RequestBody};
 use super::Shared;
 use crate::catalog::{Catalog, HostKey, RegionKey, Repeat, ServiceKey, TargetKey};
 use crate::peer::stream::Incoming;
@@ -30,13 +30,13 @@
 use crate::steer::pass::{Back, Pass};
 use crate::steer::throttle::Rate;
 
-/// Answers up to this size are held whole before any of them is passed on, in bytes.
-pub(crate) const HOLD_ANSWER: u64 = 8 << 20;
-/// When a caller is asked to come back if nothing better is known.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Answers up to this size are buffered whole before any byte is forwarded; larger ones are streamed.
+pub(crate) const MAX_BUFFERED_ANSWER_BYTES: u64 = 8 << 20;
+/// `Retry-After` for a caller if no host gave a better time.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What is known of a request before it has a place in this host.
-pub(crate) struct Start {
+/// A checked request: its head, body, service, locality and deadline.
+pub(crate) struct RequestContext {
     pub(crate) id: Id,
     pub(crate) head: Head,
     pub(crate) body: Body,
@@ -47,85 +47,85 @@
     pub(crate) origin: Origin,
     pub(crate) arrived: Instant,
     pub(crate) deadline: Instant,
-    /// What stays the same when the request comes again.
+    /// Hash of the content that stays equal when the caller resends the request.
     pub(crate) fingerprint: Fingerprint,
 }
 
-/// A request on its way.
+/// A request in progress, with its attempts and the connection that waits for its reply.
 pub(crate) struct Call {
-    pub(crate) start: Start,
-    course: Mutex<AttemptTracker>,
-    sender: Mutex<Option<Sender>>,
+    pub(crate) context: RequestContext,
+    tracker: Mutex<AttemptTracker>,
+    requester: Mutex<Option<Requester>>,
     answered: AtomicBool,
-    /// Whether its sender broke off the body that was passed on.
-    cut: AtomicBool,
+    /// Set if the requester broke off the body while it was streamed to a target or host.
+    body_broken_off: AtomicBool,
     timing: Mutex<Timing>,
-    key: Mutex<Option<dedupe::Run>>,
-    /// The answer of a target that was unavailable, should no other try do better.
+    key_run: Mutex<Option<dedupe::Run>>,
+    /// The last error answer of a target, sent if no further attempt succeeds.
     fallback: Mutex<Option<Reply>>,
 }
 
-/// Where the answer goes, and where the rest of the body comes from.
-pub(crate) enum Sender {
+/// The connection that receives the reply and supplies the rest of the body.
+pub(crate) enum Requester {
     /// A caller.
     Caller(Request),
     /// Another entry host.
     Host(Incoming),
 }
 
-/// Where the time went.
+/// Time spent waiting for verdicts of the core, and on attempts at targets and other hosts.
 #[derive(Clone, Copy, Debug, Default)]
 struct Timing {
-    waited: Duration,
-    elsewhere: Duration,
+    queued: Duration,
+    in_attempts: Duration,
 }
 
 impl Call {
-    pub(crate) fn new(start: Start, sender: Sender) -> Self {
-        let repeat = start.catalog.service(start.service).repeat;
+    pub(crate) fn new(context: RequestContext, requester: Requester) -> Self {
+        let repeat = context.catalog.service(context.service).repeat;
         Self {
-            course: Mutex::new(AttemptTracker::new(repeat, start.deadline)),
-            sender: Mutex::new(Some(sender)),
+            tracker: Mutex::new(AttemptTracker::new(repeat, context.deadline)),
+            requester: Mutex::new(Some(requester)),
             answered: AtomicBool::new(false),
-            cut: AtomicBool::new(false),
+            body_broken_off: AtomicBool::new(false),
             timing: Mutex::default(),
-            key: Mutex::default(),
+            key_run: Mutex::default(),
             fallback: Mutex::default(),
-            start,
+            context,
         }
     }
 
-    /// Notes that this request runs an idempotency key, whose end must be told.
-    pub(crate) fn with_key(self, run: dedupe::Run) -> Self {
-        *lock(&self.key) = Some(run);
+    /// Attaches the run of an idempotency key, whose result is reported to the core when the request ends.
+    pub(crate) fn with_key_run(self, run: dedupe::Run) -> Self {
+        *lock(&self.key_run) = Some(run);
         self
     }
 
-    /// Whether the request has its answer.
+    /// Whether the reply has been sent.
     pub(crate) fn is_answered(&self) -> bool {
         self.answered.load(Ordering::Relaxed)
     }
 
     fn repeat(&self) -> Repeat {
-        self.start.catalog.service(self.start.service).repeat
+        self.context.catalog.service(self.context.service).repeat
     }
 
-    pub(crate) fn course(&self) -> MutexGuard<'_, AttemptTracker> {
-        lock(&self.course)
+    pub(crate) fn tracker(&self) -> MutexGuard<'_, AttemptTracker> {
+        lock(&self.tracker)
     }
 
-    /// Carries the request until it has its answer, or leaves it to another copy.
+    /// Makes attempts until the request is answered or another attempt of it is still in progress.
     pub(crate) fn run(self: &Arc<Self>, shared: &Arc<Shared>) {
         let mut kind = AttemptKind::First;
         loop {
-            let asked = Instant::now();
-            let verdict = shared.core.ask(self.ask(kind));
-            lock(&self.timing).waited += asked.elapsed();
+            let requested = Instant::now();
+            let verdict = shared.core.route(self.route_request(kind));
+            lock(&self.timing).queued += requested.elapsed();
             let step = match verdict {
                 Verdict::Refused(refusal) => return self.refuse(shared, refusal),
                 Verdict::Host(pass) => self.try_host(shared, pass),
                 Verdict::Target { grant, hedge } => {
-                    self.plan_hedge(shared, hedge);
+                    self.schedule_hedge(shared, hedge);
                     self.try_target(shared, grant)
                 }
             };
@@ -136,181 +136,185 @@
         }
     }
 
-    /// Sends the second copy that the core granted.
-    pub(crate) fn hedge(self: &Arc<Self>, shared: &Arc<Shared>, grant: group::Grant) {
+    /// Runs the hedge that the core granted; falls back to retries if it fails.
+    pub(crate) fn run_hedge(self: &Arc<Self>, shared: &Arc<Shared>, grant: group::Grant) {
         if self.try_target(shared, grant) == Step::Retry {
             self.run(shared);
         }
     }
 
-    fn plan_hedge(self: &Arc<Self>, shared: &Shared, after: Option<Duration>) {
-        let whole = matches!(self.start.body, Body::Whole(_));
-        if let Some(after) = after.filter(|_| whole) {
+    fn schedule_hedge(self: &Arc<Self>, shared: &Shared, after: Option<Duration>) {
+        let is_buffered = matches!(self.context.body, Body::Whole(_));
+        if let Some(after) = after.filter(|_| is_buffered) {
             shared.core.send(Event::Hedge(Arc::downgrade(self), after));
         }
     }
 
-    /// Ends the request should the host that relays it give it up.
-    pub(crate) fn watch(self: &Arc<Self>, shared: &Arc<Shared>) {
-        if let Some(Sender::Host(incoming)) = lock(&self.sender).as_ref() {
+    /// Abandons the request if the host that relayed it cancels it.
+    pub(crate) fn abandon_on_cancel(self: &Arc<Self>, shared: &Arc<Shared>) {
+        if let Some(Requester::Host(incoming)) = lock(&self.requester).as_ref() {
             let call = Arc::downgrade(self);
             let shared = Arc::downgrade(shared);
             incoming.on_cancel(move || {
                 if let (Some(call), Some(shared)) = (call.upgrade(), shared.upgrade()) {
-                    shared.later(Later::Abandon(call));
+                    shared.run_in_background(BackgroundTask::Abandon(call));
                 }
             });
         }
     }
 
-    /// What the core is asked.
-    pub(crate) fn ask(&self, kind: AttemptKind) -> RouteRequest {
+    /// Builds the routing request for the core, which excludes destinations already tried.
+    pub(crate) fn route_request(&self, kind: AttemptKind) -> RouteRequest {
         let mut targets = Vec::new();
         let mut hosts = Vec::new();
-        for place in self.course().tried_destinations() {
-            match place {
+        for destination in self.tracker().tried_destinations() {
+            match destination {
                 Destination::Target(target) => targets.push(target),
                 Destination::Host(host) => hosts.push(host),
             }
         }
-        let start = &self.start;
+        let context = &self.context;
         RouteRequest {
-            id: start.id,
+            id: context.id,
             kind,
-            origin: start.origin,
-            service: start.service,
-            locality: start.locality,
-            block: start.block,
-            bytes: start.head.length.unwrap_or_default(),
-            deadline: start.deadline,
+            origin: context.origin,
+            service: context.service,
+            locality: context.locality,
+            block: context.block,
+            bytes: context.head.length.unwrap_or_default(),
+            deadline: context.deadline,
             targets,
             hosts,
-            fingerprint: start.fingerprint,
+            fingerprint: context.fingerprint,
         }
     }
 
-    /// Ends the request without another try.
+    /// Ends the request without another attempt.
     fn refuse(&self, shared: &Shared, refusal: Refusal) {
         shared
             .metrics
-            .refusal(&self.start.head.service, refusal.reason.as_str());
-        let end = self.course().abandon(refusal.reason, |_| Stage::Sent);
+            .count_refusal(&self.context.head.service, refusal.reason.as_str());
+        let end = self.tracker().abandon(refusal.reason, |_| Stage::Sent);
         let Some(mut end) = end else { return };
         let fallback = lock(&self.fallback).take();
         if fallback.is_some() && end.outcome == Outcome::Unknown(Reason::Unavailable) {
             end.outcome = Outcome::Answered;
         }
-        self.give(shared, &end, refusal.retry_after, fallback);
+        self.send_reply(shared, &end, refusal.retry_after, fallback);
     }
 
-    /// One try at one target.
+    /// Makes one attempt at one target.
     fn try_target(&self, shared: &Shared, grant: group::Grant) -> Step {
         let target = grant.target();
         let started = Instant::now();
-        let key = match self.course().start(started, Destination::Target(target)) {
+        let key = match self.tracker().start(started, Destination::Target(target)) {
             Ok(key) => key,
             Err(error) => {
                 spdlog::debug!("call: no further try: {error}");
                 shared
                     .core
-                    .send(Event::Finish(grant, group::Report::unused()));
+                    .send(Event::TargetFinished(grant, group::Report::unused()));
                 return Step::Late;
             }
         };
         let result = self.call_target(shared, target);
         let latency = started.elapsed();
-        lock(&self.timing).elsewhere += latency;
+        lock(&self.timing).in_attempts += latency;
         match result {
             Ok(answer) => {
-                // What refuses a request may leave out what other answers say.
+                // A refusal may come without the rate header, which does not mean that the limit is gone.
                 if !answer.refused || answer.rate != Rate::Absent {
                     shared.core.send_rate(target, started, &answer.rate);
                 }
-                self.take_answer(shared, key, grant, answer, started)
+                self.handle_answer(shared, key, grant, answer, started)
             }
             Err(error) => {
-                let cause = broken(&error);
+                let cause = failure_of_error(&error);
                 let report = group::Report {
                     end: end_of(cause),
                     latency,
                     load: None,
                     state: None,
                 };
-                self.judge(shared, target, cause, started);
-                shared.core.send(Event::Finish(grant, report));
-                spdlog::debug!("call: {} at {}: {error}", self.start.id, self.name(target));
-                self.fail(shared, key, cause, RETRY_AFTER, None)
+                self.report_broken_attempt(shared, target, cause, started);
+                shared.core.send(Event::TargetFinished(grant, report));
+                spdlog::debug!(
+                    "call: {} at {}: {error}",
+                    self.context.id,
+                    self.target_name(target)
+                );
+                self.handle_failure(shared, key, cause, DEFAULT_RETRY_AFTER, None)
             }
         }
     }
 
-    fn name(&self, target: TargetKey) -> &str {
-        &self.start.catalog.target(target).name
+    fn target_name(&self, target: TargetKey) -> &str {
+        &self.context.catalog.target(target).name
     }
 
     fn call_target(&self, shared: &Shared, target: TargetKey) -> Result<Answer, target::Error> {
-        let id = shared.request_id(self.start.id);
-        let head = &self.start.head;
-        let ask = target::Ask {
-            address: self.start.catalog.target(target).address,
+        let id = shared.request_id(self.context.id);
+        let head = &self.context.head;
+        let request = target::TargetRequest {
+            address: self.context.catalog.target(target).address,
             id: &id,
             method: &head.method,
             path: &head.path,
             headers: &head.headers,
-            deadline: self.course().time_left(Instant::now()),
+            deadline: self.tracker().time_left(Instant::now()),
             connection: match self.repeat() {
                 Repeat::Safe => Connection::Pooled,
                 Repeat::Never => Connection::Fresh,
             },
         };
-        self.with_body(|sending| shared.targets.call(&ask, sending))
+        self.send_body(|body| shared.targets.call(&request, body))
     }
 
-    /// Gives the body to `send`, and notes whether it can be sent again.
-    fn with_body<T>(&self, send: impl FnOnce(Sending<'_, '_>) -> T) -> T {
-        let part = match &self.start.body {
-            Body::Whole(bytes) => return send(Sending::Whole(bytes)),
+    /// Passes the body to `send` and records whether it can be sent again.
+    fn send_body<T>(&self, send: impl FnOnce(RequestBody<'_, '_>) -> T) -> T {
+        let part = match &self.context.body {
+            Body::Whole(bytes) => return send(RequestBody::Whole(bytes)),
             Body::Part(part) => part,
         };
-        let mut sender = lock(&self.sender);
-        let mut rest: Box<dyn Read + '_> = match sender.as_mut() {
-            Some(Sender::Caller(request)) => Box::new(request.as_reader()),
-            Some(Sender::Host(incoming)) => Box::new(relay::Reader(incoming)),
+        let mut requester = lock(&self.requester);
+        let mut rest: Box<dyn Read + '_> = match requester.as_mut() {
+            Some(Requester::Caller(request)) => Box::new(request.as_reader()),
+            Some(Requester::Host(incoming)) => Box::new(relay::RequestReader(incoming)),
             None => Box::new(io::empty()),
         };
         let mut stream = part.stream(&mut *rest);
-        let result = send(Sending::Stream(&mut stream));
+        let result = send(RequestBody::Stream(&mut stream));
         if stream.is_consumed() {
-            self.course().mark_body_consumed();
+            self.tracker().mark_body_consumed();
         }
         if stream.has_failed() {
-            self.cut.store(true, Ordering::Relaxed);
+            self.body_broken_off.store(true, Ordering::Relaxed);
         }
         result
     }
 
-    /// One try at an entry host of another zone.
+    /// Makes one attempt through an entry host of another zone.
     fn try_host(&self, shared: &Shared, pass: Pass) -> Step {
         let started = Instant::now();
-        let key = match self.course().start(started, Destination::Host(pass.host)) {
+        let key = match self.tracker().start(started, Destination::Host(pass.host)) {
             Ok(key) => key,
             Err(error) => {
                 spdlog::debug!("call: no further try: {error}");
-                shared.core.send(Event::Passed(pass, Back::All));
+                shared.core.send(Event::RelayFinished(pass, Back::All));
                 return Step::Late;
             }
         };
-        let (result, bytes) = self.call_host(shared, pass.host, relay::Purpose::Place);
-        lock(&self.timing).elsewhere += started.elapsed();
+        let (result, bytes) = self.call_host(shared, pass.host, relay::Purpose::Dispatch);
+        lock(&self.timing).in_attempts += started.elapsed();
         let back = match &result {
-            Err(relay::Failure { cause, .. }) if relay::is_unsent(*cause) => Back::All,
+            Err(relay::Failure { cause, .. }) if relay::is_not_sent(*cause) => Back::All,
             _ => Back::Nothing { bytes },
         };
-        shared.core.send(Event::Passed(pass, back));
-        self.settle_host(shared, key, result)
+        shared.core.send(Event::RelayFinished(pass, back));
+        self.handle_host_result(shared, key, result)
     }
 
-    fn settle_host(
+    fn handle_host_result(
         &self,
         shared: &Shared,
         key: AttemptId,
@@ -318,59 +322,64 @@
     ) -> Step {
         match result {
             Ok(relay::Answer::Whole(reply)) => {
-                let step = self.course().record_answer(key);
-                self.conclude(shared, step, RETRY_AFTER, Some(reply))
+                let step = self.tracker().record_answer(key);
+                self.finish_attempt(shared, step, DEFAULT_RETRY_AFTER, Some(reply))
             }
             Ok(relay::Answer::Stream(reply)) => {
-                let Some(cancel) = self.course().select_winner(key) else {
-                    shared.metrics.late();
+                let Some(cancel) = self.tracker().select_winner(key) else {
+                    shared.metrics.count_late_answer();
                     return Step::Late;
                 };
-                self.cancel(shared, &cancel);
-                let step = self.course().record_answer(key);
-                self.conclude(shared, step, RETRY_AFTER, Some(reply))
+                self.cancel_attempts(shared, &cancel);
+                let step = self.tracker().record_answer(key);
+                self.finish_attempt(shared, step, DEFAULT_RETRY_AFTER, Some(reply))
+            }
+            Err(failure) => {
+                self.handle_failure(shared, key, failure.cause, failure.retry_after, None)
             }
-            Err(failure) => self.fail(shared, key, failure.cause, failure.retry_after, None),
         }
     }
 
-    /// Sends the request to a host. Tells how many bytes of bodies went either way.
+    /// Sends the request to a host. Returns its answer and the body bytes sent and received.
     fn call_host(
         &self,
         shared: &Shared,
         host: HostKey,
         purpose: relay::Purpose,
     ) -> (Result<relay::Answer, relay::Failure>, u64) {
-        let name = &self.start.catalog.host(host).name;
-        let left = self.course().time_left(Instant::now());
-        let id = shared.request_id(self.start.id);
-        let open = relay::open(&self.start, &id, left, purpose);
-        self.with_body(|sending| relay::call(&shared.mesh, name, &open, sending))
+        let name = &self.context.catalog.host(host).name;
+        let time_left = self.tracker().time_left(Instant::now());
+        let id = shared.request_id(self.context.id);
+        let open = relay::to_open(&self.context, &id, time_left, purpose);
+        self.send_body(|body| relay::call(&shared.mesh, name, &open, body))
     }
 
-    /// Lets the home host of the request's ticket run it.
+    /// Relays the request to the home host of its ticket, the only one that may run it.
     pub(crate) fn run_at_home(&self, shared: &Shared, host: HostKey) {
-        let Ok(key) = self.course().start(Instant::now(), Destination::Host(host)) else {
+        let Ok(key) = self
+            .tracker()
+            .start(Instant::now(), Destination::Host(host))
+        else {
             return;
         };
         let started = Instant::now();
         let (result, _) = self.call_host(shared, host, relay::Purpose::Home);
-        lock(&self.timing).elsewhere += started.elapsed();
-        // That this host did not reach the home proves nothing of an earlier copy of the request.
+        lock(&self.timing).in_attempts += started.elapsed();
+        // An earlier copy of the request may have reached the home host, so the outcome is unknown.
         let result = result.map_err(|failure| match failure.cause {
-            cause if relay::is_unsent(cause) => relay::Failure {
+            cause if relay::is_not_sent(cause) => relay::Failure {
                 cause: FailurePoint::RelayUnknown,
                 retry_after: failure.retry_after,
             },
             _ => failure,
         });
-        if self.settle_host(shared, key, result) == Step::Retry {
+        if self.handle_host_result(shared, key, result) == Step::Retry {
             self.refuse(shared, Refusal::new(Reason::HomeUnreachable));
         }
     }
 
-    /// Takes an answer whose head came: holds it whole if it is small, else passes it on.
-    fn take_answer(
+    /// Handles an answer whose head has arrived: buffers it if it is small, else streams it.
+    fn handle_answer(
         &self,
         shared: &Shared,
         key: AttemptId,
@@ -378,39 +387,48 @@
         mut answer: Answer,
         started: Instant,
     ) -> Step {
-        let large = answer.length.is_some_and(|length| length > HOLD_ANSWER);
-        if large && &*self.start.head.method != "HEAD" {
-            return self.pass_answer(shared, key, grant, answer, started);
+        let is_large = answer
+            .length
+            .is_some_and(|length| length > MAX_BUFFERED_ANSWER_BYTES);
+        if is_large && &*self.context.head.method != "HEAD" {
+            return self.stream_answer(shared, key, grant, answer, started);
         }
-        let held = hold(&mut answer, &self.start.head.method);
-        let cause = match &held {
+        let buffered = read_whole(&mut answer, &self.context.head.method);
+        let cause = match &buffered {
             Err(cause) => Some(*cause),
-            Ok(_) => refused(&answer),
+            Ok(_) => failure_of_status(&answer),
         };
         let end = match cause {
             None => group::End::Answered,
             Some(cause) => end_of(cause),
         };
         match cause {
-            None => shared.core.send(Event::Answered(self.start.fingerprint)),
-            Some(cause) => self.judge(shared, grant.target(), cause, started),
+            None => shared
+                .core
+                .send(Event::RequestAnswered(self.context.fingerprint)),
+            Some(cause) => self.report_broken_attempt(shared, grant.target(), cause, started),
         }
-        finish(shared, grant, end, &answer, started);
-        match (held, cause) {
+        report_finish(shared, grant, end, &answer, started);
+        match (buffered, cause) {
             (Ok(body), None) => {
-                let step = self.course().record_answer(key);
-                self.conclude(shared, step, RETRY_AFTER, Some(to_reply(answer, body)))
+                let step = self.tracker().record_answer(key);
+                self.finish_attempt(
+                    shared,
+                    step,
+                    DEFAULT_RETRY_AFTER,
+                    Some(to_reply(answer, body)),
+                )
             }
             (Ok(body), Some(cause)) => {
                 let reply = to_reply(answer, body);
-                self.fail(shared, key, cause, RETRY_AFTER, Some(reply))
+                self.handle_failure(shared, key, cause, DEFAULT_RETRY_AFTER, Some(reply))
             }
-            (Err(cause), _) => self.fail(shared, key, cause, RETRY_AFTER, None),
+            (Err(cause), _) => self.handle_failure(shared, key, cause, DEFAULT_RETRY_AFTER, None),
         }
     }
 
-    /// Passes a large answer on as it comes.
-    fn pass_answer(
+    /// Streams a large answer to the requester as it arrives.
+    fn stream_answer(
         &self,
         shared: &Shared,
         key: AttemptId,
@@ -418,31 +436,31 @@
         mut answer: Answer,
         started: Instant,
     ) -> Step {
-        let Some(cancel) = self.course().select_winner(key) else {
-            finish(shared, grant, group::End::Cancelled, &answer, started);
-            shared.metrics.late();
+        let Some(cancel) = self.tracker().select_winner(key) else {
+            report_finish(shared, grant, group::End::Cancelled, &answer, started);
+            shared.metrics.count_late_answer();
             return Step::Late;
         };
-        self.cancel(shared, &cancel);
+        self.cancel_attempts(shared, &cancel);
         let length = answer.length.unwrap_or_default();
         let body = std::mem::replace(&mut answer.reader, Box::new(io::empty()));
-        let broke = Arc::new(AtomicBool::new(false));
-        let body = Box::new(Noted {
+        let failed = Arc::new(AtomicBool::new(false));
+        let body = Box::new(FailureFlaggingReader {
             reader: body,
-            broke: broke.clone(),
+            failed: failed.clone(),
         });
         let load = (answer.load, answer.state.clone());
         let reply = to_reply(answer, reply::Body::Stream(body, length));
-        let step = self.course().record_answer(key);
-        let step = self.conclude(shared, step, RETRY_AFTER, Some(reply));
-        let fingerprint = self.start.fingerprint;
-        let end = if broke.load(Ordering::Relaxed) {
+        let step = self.tracker().record_answer(key);
+        let step = self.finish_attempt(shared, step, DEFAULT_RETRY_AFTER, Some(reply));
+        let fingerprint = self.context.fingerprint;
+        let end = if failed.load(Ordering::Relaxed) {
             shared
                 .core
-                .send(Event::Broke(fingerprint, grant.target(), started));
+                .send(Event::AttemptBroken(fingerprint, grant.target(), started));
             group::End::Broken
         } else {
-            shared.core.send(Event::Answered(fingerprint));
+            shared.core.send(Event::RequestAnswered(fingerprint));
             group::End::Answered
         };
         let report = group::Report {
@@ -451,35 +469,43 @@
             load: load.0.map(to_load),
             state: load.1.as_deref().and_then(to_state),
         };
-        shared.core.send(Event::Finish(grant, report));
+        shared.core.send(Event::TargetFinished(grant, report));
         step
     }
 
-    /// Tells the core of a try that a target broke off, which may have crashed by it.
-    fn judge(&self, shared: &Shared, target: TargetKey, cause: FailurePoint, begun: Instant) {
-        if cause.is_cut_by_target() && !self.cut.load(Ordering::Relaxed) {
-            let fingerprint = self.start.fingerprint;
-            shared.core.send(Event::Broke(fingerprint, target, begun));
+    /// Reports an attempt that the target broke off to the core, since the request may have crashed the target.
+    fn report_broken_attempt(
+        &self,
+        shared: &Shared,
+        target: TargetKey,
+        cause: FailurePoint,
+        started: Instant,
+    ) {
+        if cause.is_cut_by_target() && !self.body_broken_off.load(Ordering::Relaxed) {
+            let fingerprint = self.context.fingerprint;
+            shared
+                .core
+                .send(Event::AttemptBroken(fingerprint, target, started));
         }
     }
 
-    fn fail(
+    fn handle_failure(
         &self,
         shared: &Shared,
         key: AttemptId,
         cause: FailurePoint,
         retry_after: Duration,
-        last: Option<Reply>,
+        reply: Option<Reply>,
     ) -> Step {
-        // Whether there is budget for another try is asked of the core with the try itself.
+        // The core checks the retry budget when the next attempt is requested.
         let step = self
-            .course()
+            .tracker()
             .record_failure(Instant::now(), key, cause, || true);
-        self.conclude(shared, step, retry_after, last)
+        self.finish_attempt(shared, step, retry_after, reply)
     }
 
-    /// Answers the caller if the request has its outcome.
-    fn conclude(
+    /// Replies if the request has its outcome; keeps an error answer as the fallback before a retry.
+    fn finish_attempt(
         &self,
         shared: &Shared,
         step: Step,
@@ -487,96 +513,97 @@
         reply: Option<Reply>,
     ) -> Step {
         match &step {
-            Step::Done(end) => self.give(shared, end, retry_after, reply),
-            Step::Late => shared.metrics.late(),
+            Step::Done(end) => self.send_reply(shared, end, retry_after, reply),
+            Step::Late => shared.metrics.count_late_answer(),
             Step::Retry => *lock(&self.fallback) = reply,
             Step::Wait => {}
         }
         step
     }
 
-    /// Ends the request: nobody waits for it any more.
+    /// Ends the request because its requester is gone.
     pub(crate) fn abandon(&self, shared: &Shared) {
-        let end = self.course().abandon(Reason::CallerGone, |_| Stage::Sent);
+        let end = self.tracker().abandon(Reason::CallerGone, |_| Stage::Sent);
         if let Some(end) = end {
-            self.give(shared, &end, RETRY_AFTER, None);
+            self.send_reply(shared, &end, DEFAULT_RETRY_AFTER, None);
         }
     }
 
-    /// Gives the one answer.
-    fn give(
+    /// Sends the reply, once, and cancels the attempts still running.
+    fn send_reply(
         &self,
         shared: &Shared,
         end: &Completion,
         retry_after: Duration,
         answer: Option<Reply>,
     ) {
-        self.cancel(shared, &end.cancel);
+        self.cancel_attempts(shared, &end.cancel);
         if self.answered.swap(true, Ordering::Relaxed) {
             return;
         }
-        shared.core.send(Event::Done(self.start.id));
+        shared.core.send(Event::RequestDone(self.context.id));
         let outcome = end.outcome;
         let reply = answer.filter(|_| outcome == Outcome::Answered);
-        if let Some(run) = lock(&self.key).take() {
-            shared
-                .core
-                .send(Event::End(run, idempotency::end(outcome, reply.as_ref())));
+        if let Some(run) = lock(&self.key_run).take() {
+            shared.core.send(Event::EndKey(
+                run,
+                idempotency::to_key_end(outcome, reply.as_ref()),
+            ));
         }
-        self.record(shared, outcome);
-        match lock(&self.sender).take() {
-            Some(Sender::Caller(request)) => {
+        self.record_metrics(shared, outcome);
+        match lock(&self.requester).take() {
+            Some(Requester::Caller(request)) => {
                 to_caller(outcome, retry_after, reply).send(request);
             }
-            Some(Sender::Host(incoming)) => relay::reply(incoming, outcome, retry_after, reply),
+            Some(Requester::Host(incoming)) => relay::reply(incoming, outcome, retry_after, reply),
             None => {}
         }
     }
 
-    fn cancel(&self, shared: &Shared, tries: &[(AttemptId, Destination)]) {
-        for (_, place) in tries {
-            if let Destination::Target(target) = place {
-                let address = self.start.catalog.target(*target).address;
-                shared.cancel(address, shared.request_id(self.start.id));
+    fn cancel_attempts(&self, shared: &Shared, attempts: &[(AttemptId, Destination)]) {
+        for (_, destination) in attempts {
+            if let Destination::Target(target) = destination {
+                let address = self.context.catalog.target(*target).address;
+                shared.cancel(address, shared.request_id(self.context.id));
             }
         }
     }
 
-    fn record(&self, shared: &Shared, outcome: Outcome) {
-        let total = self.start.arrived.elapsed();
+    fn record_metrics(&self, shared: &Shared, outcome: Outcome) {
+        let total = self.context.arrived.elapsed();
         let timing = *lock(&self.timing);
-        shared.metrics.request(&Sample {
-            service: &self.start.head.service,
-            class: &self.start.catalog.service(self.start.service).class,
+        shared.metrics.record_request(&RequestSample {
+            service: &self.context.head.service,
+            class: &self.context.catalog.service(self.context.service).class,
             outcome: outcome.as_str(),
             total,
-            added: total.saturating_sub(timing.elsewhere),
-            waited: timing.waited,
-            attempts: self.course().attempts_started(),
+            added: total.saturating_sub(timing.in_attempts),
+            queued: timing.queued,
+            attempts: self.tracker().attempts_started(),
         });
     }
 }
 
-/// Locks, also after a thread that held the lock panicked: the data stay whole.
+/// Locks a mutex, ignoring poisoning: the protected values are consistent after a panic.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A reader that notes when its source fails.
-struct Noted {
+/// A reader that sets a flag when its source fails.
+struct FailureFlaggingReader {
     reader: Box<dyn Read + Send>,
-    broke: Arc<AtomicBool>,
+    failed: Arc<AtomicBool>,
 }
 
-impl Read for Noted {
+impl Read for FailureFlaggingReader {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         self.reader.read(buffer).inspect_err(|_| {
-            self.broke.store(true, Ordering::Relaxed);
+            self.failed.store(true, Ordering::Relaxed);
         })
     }
 }
 
-/// The answer to a caller: the target's, or one of this host's own.
+/// Builds the reply to a caller: the target's answer, or an error of this host.
 pub(crate) fn to_caller(outcome: Outcome, retry_after: Duration, reply: Option<Reply>) -> Reply {
     if let Some(mut reply) = reply {
         reply.add(head::OUTCOME, outcome.as_str());
@@ -596,7 +623,7 @@
     }
 }
 
-fn finish(
+fn report_finish(
     shared: &Shared,
     grant: group::Grant,
     end: group::End,
@@ -609,16 +636,16 @@
         load: answer.load.map(to_load),
         state: answer.state.as_deref().and_then(to_state),
     };
-    shared.core.send(Event::Finish(grant, report));
+    shared.core.send(Event::TargetFinished(grant, report));
 }
 
-/// Reads an answer's body whole.
-fn hold(answer: &mut Answer, method: &str) -> Result<reply::Body, FailurePoint> {
+/// Reads an answer's whole body and checks its length.
+fn read_whole(answer: &mut Answer, method: &str) -> Result<reply::Body, FailurePoint> {
     if method == "HEAD" {
         return Ok(reply::Body::Length(answer.length.unwrap_or_default()));
     }
     let mut bytes = Vec::new();
-    let limit = HOLD_ANSWER + 1;
+    let limit = MAX_BUFFERED_ANSWER_BYTES + 1;
     let result = answer.reader.by_ref().take(limit).read_to_end(&mut bytes);
     if result.is_err() {
         return Err(FailurePoint::ConnectionClosed(Stage::AnswerBody));
--- a/src/entry/classify.rs
+++ b/src/entry/classify.rs
@@ -1,6 +1,6 @@
-//! What a target's answer, or the lack of one, means for the try and for the target.
+//! Classifies answers and failed calls of targets for the attempt and for the target's statistics.
 
-use super::stage::Stage as Wire;
+use super::stage::Stage as CallStage;
 use super::target::{self, Answer};
 use crate::steer::attempt::{FailurePoint, Stage};
 use crate::steer::{group, limit};
@@ -18,8 +18,8 @@
     }
 }
 
-/// What an answer's status says of the try, if it is not simply an answer.
-pub(crate) fn refused(answer: &Answer) -> Option<FailurePoint> {
+/// Returns the failure that an answer's status stands for, if any.
+pub(crate) fn failure_of_status(answer: &Answer) -> Option<FailurePoint> {
     match answer.status {
         503 if answer.refused => Some(FailurePoint::Refused),
         503 => Some(FailurePoint::Unavailable),
@@ -28,34 +28,34 @@
     }
 }
 
-/// What a call that got no answer's head means.
-pub(crate) fn broken(error: &target::Error) -> FailurePoint {
+/// Returns the failure of a call that got no head of an answer.
+pub(crate) fn failure_of_error(error: &target::Error) -> FailurePoint {
     let stage = stage_of(&error.stage);
     if error.is_timeout() {
         return FailurePoint::Timeout(stage);
     }
-    if error.is_garbage() && error.stage.read {
+    if error.is_invalid_answer() && error.stage.has_read {
         return FailurePoint::NotHttp;
     }
     if stage == Stage::Connecting {
         return FailurePoint::ConnectRefused;
     }
-    if error.stage.dialled {
+    if error.stage.is_dialled {
         FailurePoint::ConnectionClosed(stage)
     } else {
         FailurePoint::ReusedConnectionClosed(stage)
     }
 }
 
-fn stage_of(wire: &Wire) -> Stage {
-    if wire.read {
+fn stage_of(stage: &CallStage) -> Stage {
+    if stage.has_read {
         return Stage::AnswerHead;
     }
-    if wire.written > 0 {
-        // How much of it left is not known; "sent" claims the most.
+    if stage.written > 0 {
+        // It is unknown how much reached the target; assume that the whole request was sent.
         return Stage::Sent;
     }
-    if wire.dialled && !wire.connected {
+    if stage.is_dialled && !stage.is_connected {
         return Stage::Connecting;
     }
     Stage::Connected
--- a/src/entry/config_sync.rs
+++ b/src/entry/config_sync.rs
@@ -1,5 +1,5 @@
-//! The thread that keeps this host's configuration: from the platform, or from any other host that
-//! has a newer one.
+//! The thread that keeps this host's configuration up to date, from the platform or from any other host
+//! that has a newer revision.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -19,45 +19,45 @@
 use crate::peer::mesh::Mesh;
 use crate::store::publication::{text, Fetched};
 
-/// How long a host that was asked for a revision has to answer.
-const PATIENCE: Duration = Duration::from_millis(700);
-/// Texts asked for at once; each may have a megabyte.
-const TEXTS: usize = 3;
+/// Time limit for the answer of a host that was asked for a revision.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(700);
+/// Maximum number of files in one fetch; each may be one megabyte large.
+const MAX_FILES_PER_FETCH: usize = 3;
 
-/// What the thread hears.
-pub(crate) enum News {
-    /// The platform has a newer revision.
+/// An event for the configuration thread.
+pub(crate) enum ConfigEvent {
+    /// A newer revision was fetched from the platform.
     Fetched(Fetched),
-    /// A host has this revision.
-    Newer(Arc<str>, u64),
-    /// A message about revisions came from a host.
+    /// A host announced that it has this revision.
+    NewerRevision(Arc<str>, u64),
+    /// A message about revisions from a host.
     Message(Arc<str>, Message),
-    /// The links are there.
+    /// The mesh of links to other hosts was created.
     Mesh(Arc<Mesh>),
-    /// The thread ends.
+    /// Ends the thread.
     Stop,
 }
 
-/// The revision in force, for those who ask the platform for a newer one.
+/// The revision in force, shared with the threads that query the platform.
 #[derive(Default)]
-pub(crate) struct Known {
+pub(crate) struct CurrentRevision {
     fetched: ArcSwap<Fetched>,
     revision: AtomicU64,
 }
 
-impl Known {
-    /// The revision with its texts.
+impl CurrentRevision {
+    /// Returns the revision with its files.
     pub(crate) fn fetched(&self) -> Arc<Fetched> {
         self.fetched.load_full()
     }
 
-    /// Its number.
+    /// Returns the revision's number.
     pub(crate) fn revision(&self) -> u64 {
         self.revision.load(Ordering::Relaxed)
     }
 }
 
-/// A revision as hosts offer it to each other: the texts are asked for by their hashes.
+/// A revision as hosts offer it to each other: file names with content hashes, by which the files are fetched.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Head {
     revision: u64,
@@ -65,95 +65,101 @@
     files: BTreeMap<Arc<str>, Arc<str>>,
 }
 
-/// A revision that is on its way from another host.
+/// A revision that is being fetched from another host.
 struct Pending {
     from: Arc<str>,
-    since: Instant,
+    last_progress: Instant,
     revision: u64,
     head: Option<Head>,
-    texts: BTreeMap<Arc<str>, Arc<str>>,
+    files_by_hash: BTreeMap<Arc<str>, Arc<str>>,
 }
 
-struct Feed {
+struct ConfigSync {
     core: Handle,
-    known: Arc<Known>,
+    current: Arc<CurrentRevision>,
     mesh: Option<Arc<Mesh>>,
     revision: Revision,
     pending: Option<Pending>,
-    refused: BTreeSet<u64>,
+    rejected: BTreeSet<u64>,
 }
 
 /// Starts the thread.
-pub(crate) fn start(core: Handle, known: Arc<Known>, news: Receiver<News>) -> Result<(), Error> {
-    let feed = Feed {
+pub(crate) fn start(
+    core: Handle,
+    current: Arc<CurrentRevision>,
+    events: Receiver<ConfigEvent>,
+) -> Result<(), Error> {
+    let config_sync = ConfigSync {
         core,
-        known,
+        current,
         mesh: None,
         revision: Revision::default(),
         pending: None,
-        refused: BTreeSet::new(),
+        rejected: BTreeSet::new(),
     };
     thread::Builder::new()
         .name("feed".into())
-        .spawn(move || feed.run(&news))?;
+        .spawn(move || config_sync.run(&events))?;
     Ok(())
 }
 
-impl Feed {
-    fn run(mut self, news: &Receiver<News>) {
+impl ConfigSync {
+    fn run(mut self, events: &Receiver<ConfigEvent>) {
         loop {
-            match news.recv_timeout(PATIENCE) {
-                Ok(News::Stop) | Err(RecvTimeoutError::Disconnected) => return,
-                Ok(piece) => self.hear(piece),
+            match events.recv_timeout(FETCH_TIMEOUT) {
+                Ok(ConfigEvent::Stop) | Err(RecvTimeoutError::Disconnected) => return,
+                Ok(event) => self.handle_event(event),
                 Err(RecvTimeoutError::Timeout) => {}
             }
-            if self.pending.as_ref().is_some_and(Pending::is_late) {
+            if self.pending.as_ref().is_some_and(Pending::is_expired) {
                 self.pending = None;
             }
         }
     }
 
-    fn hear(&mut self, news: News) {
-        match news {
-            News::Fetched(fetched) => self.take(fetched, "the platform"),
-            News::Newer(host, revision) => self.ask(host, revision),
-            News::Message(host, Message::Fetch(fetch)) => self.answer(&host, &fetch),
-            News::Message(host, Message::Revision(offer)) => self.offered(&host, &offer),
-            News::Message(host, Message::Files(files)) => self.filed(&host, files),
-            News::Message(..) | News::Stop => {}
-            News::Mesh(mesh) => self.mesh = Some(mesh),
+    fn handle_event(&mut self, event: ConfigEvent) {
+        match event {
+            ConfigEvent::Fetched(fetched) => self.apply(fetched, "the platform"),
+            ConfigEvent::NewerRevision(host, revision) => self.request_revision(host, revision),
+            ConfigEvent::Message(host, Message::Fetch(fetch)) => self.answer_fetch(&host, &fetch),
+            ConfigEvent::Message(host, Message::Revision(offer)) => {
+                self.handle_offer(&host, &offer)
+            }
+            ConfigEvent::Message(host, Message::Files(files)) => self.handle_files(&host, files),
+            ConfigEvent::Message(..) | ConfigEvent::Stop => {}
+            ConfigEvent::Mesh(mesh) => self.mesh = Some(mesh),
         }
     }
 
-    /// Puts a revision in force, if it is newer and has no faults.
-    fn take(&mut self, fetched: Fetched, source: &str) {
+    /// Puts a revision in force if it is newer and valid.
+    fn apply(&mut self, fetched: Fetched, source: &str) {
         let offered = fetched.revision;
-        match self.revision.take(fetched) {
+        match self.revision.apply(fetched) {
             Ok(catalog) => {
                 spdlog::info!("config: revision {offered} from {source} is in force");
-                self.known.fetched.store(self.revision.fetched().clone());
-                self.known.revision.store(offered, Ordering::Relaxed);
-                self.refused.clear();
+                self.current.fetched.store(self.revision.fetched().clone());
+                self.current.revision.store(offered, Ordering::Relaxed);
+                self.rejected.clear();
                 self.pending = None;
                 self.core.send(Event::Catalog(catalog));
             }
             Err(problem) => {
                 spdlog::warn!("config: {problem}");
-                self.refused.insert(offered);
+                self.rejected.insert(offered);
             }
         }
     }
 
     fn is_wanted(&self, revision: u64) -> bool {
-        revision > self.revision.fetched().revision && !self.refused.contains(&revision)
+        revision > self.revision.fetched().revision && !self.rejected.contains(&revision)
     }
 
-    fn ask(&mut self, host: Arc<str>, revision: u64) {
-        let busy = self
+    fn request_revision(&mut self, host: Arc<str>, revision: u64) {
+        let is_pending = self
             .pending
             .as_ref()
-            .is_some_and(|pending| pending.revision >= revision && !pending.is_late());
-        if busy || !self.is_wanted(revision) {
+            .is_some_and(|pending| pending.revision >= revision && !pending.is_expired());
+        if is_pending || !self.is_wanted(revision) {
             return;
         }
         self.send(
@@ -165,19 +171,19 @@
         );
         self.pending = Some(Pending {
             from: host,
-            since: Instant::now(),
+            last_progress: Instant::now(),
             revision,
             head: None,
-            texts: BTreeMap::new(),
+            files_by_hash: BTreeMap::new(),
         });
     }
 
-    /// Answers a host that asks for what is known here.
-    fn answer(&self, host: &str, fetch: &Fetch) {
+    /// Answers a host that fetches a newer revision or files.
+    fn answer_fetch(&self, host: &str, fetch: &Fetch) {
         let fetched = self.revision.fetched();
         if fetch
             .revision
-            .is_some_and(|asked| asked <= fetched.revision)
+            .is_some_and(|wanted| wanted <= fetched.revision)
         {
             let hashes = text::hashes(&fetched.files);
             let head = Head {
@@ -209,7 +215,7 @@
         self.send(host, &Message::Files(Files { files }));
     }
 
-    fn offered(&mut self, host: &Arc<str>, offer: &Offer) {
+    fn handle_offer(&mut self, host: &Arc<str>, offer: &Offer) {
         if !self.is_wanted(offer.revision) {
             return;
         }
@@ -224,36 +230,38 @@
             spdlog::warn!("config: the offer of {host} names two revisions");
             return;
         }
-        let own = self.revision.fetched();
-        let texts = own
+        let current = self.revision.fetched();
+        let files_by_hash = current
             .files
             .values()
             .map(|file| (text::hash(file).into(), file.clone()))
             .collect();
         self.pending = Some(Pending {
             from: host.clone(),
-            since: Instant::now(),
+            last_progress: Instant::now(),
             revision: head.revision,
             head: Some(head),
-            texts,
+            files_by_hash,
         });
-        self.go_on();
+        self.continue_fetch();
     }
 
-    fn filed(&mut self, host: &Arc<str>, files: Files) {
+    fn handle_files(&mut self, host: &Arc<str>, files: Files) {
         let Some(pending) = self.pending.as_mut().filter(|p| p.from == *host) else {
             return;
         };
-        pending.since = Instant::now();
+        pending.last_progress = Instant::now();
         for file in files.files.into_values() {
-            // The hash is worked out here, so that a text can only stand for itself.
-            pending.texts.insert(text::hash(&file).into(), file.into());
+            // The hash is computed here rather than taken from the message, so that wrong content cannot replace a file.
+            pending
+                .files_by_hash
+                .insert(text::hash(&file).into(), file.into());
         }
-        self.go_on();
+        self.continue_fetch();
     }
 
-    /// Asks for texts that are still missing, or puts the revision together.
-    fn go_on(&mut self) {
+    /// Fetches files that are still missing, or assembles and applies the revision.
+    fn continue_fetch(&mut self) {
         let Some(pending) = &self.pending else {
             return;
         };
@@ -263,8 +271,8 @@
         let missing: Vec<String> = head
             .files
             .values()
-            .filter(|hash| !pending.texts.contains_key(*hash))
-            .take(TEXTS)
+            .filter(|hash| !pending.files_by_hash.contains_key(*hash))
+            .take(MAX_FILES_PER_FETCH)
             .map(|hash| hash.to_string())
             .collect();
         if !missing.is_empty() {
@@ -277,7 +285,9 @@
         let files = head
             .files
             .iter()
-            .filter_map(|(name, hash)| Some((name.clone(), pending.texts.get(hash)?.clone())))
+            .filter_map(|(name, hash)| {
+                Some((name.clone(), pending.files_by_hash.get(hash)?.clone()))
+            })
             .collect();
         let fetched = Fetched {
             revision: head.revision,
@@ -286,7 +296,7 @@
         };
         let from = pending.from.clone();
         self.pending = None;
-        self.take(fetched, &from);
+        self.apply(fetched, &from);
     }
 
     fn send(&self, host: &str, message: &Message) {
@@ -300,10 +310,10 @@
 }
 
 impl Pending {
-    fn is_late(&self) -> bool {
-        self.since.elapsed() > PATIENCE
+    fn is_expired(&self) -> bool {
+        self.last_progress.elapsed() > FETCH_TIMEOUT
     }
 }
 
-/// The way to the thread.
-pub(crate) type Queue = Sender<News>;
+/// Sends events to the configuration thread.
+pub(crate) type EventSender = Sender<ConfigEvent>;
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -1,4 +1,4 @@
-//! The core's side of control: what the agent wants done is done here.
+//! Connects the core to the control agent: feeds events to the agent and carries out its outputs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,8 +9,8 @@
 use crossbeam_channel::Sender;
 use rand::Rng;
 
-use super::config_sync::{News, Queue};
-use super::platform::Ask;
+use super::config_sync::{ConfigEvent, EventSender};
+use super::platform::StoreCommand;
 use crate::catalog::{Catalog, HostKey, RegionKey, ServiceKey, State, ZoneKey};
 use crate::control::agent::{Agent, Output};
 use crate::control::membership::{Listing, ZoneStatus};
@@ -26,27 +26,27 @@
 use crate::steer::throttle;
 use crate::store::client::{Host, HostState};
 
-/// Age up to which a zone's measurement is used.
-const FRESH: Duration = Duration::from_secs(16);
+/// Maximum age of a zone's load measurement.
+const MAX_LOAD_AGE: Duration = Duration::from_secs(16);
 
-/// Distance to the split of the plan up to which it counts as reached.
-const REACHED: f64 = 0.01;
+/// Distance to the plan's split up to which a split counts as having reached it.
+const SPLIT_TOLERANCE: f64 = 0.01;
 
 /// The splits of services by locality.
-pub(crate) type Shares = BTreeMap<(ServiceKey, RegionKey), Split>;
+pub(crate) type SplitTable = BTreeMap<(ServiceKey, RegionKey), Split>;
 
-/// What the core is to take in.
+/// Updates from other hosts and the agent that the core has to apply.
 #[derive(Default)]
-pub(crate) struct Change {
-    /// Who is alive or what is known of zones changed.
-    pub(crate) picture: bool,
+pub(crate) struct ControlUpdate {
+    /// The live hosts, the state of zones or the plan changed.
+    pub(crate) is_view_changed: bool,
     /// Hosts that may need this host's splits.
-    pub(crate) joined: Vec<HostKey>,
+    pub(crate) joined_hosts: Vec<HostKey>,
     /// The splits of another host.
-    pub(crate) splits: Option<Shares>,
-    /// What hosts told of requests that crash targets.
-    pub(crate) notes: Vec<(HostKey, Notice)>,
-    /// What hosts told of targets that name the rate that they take.
+    pub(crate) splits: Option<SplitTable>,
+    /// Notices about requests that crash targets, with the host that sent each.
+    pub(crate) notices: Vec<(HostKey, Notice)>,
+    /// Rates stated by targets, with the host that sent each.
     pub(crate) rates: Vec<(HostKey, throttle::RateUpdate)>,
 }
 
@@ -57,9 +57,9 @@
     agent: Option<Agent>,
     mesh: Option<Arc<Mesh>>,
     linked: BTreeSet<Arc<str>>,
-    platform: Sender<Ask>,
-    feed: Queue,
-    delegate: Arc<AtomicBool>,
+    store_commands: Sender<StoreCommand>,
+    config_events: EventSender,
+    is_delegate: Arc<AtomicBool>,
     catalog: Arc<Catalog>,
 }
 
@@ -67,9 +67,9 @@
     pub(crate) fn new(
         host: &str,
         incarnation: u64,
-        platform: Sender<Ask>,
-        feed: Queue,
-        delegate: Arc<AtomicBool>,
+        store_commands: Sender<StoreCommand>,
+        config_events: EventSender,
+        is_delegate: Arc<AtomicBool>,
     ) -> Self {
         Self {
             host: host.into(),
@@ -77,25 +77,25 @@
             agent: None,
             mesh: None,
             linked: BTreeSet::new(),
-            platform,
-            feed,
-            delegate,
+            store_commands,
+            config_events,
+            is_delegate,
             catalog: Arc::default(),
         }
     }
 
-    /// The links are there.
+    /// Sets the mesh, and passes it to the thread that synchronizes the configuration.
     pub(crate) fn set_mesh(&mut self, mesh: Arc<Mesh>) {
         self.mesh = Some(mesh.clone());
-        let _ = self.feed.send(News::Mesh(mesh));
+        let _ = self.config_events.send(ConfigEvent::Mesh(mesh));
     }
 
-    /// The agent, once a configuration names this host.
+    /// Returns the agent; none until a configuration names this host.
     pub(crate) fn agent(&self) -> Option<&Agent> {
         self.agent.as_ref()
     }
 
-    /// Takes in a configuration.
+    /// Applies a configuration; creates the agent at the first one that names this host.
     pub(crate) fn configure(&mut self, now: Instant, catalog: &Arc<Catalog>) {
         self.catalog = catalog.clone();
         let Some(own) = catalog.host_key(&self.host) else {
@@ -103,7 +103,7 @@
             return;
         };
         if let Some(mesh) = &self.mesh {
-            mesh.set_directory(directory(catalog));
+            mesh.set_directory(peer_addresses(catalog));
         }
         match &mut self.agent {
             Some(agent) => agent.apply_catalog(now, catalog.clone()),
@@ -119,26 +119,26 @@
         }
     }
 
-    /// This host takes no new work any more.
+    /// Tells the agent that this host is leaving.
     pub(crate) fn leave(&mut self, now: Instant) {
         if let Some(agent) = &mut self.agent {
             agent.leave(now);
         }
     }
 
-    /// What the platform lists.
-    pub(crate) fn listed(&mut self, now: Instant, hosts: &[Host]) {
+    /// Applies the platform's list of hosts.
+    pub(crate) fn apply_host_list(&mut self, now: Instant, hosts: &[Host]) {
         let Some(agent) = &mut self.agent else {
             return;
         };
-        // An empty list says that nothing is known, not that nobody is there.
+        // An empty list means that the platform knows nothing, not that no host is running.
         if hosts.is_empty() {
             return;
         }
-        let listed: BTreeMap<&str, HostState> =
+        let states: BTreeMap<&str, HostState> =
             hosts.iter().map(|host| (&*host.host, host.state)).collect();
         for (key, host) in self.catalog.hosts() {
-            let listing = match listed.get(&*host.name) {
+            let listing = match states.get(&*host.name) {
                 Some(HostState::Live) => Listing::Live,
                 Some(HostState::Leaving) => Listing::Leaving,
                 None => Listing::Absent,
@@ -147,11 +147,11 @@
         }
     }
 
-    /// What happened on the links.
-    pub(crate) fn peer(&mut self, now: Instant, event: Event) -> Change {
-        let mut change = Change::default();
+    /// Handles a link event or a message from another host.
+    pub(crate) fn handle_peer_event(&mut self, now: Instant, event: Event) -> ControlUpdate {
+        let mut update = ControlUpdate::default();
         match event {
-            Event::Up { host, .. } => self.up(now, host),
+            Event::Up { host, .. } => self.handle_link_up(now, host),
             Event::Down { host, .. } => {
                 self.linked.remove(&host);
                 if let (Some(agent), Some(key)) = (&mut self.agent, self.catalog.host_key(&host)) {
@@ -165,22 +165,22 @@
                         agent.receive(now, key, frame, self.catalog.revision);
                     }
                 }
-                Message::Splits(splits) => change.splits = Some(self.read_splits(&splits)),
+                Message::Splits(splits) => update.splits = Some(self.read_splits(&splits)),
                 message => {
-                    let _ = self.feed.send(News::Message(host, message));
+                    let _ = self.config_events.send(ConfigEvent::Message(host, message));
                 }
             },
             Event::Open(_) => {}
         }
-        change
+        update
     }
 
-    fn up(&mut self, now: Instant, host: Arc<str>) {
+    fn handle_link_up(&mut self, now: Instant, host: Arc<str>) {
         let key = self.catalog.host_key(&host);
         match (&mut self.agent, key) {
             (Some(agent), Some(key)) => agent.link_up(now, key),
             _ => {
-                // A host without a configuration asks whoever links it.
+                // Without a configuration, ask each host that links up for a newer one.
                 let fetch = Fetch {
                     revision: Some(self.catalog.revision + 1),
                     files: Vec::new(),
@@ -191,43 +191,53 @@
         self.linked.insert(host);
     }
 
-    /// The outcome of a question about the lease.
-    pub(crate) fn leased(&mut self, now: Instant, event: lease::Event, rng: &mut impl Rng) {
+    /// Passes the result of a lease operation to the agent.
+    pub(crate) fn handle_lease_event(
+        &mut self,
+        now: Instant,
+        event: lease::Event,
+        rng: &mut impl Rng,
+    ) {
         if let Some(agent) = &mut self.agent {
             agent.handle_lease_event(now, event, rng);
         }
     }
 
-    /// The outcome of a question about the plan.
-    pub(crate) fn published(&mut self, now: Instant, event: publish::Event, rng: &mut impl Rng) {
+    /// Passes the result of a plan operation to the agent.
+    pub(crate) fn handle_publish_event(
+        &mut self,
+        now: Instant,
+        event: publish::Event,
+        rng: &mut impl Rng,
+    ) {
         if let Some(agent) = &mut self.agent {
             agent.handle_publish_event(now, event, rng);
         }
     }
 
-    /// The plan that was found in the store.
-    pub(crate) fn stored(&mut self, now: Instant, record: Record) {
+    /// Passes the plan read from the store to the agent.
+    pub(crate) fn adopt_stored_plan(&mut self, now: Instant, record: Record) {
         if let Some(agent) = &mut self.agent {
             agent.adopt_stored_plan(now, record);
         }
     }
 
-    /// Tells the agent what was measured here.
+    /// Passes this zone's loads to the agent, and the services whose splits still differ from the plan.
     pub(crate) fn measure(
         &mut self,
         now: Instant,
         loads: BTreeMap<ServiceKey, Load>,
-        shares: &Shares,
+        shares: &SplitTable,
     ) {
         if let Some(agent) = &mut self.agent {
             let moving = agent
                 .splits()
                 .into_iter()
-                .filter(|(key, goal)| {
-                    let goal = Split::new(&self.catalog, goal.clone());
+                .filter(|(key, planned)| {
+                    let planned = Split::new(&self.catalog, planned.clone());
                     shares
                         .get(key)
-                        .is_some_and(|split| split.distance(&goal) > REACHED)
+                        .is_some_and(|split| split.distance(&planned) > SPLIT_TOLERANCE)
                 })
                 .map(|((service, _), _)| service)
                 .collect();
@@ -235,52 +245,57 @@
         }
     }
 
-    /// Does what is due.
-    pub(crate) fn tick(&mut self, now: Instant, rng: &mut impl Rng) -> Change {
-        let mut change = Change::default();
+    /// Runs the agent's due work and applies its outputs.
+    pub(crate) fn tick(&mut self, now: Instant, rng: &mut impl Rng) -> ControlUpdate {
+        let mut update = ControlUpdate::default();
         let Some(agent) = &mut self.agent else {
-            return change;
+            return update;
         };
         let outputs = agent.tick(now, self.catalog.revision, rng);
         for output in outputs {
-            self.carry_out(output, &mut change);
+            self.apply_output(output, &mut update);
         }
-        change
+        update
     }
 
-    fn carry_out(&mut self, output: Output, change: &mut Change) {
+    fn apply_output(&mut self, output: Output, update: &mut ControlUpdate) {
         match output {
             Output::Send(hosts, frame) => self.broadcast(&hosts, &Message::Control(frame)),
-            Output::Links(hosts) => self.link(&hosts),
+            Output::Links(hosts) => self.set_links(&hosts),
             Output::Lease(command) => {
-                let _ = self.platform.send(Ask::Lease(command));
+                let _ = self.store_commands.send(StoreCommand::Lease(command));
             }
             Output::Plan(command, record) => {
-                let _ = self.platform.send(Ask::Plan(command, record));
+                let _ = self
+                    .store_commands
+                    .send(StoreCommand::Plan(command, record));
             }
-            Output::Joined(host) => change.joined.push(host),
+            Output::Joined(host) => update.joined_hosts.push(host),
             Output::Newer(host, revision) => {
                 let name = self.catalog.host(host).name.clone();
-                let _ = self.feed.send(News::Newer(name, revision));
+                let _ = self
+                    .config_events
+                    .send(ConfigEvent::NewerRevision(name, revision));
             }
-            Output::Changed | Output::Planned => change.picture = true,
-            Output::Notes(host, notes) => {
-                change
-                    .notes
-                    .extend(notes.into_iter().map(|note| (host, note)));
+            Output::Changed | Output::Planned => update.is_view_changed = true,
+            Output::Notes(host, notices) => {
+                update
+                    .notices
+                    .extend(notices.into_iter().map(|notice| (host, notice)));
             }
-            Output::Rates(host, news) => {
-                change
+            Output::Rates(host, rates) => {
+                update
                     .rates
-                    .extend(news.into_iter().map(|news| (host, news)));
+                    .extend(rates.into_iter().map(|rate| (host, rate)));
             }
         }
         if let Some(agent) = &self.agent {
-            self.delegate.store(agent.is_delegate(), Ordering::Relaxed);
+            self.is_delegate
+                .store(agent.is_delegate(), Ordering::Relaxed);
         }
     }
 
-    fn link(&self, hosts: &BTreeSet<HostKey>) {
+    fn set_links(&self, hosts: &BTreeSet<HostKey>) {
         let Some(mesh) = &self.mesh else {
             return;
         };
@@ -310,33 +325,33 @@
         }
     }
 
-    /// Tells other hosts of requests that crash targets or of rates; `teller` told this one.
-    pub(crate) fn tell(&mut self, frame: Frame, teller: Option<HostKey>) {
+    /// Broadcasts notices or rates to other hosts, apart from `source`, which sent them.
+    pub(crate) fn broadcast_update(&mut self, frame: Frame, source: Option<HostKey>) {
         if let Some(agent) = &mut self.agent {
-            agent.broadcast(frame, teller);
+            agent.broadcast(frame, source);
         }
     }
 
-    /// Tells hosts that are new here of requests that crash targets, and of rates.
-    pub(crate) fn introduce(
+    /// Sends the known notices and rates to newly joined hosts.
+    pub(crate) fn send_notices_and_rates(
         &self,
         hosts: &[HostKey],
-        notes: Vec<Notice>,
+        notices: Vec<Notice>,
         rates: Vec<throttle::RateUpdate>,
     ) {
         if hosts.is_empty() {
             return;
         }
-        if !notes.is_empty() {
-            self.broadcast(hosts, &Message::Control(Frame::Notes(notes)));
+        if !notices.is_empty() {
+            self.broadcast(hosts, &Message::Control(Frame::Notes(notices)));
         }
         if !rates.is_empty() {
             self.broadcast(hosts, &Message::Control(Frame::Rates(rates)));
         }
     }
 
-    /// Sends this host's splits to hosts that are new here.
-    pub(crate) fn send_splits(&self, hosts: &[HostKey], shares: &Shares) {
+    /// Sends this host's splits to newly joined hosts.
+    pub(crate) fn send_splits(&self, hosts: &[HostKey], shares: &SplitTable) {
         if hosts.is_empty() || shares.is_empty() {
             return;
         }
@@ -354,9 +369,9 @@
         self.broadcast(hosts, &Message::Splits(Splits { splits }));
     }
 
-    fn read_splits(&self, splits: &Splits) -> Shares {
+    fn read_splits(&self, splits: &Splits) -> SplitTable {
         let catalog = &self.catalog;
-        let mut shares = Shares::new();
+        let mut shares = SplitTable::new();
         for split in &splits.splits {
             let service = catalog.service_key(&split.service);
             let locality = catalog.region_key(&split.locality);
@@ -372,8 +387,8 @@
         shares
     }
 
-    /// The free part of each region's slots, as far as its zones were measured lately.
-    pub(crate) fn region_rooms(&self, now: Instant) -> BTreeMap<RegionKey, f64> {
+    /// Returns the free fraction of each region's slots, over zones whose load is at most [`MAX_LOAD_AGE`] old.
+    pub(crate) fn region_headroom(&self, now: Instant) -> BTreeMap<RegionKey, f64> {
         let mut sums: BTreeMap<RegionKey, (f64, f64)> = BTreeMap::new();
         let Some(agent) = &self.agent else {
             return BTreeMap::new();
@@ -382,7 +397,7 @@
             for (zone, _) in self.catalog.sites(service) {
                 let Some((load, _)) = agent
                     .load(now, service, zone)
-                    .filter(|&(_, age)| age < FRESH)
+                    .filter(|&(_, age)| age < MAX_LOAD_AGE)
                 else {
                     continue;
                 };
@@ -397,16 +412,16 @@
             .collect()
     }
 
-    /// What is known of the zones, and the free slots of their sites within `utilization`.
+    /// Returns the state of the zones, and the free slots of their sites below the configured utilization.
     pub(crate) fn view(&self, now: Instant) -> (View, BTreeMap<(ServiceKey, ZoneKey), u32>) {
         let mut view = View::default();
         let mut free = BTreeMap::new();
         let Some(agent) = &self.agent else {
             return (view, free);
         };
-        for (zone, sight) in agent.zone_statuses() {
-            let standing = match to_standing(sight) {
-                // Places fail together: nothing moves to a zone that may be the next one lost.
+        for (zone, status) in agent.zone_statuses() {
+            let standing = match to_standing(status) {
+                // Zones often fail together: traffic must not move to a zone that is no longer heard from.
                 Standing::Alive if !agent.is_heard(zone) => Standing::Unknown,
                 standing => standing,
             };
@@ -418,11 +433,11 @@
                 let Some((load, age)) = agent.load(now, service, zone) else {
                     continue;
                 };
-                if age < FRESH {
+                if age < MAX_LOAD_AGE {
                     view.slots.insert((service, zone), load.live.round() as u32);
                     let used = f64::from(load.in_flight + load.queued);
-                    let room = f64::from(load.live) * utilization - used;
-                    free.insert((service, zone), room.max(0.0) as u32);
+                    let free_slots = f64::from(load.live) * utilization - used;
+                    free.insert((service, zone), free_slots.max(0.0) as u32);
                 }
             }
         }
@@ -435,16 +450,16 @@
     }
 }
 
-fn to_standing(sight: ZoneStatus) -> Standing {
-    match sight {
+fn to_standing(status: ZoneStatus) -> Standing {
+    match status {
         ZoneStatus::Alive => Standing::Alive,
         ZoneStatus::Lost => Standing::Lost,
         ZoneStatus::Unknown(_) => Standing::Unknown,
     }
 }
 
-/// Where the hosts of a configuration accept links.
-fn directory(catalog: &Catalog) -> BTreeMap<Arc<str>, SocketAddr> {
+/// Returns the peer address of each host that is not off.
+fn peer_addresses(catalog: &Catalog) -> BTreeMap<Arc<str>, SocketAddr> {
     catalog
         .hosts()
         .filter(|(_, host)| host.state != State::Off)
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -1,7 +1,7 @@
-//! The core: the actor that decides, on a stakker thread of its own, and the handle to it.
+//! The core actor, which makes all routing decisions on its own stakker thread, and the handle to it.
 //!
-//! A worker sends an event and waits for the verdict on a channel. Requests that ask are counted;
-//! beyond a bound they are refused here, without waiting for the core.
+//! A worker sends an event and waits for the verdict on a channel. Requests that wait for a verdict are
+//! counted; above [`MAX_WAITING_REQUESTS`] the handle refuses them without asking the core.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -15,10 +15,10 @@
 use rand_pcg::Pcg64Mcg;
 use stakker::{actor, after, call, ret_nop, ActorOwn, Stakker, CX};
 
-use super::background::{self, Later, Queue};
+use super::background::{self, BackgroundTask, TaskSender};
 use super::call::Call;
 use super::config_sync;
-use super::control::{Change, Control};
+use super::control::{Control, ControlUpdate};
 use super::metrics::Metrics;
 use super::platform;
 use super::published::{Readiness, State};
@@ -41,143 +41,144 @@
 use crate::steer::ticket::{Generation, Rotation};
 use crate::store::client::Host;
 
-/// Requests that may wait for a verdict at once.
-const MAX_ASKING: usize = 8192;
-/// Events handled before timers are looked at.
-const BATCH: usize = 64;
-/// How often the engine is woken if nothing else does.
-const TICK: Duration = Duration::from_millis(50);
-/// Shortest time between two wake-ups by the engine.
-const MIN_TICK: Duration = Duration::from_millis(1);
-/// How often what is known is acted on if nothing changed.
-const REFRESH: Duration = Duration::from_millis(500);
-/// Shortest time between two such acts.
-const MIN_REFRESH: Duration = Duration::from_millis(100);
-/// Time between measurements of this host's own targets.
-const MEASURE: Duration = Duration::from_secs(1);
-/// Longest sleep of the core's thread.
+/// Maximum number of requests that wait for a verdict at the same time.
+const MAX_WAITING_REQUESTS: usize = 8192;
+/// Events handled before due timers are run.
+const MAX_EVENTS_PER_BATCH: usize = 64;
+/// Longest time between two ticks of the engine.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Shortest time between two ticks of the engine.
+const MIN_TICK_INTERVAL: Duration = Duration::from_millis(1);
+/// Time between two updates of the engine's view and the published state if nothing changed.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
+/// Shortest time between two such updates after a change.
+const MIN_REFRESH_INTERVAL: Duration = Duration::from_millis(100);
+/// Time between two measurements of the load of this zone's targets.
+const MEASUREMENT_INTERVAL: Duration = Duration::from_secs(1);
+/// Longest time the core's thread waits for an event.
 const MAX_SLEEP: Duration = Duration::from_secs(1);
 
-/// What the core is told.
+/// A message to the core.
 pub(crate) enum Event {
-    /// A request asks where to go.
-    Ask(RouteRequest, Sender<Verdict>),
-    /// A request left a target.
-    Finish(group::Grant, group::Report),
-    /// A try that began then broke off at a target, after the request had been sent and before its answer was whole.
-    Broke(Fingerprint, TargetKey, Instant),
-    /// A target has answered a request.
-    Answered(Fingerprint),
-    /// What a target's answer says of its rate, to a request that was sent then.
-    Rate(TargetKey, Instant, Rate),
+    /// A request needs a destination; the verdict is sent to the given channel.
+    Route(RouteRequest, Sender<Verdict>),
+    /// An attempt at a target ended.
+    TargetFinished(group::Grant, group::Report),
+    /// An attempt, begun at the given time, broke off at a target after the request had been sent and before its
+    /// answer was complete.
+    AttemptBroken(Fingerprint, TargetKey, Instant),
+    /// A target answered a request with this fingerprint.
+    RequestAnswered(Fingerprint),
+    /// The rate in a target's answer to a request that was sent at the given time.
+    TargetRate(TargetKey, Instant, Rate),
     /// A request has ended.
-    Done(Id),
-    /// A request left an entry host of another zone.
-    Passed(Pass, Back),
-    /// A waiting request is no longer wanted.
+    RequestDone(Id),
+    /// A relay to an entry host of another zone ended.
+    RelayFinished(Pass, Back),
+    /// A request no longer waits for its verdict.
     Cancel(Id),
-    /// A request wants a second copy after a while, if it has no answer by then.
+    /// Hedge a request after this time unless it has been answered by then.
     Hedge(Weak<Call>, Duration),
-    /// A request with an idempotency key asks whether it may run.
-    Begin {
+    /// Starts or joins the run of an idempotency key.
+    BeginKey {
         /// Its service.
         service: ServiceKey,
         /// Its key.
         key: Arc<str>,
         /// The generation of its ticket.
         generation: Generation,
-        /// What tells it from another request with that key.
+        /// Distinguishes it from another request with the same key.
         identity: Identity,
-        /// Gets the answer.
+        /// Receives whether the request may run.
         reply: Sender<Begin>,
-        /// Gets the end of the run that it joins.
+        /// Receives the end of the run that the request joins.
         waiter: Sender<End>,
     },
-    /// The run of a key ended.
-    End(Run, End),
-    /// The outcome of a question about the planner lease.
-    Leased(lease::Event),
-    /// The plan that was found in the store.
-    Stored(Box<Record>),
-    /// The outcome of a question about the plan.
-    Published(publish::Event),
+    /// The run of an idempotency key ended.
+    EndKey(Run, End),
+    /// The result of a store operation on the planner lease.
+    LeaseResult(lease::Event),
+    /// The plan read from the store.
+    StoredPlan(Box<Record>),
+    /// The result of a store operation on the plan.
+    PlanResult(publish::Event),
     /// The platform's list of hosts.
-    Listed(Vec<Host>),
-    /// What a target says of itself when asked.
+    HostList(Vec<Host>),
+    /// The result of a health check of a target.
     Health(TargetKey, group::Health, Option<group::State>),
-    /// This host takes no new work any more.
+    /// This host starts to leave.
     Leave,
-    /// What this host knows and does, for operators.
+    /// Requests a status report for operators.
     Status(Sender<Status>),
-    /// The links to other hosts are there.
+    /// The mesh of links to other hosts was created.
     Mesh(Arc<Mesh>),
-    /// A link to another host changed, or a message came over it.
+    /// A link to another host went up or down, or delivered a message.
     Peer(mesh::Event),
-    /// A configuration comes into force.
+    /// A new configuration is in force.
     Catalog(Arc<Catalog>),
-    /// The thread ends.
+    /// Ends the core's thread.
     Stop,
 }
 
-/// The way to the core, for other threads.
+/// Sends events to the core from other threads.
 #[derive(Clone)]
 pub(crate) struct Handle {
     events: Sender<Event>,
-    asking: Arc<AtomicUsize>,
-    /// Targets of the own zone that name a rate.
-    limited: Arc<ArcSwap<BTreeSet<TargetKey>>>,
+    waiting: Arc<AtomicUsize>,
+    /// Targets of this host's zone that state a rate.
+    rate_limited: Arc<ArcSwap<BTreeSet<TargetKey>>>,
 }
 
 impl Handle {
-    /// Asks where a request goes, waiting no longer than its deadline.
-    pub(crate) fn ask(&self, ask: RouteRequest) -> Verdict {
-        let id = ask.id;
-        let time = ask.deadline.saturating_duration_since(Instant::now());
-        if self.asking.fetch_add(1, Ordering::Relaxed) >= MAX_ASKING {
-            self.asking.fetch_sub(1, Ordering::Relaxed);
+    /// Requests a destination and waits for the verdict until the request's deadline.
+    pub(crate) fn route(&self, request: RouteRequest) -> Verdict {
+        let id = request.id;
+        let time = request.deadline.saturating_duration_since(Instant::now());
+        if self.waiting.fetch_add(1, Ordering::Relaxed) >= MAX_WAITING_REQUESTS {
+            self.waiting.fetch_sub(1, Ordering::Relaxed);
             return refused(Reason::Crowded);
         }
         let (sender, receiver) = bounded(1);
-        self.send(Event::Ask(ask, sender));
+        self.send(Event::Route(request, sender));
         let verdict = receiver.recv_timeout(time);
-        self.asking.fetch_sub(1, Ordering::Relaxed);
+        self.waiting.fetch_sub(1, Ordering::Relaxed);
         match verdict {
             Ok(verdict) => verdict,
             Err(RecvTimeoutError::Disconnected) => refused(Reason::Leaving),
             Err(RecvTimeoutError::Timeout) => {
                 self.send(Event::Cancel(id));
-                // The verdict may have been given meanwhile; a grant must not be lost.
-                drop_grant(self, &receiver);
+                // The verdict may have been sent in the meantime; its grant has to be returned.
+                return_unused_grant(self, &receiver);
                 refused(Reason::Timeout)
             }
         }
     }
 
-    /// Tells the core what an answer says of its target's rate, if that can change anything.
+    /// Sends the rate of an answer to the core. An answer without one matters only for a target with a known rate.
     pub(crate) fn send_rate(&self, target: TargetKey, at: Instant, rate: &Rate) {
-        if *rate != Rate::Absent || self.is_limited(target) {
-            self.send(Event::Rate(target, at, rate.clone()));
+        if *rate != Rate::Absent || self.is_rate_limited(target) {
+            self.send(Event::TargetRate(target, at, rate.clone()));
         }
     }
 
-    /// Whether a target names a rate, so that it gets no more than its part of that of this host.
-    pub(crate) fn is_limited(&self, target: TargetKey) -> bool {
-        self.limited.load().contains(&target)
+    /// Whether a target states a rate, of which this host may use only its share.
+    pub(crate) fn is_rate_limited(&self, target: TargetKey) -> bool {
+        self.rate_limited.load().contains(&target)
     }
 
-    /// Tells the core something that asks for no answer.
+    /// Sends an event to the core.
     pub(crate) fn send(&self, event: Event) {
-        // The core outlives all that send to it, except while the process ends.
+        // Sending fails only while the process ends: the core outlives all other senders.
         let _ = self.events.send(event);
     }
 }
 
-fn drop_grant(handle: &Handle, receiver: &Receiver<Verdict>) {
+fn return_unused_grant(handle: &Handle, receiver: &Receiver<Verdict>) {
     match receiver.recv_timeout(MAX_SLEEP) {
         Ok(Verdict::Target { grant, .. }) => {
-            handle.send(Event::Finish(grant, group::Report::unused()));
+            handle.send(Event::TargetFinished(grant, group::Report::unused()));
         }
-        Ok(Verdict::Host(pass)) => handle.send(Event::Passed(pass, Back::All)),
+        Ok(Verdict::Host(pass)) => handle.send(Event::RelayFinished(pass, Back::All)),
         _ => {}
     }
 }
@@ -186,127 +187,127 @@
     Verdict::Refused(Refusal::new(reason))
 }
 
-/// What the core is made from.
-pub(crate) struct Parts {
+/// The settings, channels and shared state that the core uses.
+pub(crate) struct Dependencies {
     pub(crate) settings: Arc<Settings>,
     pub(crate) published: Arc<Published>,
-    pub(crate) later: Queue,
+    pub(crate) background: TaskSender,
     pub(crate) rotation: Rotation,
     pub(crate) incarnation: u64,
-    pub(crate) platform: Sender<platform::Ask>,
-    pub(crate) feed: config_sync::Queue,
+    pub(crate) store_commands: Sender<platform::StoreCommand>,
+    pub(crate) config_events: config_sync::EventSender,
     pub(crate) metrics: Arc<Metrics>,
     /// Set while this host is a delegate of its zone.
-    pub(crate) delegate: Arc<AtomicBool>,
+    pub(crate) is_delegate: Arc<AtomicBool>,
 }
 
 /// Starts the core's thread.
-pub(crate) fn start(parts: Parts) -> Result<Handle, Error> {
+pub(crate) fn start(dependencies: Dependencies) -> Result<Handle, Error> {
     let (sender, receiver) = unbounded();
     let handle = Handle {
         events: sender,
-        asking: Arc::default(),
-        limited: Arc::default(),
+        waiting: Arc::default(),
+        rate_limited: Arc::default(),
     };
-    let own = handle.clone();
+    let own_handle = handle.clone();
     thread::Builder::new()
         .name("core".into())
-        .spawn(move || run(parts, own, &receiver))?;
+        .spawn(move || run(dependencies, own_handle, &receiver))?;
     Ok(handle)
 }
 
-fn run(parts: Parts, handle: Handle, events: &Receiver<Event>) {
+fn run(dependencies: Dependencies, handle: Handle, events: &Receiver<Event>) {
     let mut stakker = Stakker::new(Instant::now());
     let stakker = &mut stakker;
-    let core = actor!(stakker, Core::init(parts, handle), ret_nop!());
+    let core = actor!(stakker, Core::init(dependencies, handle), ret_nop!());
     loop {
         let now = Instant::now();
         stakker.run(now, false);
         let wait = stakker.next_wait_max(now, MAX_SLEEP, false);
         match events.recv_timeout(wait) {
             Ok(Event::Stop) | Err(RecvTimeoutError::Disconnected) => return,
-            Ok(event) => pass(&core, event),
+            Ok(event) => forward(&core, event),
             Err(RecvTimeoutError::Timeout) => continue,
         }
-        for event in events.try_iter().take(BATCH) {
+        for event in events.try_iter().take(MAX_EVENTS_PER_BATCH) {
             if matches!(event, Event::Stop) {
                 return;
             }
-            pass(&core, event);
+            forward(&core, event);
         }
     }
 }
 
-fn pass(core: &ActorOwn<Core>, event: Event) {
-    call!([core], event(event));
+fn forward(core: &ActorOwn<Core>, event: Event) {
+    call!([core], handle_event(event));
 }
 
-/// The actor.
+/// The actor's state.
 struct Core {
-    parts: Parts,
+    dependencies: Dependencies,
     handle: Handle,
     engine: Engine,
     keys: Keys<Sender<End>>,
     control: Control,
-    dirty: bool,
-    leaving: bool,
-    refresh: Instant,
-    measure: Instant,
+    is_view_stale: bool,
+    is_leaving: bool,
+    next_refresh: Instant,
+    next_measurement: Instant,
     rng: Pcg64Mcg,
-    asking: BTreeMap<Id, Sender<Verdict>>,
-    /// Targets whose rates could not be read, which was logged.
-    unreadable: BTreeSet<TargetKey>,
+    waiting: BTreeMap<Id, Sender<Verdict>>,
+    /// Targets whose unreadable rate has been logged.
+    unreadable_rates: BTreeSet<TargetKey>,
 }
 
 impl Core {
-    fn init(cx: CX![], parts: Parts, handle: Handle) -> Option<Self> {
-        after!(TICK, [cx], tick());
+    fn init(cx: CX![], dependencies: Dependencies, handle: Handle) -> Option<Self> {
+        after!(TICK_INTERVAL, [cx], tick());
         Some(Self {
-            engine: Engine::new(&parts.settings.steer, parts.incarnation)
-                .with_host(parts.settings.host.as_str().into()),
-            keys: Keys::new(parts.rotation),
-            rng: Pcg64Mcg::seed_from_u64(parts.incarnation),
-            asking: BTreeMap::new(),
-            unreadable: BTreeSet::new(),
+            engine: Engine::new(&dependencies.settings.steer, dependencies.incarnation)
+                .with_host(dependencies.settings.host.as_str().into()),
+            keys: Keys::new(dependencies.rotation),
+            rng: Pcg64Mcg::seed_from_u64(dependencies.incarnation),
+            waiting: BTreeMap::new(),
+            unreadable_rates: BTreeSet::new(),
             control: Control::new(
-                &parts.settings.host,
-                parts.incarnation,
-                parts.platform.clone(),
-                parts.feed.clone(),
-                parts.delegate.clone(),
+                &dependencies.settings.host,
+                dependencies.incarnation,
+                dependencies.store_commands.clone(),
+                dependencies.config_events.clone(),
+                dependencies.is_delegate.clone(),
             ),
-            dirty: false,
-            leaving: false,
-            refresh: cx.now(),
-            measure: cx.now(),
+            is_view_stale: false,
+            is_leaving: false,
+            next_refresh: cx.now(),
+            next_measurement: cx.now(),
             handle,
-            parts,
+            dependencies,
         })
     }
 
-    fn event(&mut self, cx: CX![], event: Event) {
+    fn handle_event(&mut self, cx: CX![], event: Event) {
         let now = cx.now();
         match event {
-            Event::Ask(ask, reply) => self.ask(now, ask, reply),
-            Event::Finish(grant, report) => {
+            Event::Route(request, reply) => self.route(now, request, reply),
+            Event::TargetFinished(grant, report) => {
                 let decisions = self.engine.finish(now, grant, report, &mut self.rng);
-                self.tell(decisions);
+                self.send_verdicts(decisions);
             }
-            Event::Broke(fingerprint, target, begun) => {
+            Event::AttemptBroken(fingerprint, target, begun) => {
                 self.engine.record_crash(now, fingerprint, target, begun);
-                self.tell_notes();
+                self.broadcast_notices();
             }
-            Event::Answered(fingerprint) => {
+            Event::RequestAnswered(fingerprint) => {
                 self.engine.record_answer(now, fingerprint);
-                self.tell_notes();
+                self.broadcast_notices();
             }
-            Event::Rate(target, at, rate) => self.take_rate(now, target, at, &rate),
-            Event::Done(id) => self.engine.release_suspect_permit(id),
-            Event::Passed(pass, back) => self.engine.finish_pass(now, &pass, back),
+            Event::TargetRate(target, at, rate) => self.apply_target_rate(now, target, at, &rate),
+            Event::RequestDone(id) => self.engine.release_suspect_permit(id),
+            Event::RelayFinished(pass, back) => self.engine.finish_pass(now, &pass, back),
             Event::Hedge(call, after) => {
                 after!(after, [cx], hedge(call));
             }
-            Event::Begin {
+            Event::BeginKey {
                 service,
                 key,
                 generation,
@@ -314,32 +315,34 @@
                 reply,
                 waiter,
             } => {
-                let begin = self
+                let decision = self
                     .keys
                     .begin(now, service, key, generation, identity, waiter);
-                let _ = reply.send(begin);
+                let _ = reply.send(decision);
             }
-            Event::End(run, end) => {
+            Event::EndKey(run, end) => {
                 for waiter in self.keys.end(&run, end.clone()) {
                     let _ = waiter.send(end.clone());
                 }
             }
             Event::Cancel(id) => {
                 self.engine.cancel(id);
-                self.asking.remove(&id);
+                self.waiting.remove(&id);
             }
             Event::Catalog(catalog) => {
                 self.configure(now, catalog);
             }
-            Event::Leased(event) => self.control.leased(now, event, &mut self.rng),
-            Event::Stored(record) => self.control.stored(now, *record),
-            Event::Published(event) => self.control.published(now, event, &mut self.rng),
-            Event::Listed(hosts) => self.control.listed(now, &hosts),
+            Event::LeaseResult(event) => self.control.handle_lease_event(now, event, &mut self.rng),
+            Event::StoredPlan(record) => self.control.adopt_stored_plan(now, *record),
+            Event::PlanResult(event) => {
+                self.control.handle_publish_event(now, event, &mut self.rng)
+            }
+            Event::HostList(hosts) => self.control.apply_host_list(now, &hosts),
             Event::Health(target, health, state) => {
                 self.engine.set_health(now, target, health, state);
             }
             Event::Leave => {
-                self.leaving = true;
+                self.is_leaving = true;
                 self.control.leave(now);
                 self.refresh(now);
             }
@@ -348,130 +351,134 @@
             }
             Event::Mesh(mesh) => self.control.set_mesh(mesh),
             Event::Peer(event) => {
-                let change = self.control.peer(now, event);
-                self.take(now, change);
+                let update = self.control.handle_peer_event(now, event);
+                self.apply_control_update(now, update);
             }
             Event::Stop => {}
         }
     }
 
-    fn ask(&mut self, now: Instant, ask: RouteRequest, reply: Sender<Verdict>) {
-        let id = ask.id;
-        let verdict = self.engine.submit(now, ask, &mut self.rng);
-        self.tell_notes();
+    fn route(&mut self, now: Instant, request: RouteRequest, reply: Sender<Verdict>) {
+        let id = request.id;
+        let verdict = self.engine.submit(now, request, &mut self.rng);
+        self.broadcast_notices();
         match verdict {
             Some(verdict) => {
-                // The worker waits until its deadline; after that it takes the grant back itself.
+                // The worker waits until its deadline; after that it returns the grant itself.
                 let _ = reply.send(verdict);
             }
             None => {
-                self.asking.insert(id, reply);
+                self.waiting.insert(id, reply);
             }
         }
     }
 
-    /// Tells other hosts what is new here of requests that crash targets.
-    fn tell_notes(&mut self) {
-        let notes = self.engine.notes();
-        if notes.is_empty() {
+    /// Broadcasts this host's new notices about requests that crash targets.
+    fn broadcast_notices(&mut self) {
+        let notices = self.engine.notes();
+        if notices.is_empty() {
             return;
         }
-        for note in &notes {
-            log_note(note);
+        for notice in &notices {
+            log_notice(notice);
         }
-        self.control.tell(Frame::Notes(notes), None);
+        self.control.broadcast_update(Frame::Notes(notices), None);
     }
 
-    /// Takes in what a target's answer said of its rate, and tells other hosts if that is new.
-    fn take_rate(&mut self, now: Instant, target: TargetKey, at: Instant, rate: &Rate) {
+    /// Applies the rate of a target's answer and broadcasts it if it changed.
+    fn apply_target_rate(&mut self, now: Instant, target: TargetKey, at: Instant, rate: &Rate) {
         let rate = match rate {
             Rate::Named(rate) => Some(*rate),
             Rate::Absent => None,
             Rate::Unreadable(text) => {
-                if self.unreadable.insert(target) {
+                if self.unreadable_rates.insert(target) {
                     let name = &self.engine.catalog().target(target).name;
                     spdlog::warn!("core: the rate '{text}' that target {name} names is no decimal number and changes nothing");
                 }
                 return;
             }
         };
-        self.unreadable.remove(&target);
-        if let Some(news) = self.engine.record_rate(now, target, at, rate) {
+        self.unreadable_rates.remove(&target);
+        if let Some(update) = self.engine.record_rate(now, target, at, rate) {
             log_rate(&self.engine.catalog().target(target).name, rate);
-            self.control.tell(Frame::Rates(vec![news]), None);
+            self.control
+                .broadcast_update(Frame::Rates(vec![update]), None);
         }
-        self.show_limited();
+        self.publish_rate_limited_targets();
     }
 
-    /// Takes in what other hosts know of targets' rates, and passes on what is new.
-    fn hear_rates(&mut self, now: Instant, rates: Vec<(HostKey, RateUpdate)>) {
-        for (teller, news) in rates {
-            if self.engine.merge_rate(now, &news) {
-                self.control.tell(Frame::Rates(vec![news]), Some(teller));
+    /// Merges target rates received from other hosts and forwards those that changed.
+    fn merge_rates(&mut self, now: Instant, rates: Vec<(HostKey, RateUpdate)>) {
+        for (source, update) in rates {
+            if self.engine.merge_rate(now, &update) {
+                self.control
+                    .broadcast_update(Frame::Rates(vec![update]), Some(source));
             }
         }
-        self.show_limited();
+        self.publish_rate_limited_targets();
     }
 
-    /// Shows those who call targets which of them name a rate: only of these an answer without one tells something.
-    fn show_limited(&self) {
+    /// Publishes the targets with a rate to the workers: only from these is an answer without a rate reported.
+    fn publish_rate_limited_targets(&self) {
         self.handle
-            .limited
+            .rate_limited
             .store(Arc::new(self.engine.rate_limited_targets()));
     }
 
-    /// Takes in what other hosts tell of requests that crash targets, and passes on what is new.
-    fn hear_notes(&mut self, now: Instant, notes: Vec<(HostKey, Notice)>) {
-        for (teller, note) in notes {
-            if self.engine.merge_note(now, &note) {
-                log_note(&note);
-                self.control.tell(Frame::Notes(vec![note]), Some(teller));
+    /// Merges notices about requests that crash targets from other hosts and forwards new ones.
+    fn merge_notices(&mut self, now: Instant, notices: Vec<(HostKey, Notice)>) {
+        for (source, notice) in notices {
+            if self.engine.merge_note(now, &notice) {
+                log_notice(&notice);
+                self.control
+                    .broadcast_update(Frame::Notes(vec![notice]), Some(source));
             }
-            self.tell_notes();
+            self.broadcast_notices();
         }
     }
 
     fn configure(&mut self, now: Instant, catalog: Arc<Catalog>) {
-        let settings = &self.parts.settings;
+        let settings = &self.dependencies.settings;
         self.control.configure(now, &catalog);
         self.engine
             .configure(now, catalog, &settings.availability_zone);
         self.refresh(now);
     }
 
-    /// Takes in what came of control.
-    fn take(&mut self, now: Instant, change: Change) {
-        if let Some(splits) = change.splits {
+    /// Applies the updates that control received from other hosts.
+    fn apply_control_update(&mut self, now: Instant, update: ControlUpdate) {
+        if let Some(splits) = update.splits {
             self.engine.adopt_splits(now, splits);
-            self.dirty = true;
+            self.is_view_stale = true;
         }
-        if !change.joined.is_empty() {
+        if !update.joined_hosts.is_empty() {
             self.control
-                .send_splits(&change.joined, &self.engine.splits());
+                .send_splits(&update.joined_hosts, &self.engine.splits());
             let standings = self.engine.standings(now);
             let rates = self.engine.known_rates(now);
-            self.control.introduce(&change.joined, standings, rates);
+            self.control
+                .send_notices_and_rates(&update.joined_hosts, standings, rates);
         }
-        self.hear_notes(now, change.notes);
-        self.hear_rates(now, change.rates);
-        self.dirty |= change.picture;
+        self.merge_notices(now, update.notices);
+        self.merge_rates(now, update.rates);
+        self.is_view_stale |= update.is_view_changed;
     }
 
-    /// Acts on what is known of hosts and zones now, and publishes what look-ups are answered from.
+    /// Updates the engine's view of hosts and zones and publishes the state that look-ups read.
     fn refresh(&mut self, now: Instant) {
-        self.dirty = false;
-        self.refresh = now + REFRESH;
+        self.is_view_stale = false;
+        self.next_refresh = now + REFRESH_INTERVAL;
         let (view, free) = self.control.view(now);
         if let Some(agent) = self.control.agent() {
             self.engine.set_live(now, agent.live_hosts());
         }
         self.engine.set_free_slots(free);
         self.engine.set_view(now, view);
-        self.show_limited();
-        self.parts.published.put(State {
+        self.publish_rate_limited_targets();
+        self.dependencies.published.set(State {
             catalog: self.engine.catalog().clone(),
             lookup: self.engine.lookup_snapshot(),
-            readiness: match self.leaving {
+            readiness: match self.is_leaving {
                 true => Readiness::Leaving,
                 false if self.engine.is_settling(now) => Readiness::Starting,
                 false => Readiness::Ready,
@@ -479,17 +486,17 @@
         });
     }
 
-    /// Shows what is left of regions and links.
-    fn show(&mut self, now: Instant) {
-        let metrics = &self.parts.metrics;
+    /// Records the revision and the headroom of regions and links as metrics.
+    fn record_headroom(&mut self, now: Instant) {
+        let metrics = &self.dependencies.metrics;
         let catalog = self.engine.catalog().clone();
-        metrics.revision(catalog.revision);
-        for (region, free) in self.control.region_rooms(now) {
-            metrics.headroom("region", &catalog.region(region).name, free);
+        metrics.set_revision(catalog.revision);
+        for (region, free) in self.control.region_headroom(now) {
+            metrics.set_headroom("region", &catalog.region(region).name, free);
         }
         for ((from, to), free) in self.engine.link_headroom(now) {
             if let Some(link) = catalog.link(from, to) {
-                metrics.headroom("link", &link.name, free);
+                metrics.set_headroom("link", &link.name, free);
             }
         }
     }
@@ -497,24 +504,28 @@
     fn status(&self, now: Instant) -> Status {
         Status::new(
             now,
-            &self.parts.settings,
-            self.parts.incarnation,
+            &self.dependencies.settings,
+            self.dependencies.incarnation,
             &self.engine,
             self.control.agent(),
         )
     }
 
-    /// Sends a second copy of a request that still has no answer, if budget and room allow it.
+    /// Hedges a request that has no answer yet, if the engine grants it a target at once.
     fn hedge(&mut self, cx: CX![], call: Weak<Call>) {
         let Some(call) = call.upgrade().filter(|call| !call.is_answered()) else {
             return;
         };
-        let ask = call.ask(AttemptKind::Hedge);
-        let id = ask.id;
-        match self.engine.submit(cx.now(), ask, &mut self.rng) {
+        let request = call.route_request(AttemptKind::Hedge);
+        let id = request.id;
+        match self.engine.submit(cx.now(), request, &mut self.rng) {
             Some(Verdict::Target { grant, .. }) => {
-                if let Err(full) = self.parts.later.try_send(Later::Hedge(call, grant)) {
-                    background::give_back(&self.handle, full.into_inner());
+                if let Err(full) = self
+                    .dependencies
+                    .background
+                    .try_send(BackgroundTask::Hedge(call, grant))
+                {
+                    background::return_grant(&self.handle, full.into_inner());
                 }
             }
             Some(Verdict::Host(pass)) => {
@@ -525,9 +536,9 @@
         }
     }
 
-    fn tell(&mut self, decisions: Vec<Decision>) {
+    fn send_verdicts(&mut self, decisions: Vec<Decision>) {
         for (id, verdict) in decisions {
-            if let Some(reply) = self.asking.remove(&id) {
+            if let Some(reply) = self.waiting.remove(&id) {
                 let _ = reply.send(verdict);
             }
         }
@@ -536,27 +547,32 @@
     fn tick(&mut self, cx: CX![]) {
         let now = cx.now();
         let decisions = self.engine.tick(now, &mut self.rng);
-        self.tell(decisions);
-        self.tell_notes();
-        if now >= self.measure {
-            self.measure = now + MEASURE;
+        self.send_verdicts(decisions);
+        self.broadcast_notices();
+        if now >= self.next_measurement {
+            self.next_measurement = now + MEASUREMENT_INTERVAL;
             let loads = self.engine.service_loads(now);
             let splits = self.engine.splits();
             self.control.measure(now, loads, &splits);
-            self.show(now);
+            self.record_headroom(now);
         }
-        let change = self.control.tick(now, &mut self.rng);
-        self.take(now, change);
-        if now >= self.refresh || (self.dirty && now + REFRESH >= self.refresh + MIN_REFRESH) {
+        let update = self.control.tick(now, &mut self.rng);
+        self.apply_control_update(now, update);
+        if now >= self.next_refresh
+            || (self.is_view_stale
+                && now + REFRESH_INTERVAL >= self.next_refresh + MIN_REFRESH_INTERVAL)
+        {
             self.refresh(now);
         }
-        let wake = self.engine.next_wake(now).unwrap_or(now + TICK);
-        let pause = wake.saturating_duration_since(now).clamp(MIN_TICK, TICK);
-        after!(pause, [cx], tick());
+        let wake = self.engine.next_wake(now).unwrap_or(now + TICK_INTERVAL);
+        let delay = wake
+            .saturating_duration_since(now)
+            .clamp(MIN_TICK_INTERVAL, TICK_INTERVAL);
+        after!(delay, [cx], tick());
     }
 }
 
-/// How a request stands that crashes targets has changed.
+/// Logs that the rate stated by a target changed.
 fn log_rate(target: &str, rate: Option<f64>) {
     match rate {
         Some(rate) => {
@@ -566,9 +582,9 @@
     }
 }
 
-fn log_note(note: &Notice) {
-    let fingerprint = note.fingerprint();
-    match note {
+fn log_notice(notice: &Notice) {
+    let fingerprint = notice.fingerprint();
+    match notice {
         Notice::Broken(_) => {}
         Notice::Status(standing) => match standing.refused {
             None => spdlog::info!("core: requests {fingerprint} broke off at two targets and are sent one at a time"),
--- a/src/entry/error.rs
+++ b/src/entry/error.rs
@@ -1,29 +1,29 @@
-//! What keeps an entry host from running.
+//! Errors that prevent an entry host from running.
 
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A fault that keeps the daemon from starting or running on.
+/// An error that prevents the daemon from starting or continuing.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A setting that cannot be used.
+    /// A setting is invalid.
     #[error("settings: {path}: {problem}")]
     Setting {
-        /// The setting.
+        /// The setting's name.
         path: &'static str,
-        /// What is wrong with it.
+        /// Why it is invalid.
         problem: Arc<str>,
     },
-    /// A socket that could not be opened.
+    /// A listening socket could not be opened.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// Where it should listen.
+        /// The address to listen on.
         address: SocketAddr,
-        /// Why it does not.
+        /// The error of the socket.
         source: io::Error,
     },
-    /// A thread that could not be started.
+    /// A thread could not be started.
     #[error("cannot start a thread: {0}")]
     Thread(#[from] io::Error),
     /// The log could not be set up.
--- a/src/entry/front.rs
+++ b/src/entry/front.rs
@@ -1,4 +1,4 @@
-//! What callers may ask, and who answers: look-ups at once, requests by a pool of workers.
+//! Dispatches callers' requests: look-ups and status requests are answered at once, requests to services by worker pools.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -11,8 +11,8 @@
 use tiny_http::Method;
 
 use super::body::Body;
-use super::call::{Sender as Answerer, Start};
-use super::head::{Head, SERVICES};
+use super::call::{RequestContext, Requester};
+use super::head::{Head, SERVICES_PREFIX};
 use super::idempotency;
 use super::published::{Readiness, State};
 use super::relay;
@@ -26,13 +26,13 @@
 use crate::steer::fingerprint::{Content, Fingerprint};
 use crate::steer::lookup::Snapshot;
 
-/// When a caller that found this host full is asked to come back.
-const FULL_RETRY: Duration = Duration::from_secs(1);
-/// Bodies above this size are received by the pool for large ones, in bytes.
-const SMALL_BODY: u64 = 16 << 10;
+/// `Retry-After` for requests that this host refuses because it is full, starting or leaving.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Requests with larger bodies go to the pool for large bodies, in bytes.
+const MAX_SMALL_BODY_BYTES: u64 = 16 << 10;
 
-/// Threads that answer refused requests with a body that is still under way.
-const REFUSERS: usize = 4;
+/// Number of threads that answer refused requests whose body is still being received.
+const REFUSAL_THREADS: usize = 4;
 
 /// A request that waits for a worker.
 struct Job {
@@ -40,8 +40,8 @@
     arrived: Instant,
 }
 
-/// The two pools of workers. Large bodies have their own, so that they cannot keep small requests
-/// waiting.
+/// Routes requests and feeds the two worker pools. Large bodies have their own pool, so that they cannot
+/// delay small requests.
 pub(crate) struct Front {
     shared: Arc<Shared>,
     small: Sender<Job>,
@@ -70,18 +70,18 @@
         let workers = shared.settings.pool.workers.get();
         let large = (workers / 4).max(1);
         Ok(Self {
-            small: pool(&shared, "call", workers)?,
-            large: pool(&shared, "upload", large)?,
-            refusals: refusals(shared.settings.pool.backlog.get() as usize)?,
+            small: start_pool(&shared, "call", workers)?,
+            large: start_pool(&shared, "upload", large)?,
+            refusals: start_refusal_threads(shared.settings.pool.backlog.get() as usize)?,
             shared,
         })
     }
 
-    /// Answers a request or hands it to a worker.
-    pub(crate) fn take(&self, request: Request) {
+    /// Answers a request or passes it to a worker.
+    pub(crate) fn handle(&self, request: Request) {
         let url = request.url();
-        if url.starts_with(SERVICES) {
-            return self.hand_over(request);
+        if url.starts_with(SERVICES_PREFIX) {
+            return self.enqueue(request);
         }
         let (path, query) = url.split_once('?').unwrap_or((url, ""));
         let reply = match (request.method(), path) {
@@ -97,7 +97,7 @@
         self.reply(request, reply);
     }
 
-    /// Answers without keeping this thread waiting for the rest of a body.
+    /// Sends a reply without blocking this thread on the rest of a body.
     fn reply(&self, request: Request, reply: Reply) {
         if !request.has_body_left() {
             return reply.send(request);
@@ -108,18 +108,19 @@
         }
     }
 
-    fn hand_over(&self, request: Request) {
-        let large = request
-            .body_length()
-            .map_or_else(|| is_chunked(&request), |length| length as u64 > SMALL_BODY);
-        let queue = if large { &self.large } else { &self.small };
+    fn enqueue(&self, request: Request) {
+        let is_large = request.body_length().map_or_else(
+            || is_chunked(&request),
+            |length| length as u64 > MAX_SMALL_BODY_BYTES,
+        );
+        let queue = if is_large { &self.large } else { &self.small };
         let job = Job {
             request,
             arrived: Instant::now(),
         };
         if let Err(TrySendError::Full(job) | TrySendError::Disconnected(job)) = queue.try_send(job)
         {
-            let reply = Reply::not_run(503, "this host is full", Some(FULL_RETRY));
+            let reply = Reply::not_run(503, "this host is full", Some(RETRY_AFTER));
             self.reply(job.request, reply);
         }
     }
@@ -127,13 +128,13 @@
     fn lookup(&self, request: &Request, query: &str) -> Reply {
         let state = self.shared.published.get();
         if state.readiness == Readiness::Leaving {
-            // A ticket of this host would soon be worth nothing.
-            return Reply::not_run(503, "this host is leaving", Some(FULL_RETRY));
+            // A ticket issued by this host would become invalid when it ends.
+            return Reply::not_run(503, "this host is leaving", Some(RETRY_AFTER));
         }
         let Some(lookup) = &state.lookup else {
-            return Reply::not_run(503, "no configuration yet", Some(FULL_RETRY));
+            return Reply::not_run(503, "no configuration yet", Some(RETRY_AFTER));
         };
-        let (service, client) = match parse(query) {
+        let (service, client) = match parse_query(query) {
             Ok(parsed) => parsed,
             Err(problem) => return Reply::not_run(400, &problem, None),
         };
@@ -143,11 +144,13 @@
         let Some(key) = state.catalog.service_key(&service) else {
             return Reply::not_run(404, &format!("service: no '{service}'"), None);
         };
-        let client = client.or_else(|| remote(request));
+        let client = client.or_else(|| remote_ip(request));
         let Some(client) = client else {
             return Reply::not_run(400, "client: is missing", None);
         };
-        self.shared.metrics.lookup(&state.catalog.service(key).name);
+        self.shared
+            .metrics
+            .count_lookup(&state.catalog.service(key).name);
         Reply::json(200, &self.entries(&state, lookup, key, client))
     }
 
@@ -186,15 +189,15 @@
 
     fn health(&self) -> Reply {
         if self.shared.published.get().readiness != Readiness::Ready {
-            return Reply::not_run(503, "starting or leaving", Some(FULL_RETRY));
+            return Reply::not_run(503, "starting or leaving", Some(RETRY_AFTER));
         }
         Reply::whole(200, "text/plain", b"ok\n".to_vec())
     }
 
     fn metrics(&self) -> Reply {
         let metrics = &self.shared.metrics;
-        metrics.revision(self.shared.published.get().catalog.revision);
-        Reply::whole(200, "text/plain; version=0.0.4", metrics.text())
+        metrics.set_revision(self.shared.published.get().catalog.revision);
+        Reply::whole(200, "text/plain; version=0.0.4", metrics.encode())
     }
 }
 
@@ -205,12 +208,12 @@
         .any(|header| header.field.equiv("Transfer-Encoding"))
 }
 
-fn remote(request: &Request) -> Option<IpAddr> {
+fn remote_ip(request: &Request) -> Option<IpAddr> {
     request.remote_addr().map(|address| address.ip())
 }
 
-/// Reads `service=S&client=IP`.
-fn parse(query: &str) -> Result<(Option<Arc<str>>, Option<IpAddr>), String> {
+/// Parses `service=S&client=IP`.
+fn parse_query(query: &str) -> Result<(Option<Arc<str>>, Option<IpAddr>), String> {
     let mut service = None;
     let mut client = None;
     for pair in query.split('&').filter(|pair| !pair.is_empty()) {
@@ -228,7 +231,7 @@
     Ok((service, client))
 }
 
-fn pool(shared: &Arc<Shared>, name: &str, workers: u32) -> Result<Sender<Job>, Error> {
+fn start_pool(shared: &Arc<Shared>, name: &str, workers: u32) -> Result<Sender<Job>, Error> {
     let backlog = shared.settings.pool.backlog.get() as usize;
     let (sender, receiver) = bounded::<Job>(backlog);
     for index in 0..workers {
@@ -238,16 +241,16 @@
             .name(format!("{name}-{index}"))
             .spawn(move || {
                 for job in receiver {
-                    serve(&shared, job);
+                    serve_caller(&shared, job);
                 }
             })?;
     }
     Ok(sender)
 }
 
-fn refusals(backlog: usize) -> Result<Sender<(Request, Reply)>, Error> {
+fn start_refusal_threads(backlog: usize) -> Result<Sender<(Request, Reply)>, Error> {
     let (sender, receiver) = bounded::<(Request, Reply)>(backlog);
-    for index in 0..REFUSERS {
+    for index in 0..REFUSAL_THREADS {
         let receiver = receiver.clone();
         thread::Builder::new()
             .name(format!("refuse-{index}"))
@@ -260,53 +263,53 @@
     Ok(sender)
 }
 
-fn serve(shared: &Arc<Shared>, job: Job) {
-    let _in_flight = shared.enter();
+fn serve_caller(shared: &Arc<Shared>, job: Job) {
+    let _in_flight = shared.track_in_flight();
     let mut request = job.request;
-    let Some(client) = remote(&request) else {
+    let Some(client) = remote_ip(&request) else {
         return Reply::not_run(400, "no remote address", None).send(request);
     };
     match prepare(shared, &mut request, client, job.arrived) {
-        Ok(start) => idempotency::run(shared, start, Answerer::Caller(request)),
+        Ok(context) => idempotency::run(shared, context, Requester::Caller(request)),
         Err(reply) => reply.send(request),
     }
 }
 
-/// Checks a request and takes its body in.
+/// Validates a request and reads its body.
 fn prepare(
     shared: &Shared,
     request: &mut Request,
     client: IpAddr,
     arrived: Instant,
-) -> Result<Start, Reply> {
+) -> Result<RequestContext, Reply> {
     let limit = shared.settings.pool.head_bytes as usize;
     let head = Head::new(request, limit)
         .map_err(|error| Reply::not_run(error.status(), &error.to_string(), None))?;
     let state = shared.published.get();
-    let (catalog, service, lookup) = find(&state, &head)?;
+    let (catalog, service, lookup) = find_service(&state, &head)?;
     let record = catalog.service(service);
-    let hold = u64::from(shared.settings.pool.buffer_bytes);
+    let max_buffered = u64::from(shared.settings.pool.buffer_bytes);
     let deadline = arrived + head.deadline.unwrap_or(record.deadline);
     request.limit_body(deadline);
-    let body = Body::read(request, head.length, hold, record.max_body)
+    let body = Body::read(request, head.length, max_buffered, record.max_body)
         .map_err(|error| Reply::not_run(error.status(), &error.to_string(), None))?;
-    let place = lookup.place(client, 0);
-    Ok(Start {
+    let location = lookup.place(client, 0);
+    Ok(RequestContext {
         id: shared.next_id(),
         fingerprint: fingerprint(&head, &body),
         head,
         body,
         catalog: catalog.clone(),
         service,
-        locality: place.locality,
-        block: place.block,
+        locality: location.locality,
+        block: location.block,
         origin: Origin::Caller,
         arrived,
         deadline,
     })
 }
 
-/// The same at the host that a caller chose and at one to which it relays the request.
+/// Computes the fingerprint, which is the same at the host that a caller chose and at one that it relays to.
 fn fingerprint(head: &Head, body: &Body) -> Fingerprint {
     Fingerprint::new(&Content {
         method: &head.method,
@@ -318,14 +321,14 @@
     })
 }
 
-fn find<'a>(
+fn find_service<'a>(
     state: &'a State,
     head: &Head,
 ) -> Result<(&'a Arc<Catalog>, ServiceKey, &'a Snapshot), Reply> {
     let lookup = state
         .lookup
         .as_ref()
-        .ok_or_else(|| Reply::not_run(503, "no configuration yet", Some(FULL_RETRY)))?;
+        .ok_or_else(|| Reply::not_run(503, "no configuration yet", Some(RETRY_AFTER)))?;
     let service = state
         .catalog
         .service_key(&head.service)
@@ -333,28 +336,28 @@
     Ok((&state.catalog, service, lookup))
 }
 
-/// The pool that carries what other entry hosts relay.
-pub(crate) struct Relays {
+/// The worker pool for requests that other entry hosts relay.
+pub(crate) struct RelayPool {
     queue: Sender<Incoming>,
 }
 
-impl Relays {
-    /// The pool's queue; [`Relays::start`] starts its threads.
+impl RelayPool {
+    /// Creates the pool's queue; [`RelayPool::start`] starts its threads.
     pub(crate) fn new(backlog: usize) -> (Self, Receiver<Incoming>) {
         let (queue, receiver) = bounded(backlog);
         (Self { queue }, receiver)
     }
 
-    /// Hands a relayed request to a thread, or refuses it. Does not block.
-    pub(crate) fn take(&self, incoming: Incoming) {
+    /// Queues a relayed request, or refuses it if the queue is full. Does not block.
+    pub(crate) fn enqueue(&self, incoming: Incoming) {
         if let Err(full) = self.queue.try_send(incoming) {
             let _ = full
                 .into_inner()
-                .refuse(Reason::Crowded.as_str(), FULL_RETRY);
+                .refuse(Reason::Crowded.as_str(), RETRY_AFTER);
         }
     }
 
-    /// Starts the threads.
+    /// Starts the pool's threads.
     pub(crate) fn start(shared: &Arc<Shared>, queue: &Receiver<Incoming>) -> Result<(), Error> {
         for index in 0..shared.settings.pool.relay_workers.get() {
             let shared = shared.clone();
@@ -372,20 +375,20 @@
 }
 
 fn serve_relayed(shared: &Arc<Shared>, mut incoming: Incoming) {
-    let _in_flight = shared.enter();
+    let _in_flight = shared.track_in_flight();
     match prepare_relayed(shared, &mut incoming) {
-        Ok(start) => idempotency::run(shared, start, Answerer::Host(incoming)),
-        Err(outcome) => relay::reply(incoming, outcome, FULL_RETRY, None),
+        Ok(context) => idempotency::run(shared, context, Requester::Host(incoming)),
+        Err(outcome) => relay::reply(incoming, outcome, RETRY_AFTER, None),
     }
 }
 
-/// Checks a relayed request and takes its body in.
-fn prepare_relayed(shared: &Shared, incoming: &mut Incoming) -> Result<Start, Outcome> {
+/// Validates a relayed request and reads its body.
+fn prepare_relayed(shared: &Shared, incoming: &mut Incoming) -> Result<RequestContext, Outcome> {
     let arrived = Instant::now();
-    let head = Head::with_open(&incoming.open).map_err(|_| Outcome::NotRun(Reason::BadRequest))?;
+    let head = Head::from_open(&incoming.open).map_err(|_| Outcome::NotRun(Reason::BadRequest))?;
     let state = shared.published.get();
-    let unknown = Outcome::NotRun(Reason::UnknownService);
-    let (catalog, service, _) = find(&state, &head).map_err(|_| unknown)?;
+    let unknown_service = Outcome::NotRun(Reason::UnknownService);
+    let (catalog, service, _) = find_service(&state, &head).map_err(|_| unknown_service)?;
     let record = catalog.service(service);
     let locality = incoming
         .open
@@ -398,16 +401,16 @@
         .block
         .as_deref()
         .and_then(|text| text.parse().ok());
-    let hold = u64::from(shared.settings.pool.buffer_bytes);
+    let max_buffered = u64::from(shared.settings.pool.buffer_bytes);
     let deadline = incoming.deadline();
     let origin = match head.ticket {
         Some(_) => Origin::TicketRelay,
         None => Origin::Host,
     };
-    let mut reader = relay::Reader(incoming);
-    let body = Body::read(&mut reader, head.length, hold, record.max_body)
+    let mut reader = relay::RequestReader(incoming);
+    let body = Body::read(&mut reader, head.length, max_buffered, record.max_body)
         .map_err(|_| Outcome::NotRun(Reason::BadRequest))?;
-    Ok(Start {
+    Ok(RequestContext {
         id: shared.next_id(),
         fingerprint: fingerprint(&head, &body),
         head,
--- a/src/entry/head.rs
+++ b/src/entry/head.rs
@@ -1,4 +1,4 @@
-//! The head of a caller's request, checked.
+//! Parses and validates the heads of callers' requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,31 +6,31 @@
 use crate::peer::stream::Open;
 use crate::steer::ticket;
 
-/// Time left, in milliseconds.
+/// Header with the time left for the request, in milliseconds.
 pub const DEADLINE: &str = "Ragwortfold-Deadline-Ms";
-/// Binds resends of one request together.
+/// Header that identifies resends of the same request.
 pub const KEY: &str = "Idempotency-Key";
-/// What a look-up handed out.
+/// Header with the ticket issued by a look-up.
 pub const TICKET: &str = "Ragwortfold-Ticket";
-/// What became of a request.
+/// Header with the outcome of a request.
 pub const OUTCOME: &str = "Ragwortfold-Outcome";
-/// Names a request towards a target.
+/// Header with the identifier of a request towards a target.
 pub const REQUEST_ID: &str = "Ragwortfold-Request-Id";
-/// A target's load, `IN_FLIGHT/SLOTS`.
+/// Header with a target's load, `IN_FLIGHT/SLOTS`.
 pub const LOAD: &str = "Ragwortfold-Load";
-/// A target's state.
+/// Header with a target's state.
 pub const STATE: &str = "Ragwortfold-State";
-/// The requests a second that a target takes from all hosts together.
+/// Header with the requests a second that a target accepts from all hosts together.
 pub const RATE: &str = "Ragwortfold-Rate";
 
-/// Longest time a caller may ask for.
+/// Longest deadline that a caller may set.
 const MAX_DEADLINE: Duration = Duration::from_secs(3600);
-/// Longest idempotency key, in bytes.
-const MAX_KEY: usize = 255;
-/// The path before a service's name.
-pub(crate) const SERVICES: &str = "/v1/services/";
+/// Maximum length of an idempotency key, in bytes.
+const MAX_KEY_BYTES: usize = 255;
+/// Path prefix in front of a service's name.
+pub(crate) const SERVICES_PREFIX: &str = "/v1/services/";
 
-/// Headers that concern one connection only and are not passed on.
+/// Hop-by-hop headers, which are not forwarded.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -42,8 +42,8 @@
     "transfer-encoding",
     "upgrade",
 ];
-/// Headers that this host writes itself.
-const OWN: [&str; 5] = [
+/// Headers that this host sets itself and does not forward.
+const SET_BY_HOST: [&str; 5] = [
     "host",
     "content-length",
     "expect",
@@ -54,16 +54,16 @@
 /// A header's name and value.
 pub type Header = (Arc<str>, Arc<str>);
 
-/// The head of a request that can be carried.
+/// The validated head of a request.
 #[derive(Clone, Debug)]
 pub(crate) struct Head {
     pub(crate) service: Arc<str>,
     pub(crate) method: Arc<str>,
     /// Path and query for the target, with the leading slash.
     pub(crate) path: Arc<str>,
-    /// What is passed on.
+    /// The headers that are forwarded.
     pub(crate) headers: Vec<Header>,
-    /// Time the caller gives.
+    /// The time that the caller allows for the request.
     pub(crate) deadline: Option<Duration>,
     pub(crate) key: Option<Arc<str>>,
     pub(crate) ticket: Option<ticket::Ticket>,
@@ -71,14 +71,14 @@
     pub(crate) length: Option<u64>,
 }
 
-/// What is wrong with a head; the request did not run.
+/// A fault of a head that prevents the request from running.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Error {
     #[error("headers of {0} bytes are too large")]
     Oversize(usize),
     #[error("{DEADLINE}: '{0}' is not a number of milliseconds from 1 to 3600000")]
     Deadline(Arc<str>),
-    #[error("{KEY}: must be 1 to {MAX_KEY} visible ASCII characters")]
+    #[error("{KEY}: must be 1 to {MAX_KEY_BYTES} visible ASCII characters")]
     Key,
     #[error("{TICKET}: {0}")]
     Ticket(#[from] ticket::Error),
@@ -93,7 +93,7 @@
 }
 
 impl Error {
-    /// The status that tells the caller.
+    /// Returns the HTTP status for the fault.
     pub(crate) fn status(&self) -> u16 {
         match self {
             Self::Oversize(_) => 431,
@@ -103,7 +103,7 @@
     }
 }
 
-/// Whether a header concerns one connection only, or is listed as such in `Connection`.
+/// Whether a header is hop-by-hop, by its name or because `Connection` lists it.
 pub(crate) fn is_hop_by_hop(name: &str, connection: &str) -> bool {
     let listed = connection
         .split(',')
@@ -116,7 +116,7 @@
 }
 
 impl Head {
-    /// Checks the head of `request`, whose headers may take `limit` bytes.
+    /// Validates the head of `request`; its URL and headers may have `limit` bytes in all.
     pub(crate) fn new(request: &tiny_http::Request, limit: usize) -> Result<Self, Error> {
         let url = request.url();
         let size = url.len()
@@ -128,7 +128,7 @@
         if size > limit {
             return Err(Error::Oversize(size));
         }
-        let (service, path) = split(url).ok_or_else(|| Error::Path(url.into()))?;
+        let (service, path) = split_url(url).ok_or_else(|| Error::Path(url.into()))?;
         let mut head = Self {
             service,
             method: request.method().as_str().into(),
@@ -139,12 +139,12 @@
             ticket: None,
             length: None,
         };
-        head.take_headers(request)?;
+        head.parse_headers(request)?;
         Ok(head)
     }
 
-    /// The head of a request that another entry host relays.
-    pub(crate) fn with_open(open: &Open) -> Result<Self, Error> {
+    /// Builds the head of a request that another entry host relays.
+    pub(crate) fn from_open(open: &Open) -> Result<Self, Error> {
         let ticket = open.ticket.as_deref().map(str::parse).transpose()?;
         Ok(Self {
             service: open.service.clone(),
@@ -152,44 +152,44 @@
             path: open.path.clone(),
             headers: open.headers.clone(),
             deadline: Some(open.deadline),
-            // Only the home of a ticket minds the key; towards a target it is a header like others.
+            // Only the home host of a ticket handles the key; for a target it is an ordinary header.
             key: open.key.clone().filter(|_| ticket.is_some()),
             ticket,
             length: open.length,
         })
     }
 
-    fn take_headers(&mut self, request: &tiny_http::Request) -> Result<(), Error> {
-        let connection = find(request, "connection").unwrap_or_default();
-        let encoding = find(request, "transfer-encoding");
-        let chunked = encoding.is_some();
+    fn parse_headers(&mut self, request: &tiny_http::Request) -> Result<(), Error> {
+        let connection = find_header(request, "connection").unwrap_or_default();
+        let encoding = find_header(request, "transfer-encoding");
+        let is_chunked = encoding.is_some();
         if let Some(encoding) = encoding.filter(|text| !text.eq_ignore_ascii_case("chunked")) {
             return Err(Error::Encoding(encoding));
         }
-        let mut lengths = 0;
+        let mut length_headers = 0;
         for header in request.headers() {
             let name = header.field.as_str().as_str();
             let value = header.value.as_str();
             if name.eq_ignore_ascii_case(DEADLINE) {
-                self.deadline = Some(deadline(value)?);
+                self.deadline = Some(parse_deadline(value)?);
             } else if name.eq_ignore_ascii_case(KEY) {
                 self.set_key(value)?;
             } else if name.eq_ignore_ascii_case(TICKET) {
                 self.ticket = Some(value.parse()?);
                 continue;
             } else if name.eq_ignore_ascii_case("content-length") {
-                lengths += 1;
+                length_headers += 1;
                 let length = value.parse().map_err(|_| Error::Length(value.into()))?;
                 self.length = Some(length);
             }
-            if !is_hop_by_hop(name, &connection) && !contains(&OWN, name) {
+            if !is_hop_by_hop(name, &connection) && !contains(&SET_BY_HOST, name) {
                 self.headers.push((name.into(), value.into()));
             }
         }
-        if lengths > 1 || (lengths == 1 && chunked) {
+        if length_headers > 1 || (length_headers == 1 && is_chunked) {
             return Err(Error::Repeated("Content-Length"));
         }
-        if lengths == 0 && !chunked {
+        if length_headers == 0 && !is_chunked {
             self.length = Some(0);
         }
         Ok(())
@@ -199,8 +199,8 @@
         if self.key.is_some() {
             return Err(Error::Repeated(KEY));
         }
-        let visible = value.bytes().all(|byte| byte.is_ascii_graphic());
-        if value.is_empty() || value.len() > MAX_KEY || !visible {
+        let is_visible = value.bytes().all(|byte| byte.is_ascii_graphic());
+        if value.is_empty() || value.len() > MAX_KEY_BYTES || !is_visible {
             return Err(Error::Key);
         }
         self.key = Some(value.into());
@@ -208,7 +208,7 @@
     }
 }
 
-fn find(request: &tiny_http::Request, name: &'static str) -> Option<Arc<str>> {
+fn find_header(request: &tiny_http::Request, name: &'static str) -> Option<Arc<str>> {
     request
         .headers()
         .iter()
@@ -216,19 +216,19 @@
         .map(|header| header.value.as_str().into())
 }
 
-fn deadline(value: &str) -> Result<Duration, Error> {
-    let wrong = || Error::Deadline(value.into());
-    let ms: u64 = value.trim().parse().map_err(|_| wrong())?;
+fn parse_deadline(value: &str) -> Result<Duration, Error> {
+    let invalid = || Error::Deadline(value.into());
+    let ms: u64 = value.trim().parse().map_err(|_| invalid())?;
     let time = Duration::from_millis(ms);
     if ms == 0 || time > MAX_DEADLINE {
-        return Err(wrong());
+        return Err(invalid());
     }
     Ok(time)
 }
 
 /// Splits `/v1/services/S/PATH?QUERY` into `S` and `/PATH?QUERY`.
-fn split(url: &str) -> Option<(Arc<str>, Arc<str>)> {
-    let rest = url.strip_prefix(SERVICES)?;
+fn split_url(url: &str) -> Option<(Arc<str>, Arc<str>)> {
+    let rest = url.strip_prefix(SERVICES_PREFIX)?;
     let end = rest.find(['/', '?']).unwrap_or(rest.len());
     let (service, path) = rest.split_at(end);
     if service.is_empty() {
--- a/src/entry/health.rs
+++ b/src/entry/health.rs
@@ -1,7 +1,7 @@
-//! Asks the targets of this host's zone for their state now and then.
+//! Periodic health checks of the targets of this host's zone.
 //!
-//! What they say may lag or mislead: a target that calls itself well is not trusted for it, but one
-//! that says it is leaving gets no new work.
+//! Their results may be outdated or wrong: a target that reports itself healthy is not trusted for that
+//! alone, but one that reports that it is leaving gets no new requests.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -20,22 +20,22 @@
 use crate::literal::LiteralResolver;
 use crate::steer::group::{self, Health};
 
-/// Time between two questions to one target.
-const PERIOD: Duration = Duration::from_millis(750);
-/// Time a target has to answer.
-const TIME: Duration = Duration::from_millis(500);
-/// Threads, so that one silent target does not hold up all others.
+/// Time between two health checks of one target.
+const CHECK_PERIOD: Duration = Duration::from_millis(750);
+/// Time limit of one health check.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
+/// Number of threads, so that one target that does not answer does not delay all others.
 const THREADS: usize = 4;
-/// Shortest pause between two looks at what is due.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Shortest pause between two rounds of checks.
+const MIN_PAUSE: Duration = Duration::from_millis(50);
 
-/// A target's answer.
+/// The body of a target's answer.
 #[derive(Deserialize)]
 struct Answer {
     state: Arc<str>,
 }
 
-/// Starts the threads.
+/// Starts the threads that check the targets.
 pub(crate) fn start(
     zone: &str,
     published: &Arc<Published>,
@@ -57,37 +57,40 @@
 fn run(index: usize, zone: &str, published: &Published, core: &Handle, stop: &AtomicBool) {
     let config = Agent::config_builder()
         .http_status_as_error(false)
-        .timeout_global(Some(TIME))
+        .timeout_global(Some(CHECK_TIMEOUT))
         .max_idle_connections_per_host(1)
         .build();
     let agent = Agent::with_parts(config, TcpConnector::default(), LiteralResolver::default());
     while !stop.load(Ordering::Relaxed) {
         let started = Instant::now();
         let catalog = published.get().catalog.clone();
-        for (key, target) in own(&catalog, zone).skip(index).step_by(THREADS) {
-            if core.is_limited(key) {
-                // Each question is one more request, and its answers to requests tell its state.
+        for (key, target) in zone_targets(&catalog, zone).skip(index).step_by(THREADS) {
+            if core.is_rate_limited(key) {
+                // A check would count against the target's rate, and its answers to requests carry its state.
                 continue;
             }
-            let (health, state) = ask(&agent, target);
+            let (health, state) = check(&agent, target);
             core.send(Event::Health(key, health, state));
             if stop.load(Ordering::Relaxed) {
                 return;
             }
         }
-        let left = PERIOD.saturating_sub(started.elapsed());
-        thread::sleep(left.max(PAUSE));
+        let remaining = CHECK_PERIOD.saturating_sub(started.elapsed());
+        thread::sleep(remaining.max(MIN_PAUSE));
     }
 }
 
-fn own<'a>(catalog: &'a Catalog, zone: &str) -> impl Iterator<Item = (TargetKey, &'a Target)> + 'a {
+fn zone_targets<'a>(
+    catalog: &'a Catalog,
+    zone: &str,
+) -> impl Iterator<Item = (TargetKey, &'a Target)> + 'a {
     let zone = catalog.zone_key(zone);
     catalog
         .targets()
         .filter(move |(_, target)| Some(target.zone) == zone && target.state != State::Off)
 }
 
-fn ask(agent: &Agent, target: &Target) -> (Health, Option<group::State>) {
+fn check(agent: &Agent, target: &Target) -> (Health, Option<group::State>) {
     let answer = agent
         .get(format!("http://{}/health", target.address))
         .call();
--- a/src/entry/idempotency.rs
+++ b/src/entry/idempotency.rs
@@ -1,4 +1,4 @@
-//! Requests with an idempotency key: who may run them, and what later copies get.
+//! Handles requests with an idempotency key: decides which host may run one and how later copies are answered.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -6,7 +6,7 @@
 use crossbeam_channel::bounded;
 
 use super::body::Body;
-use super::call::{to_caller, Call, Sender, Start};
+use super::call::{to_caller, Call, RequestContext, Requester};
 use super::core::Event;
 use super::relay;
 use super::reply::{self, Reply};
@@ -17,16 +17,16 @@
 use crate::steer::engine::Refusal;
 use crate::steer::ticket::{Generation, Home};
 
-/// What the end of a key's run means for it.
-pub(crate) fn end(outcome: Outcome, reply: Option<&Reply>) -> End {
+/// Converts the outcome of a request to the end of its key's run.
+pub(crate) fn to_key_end(outcome: Outcome, reply: Option<&Reply>) -> End {
     match (outcome, reply) {
         (Outcome::NotRun(_), _) => End::NotRun,
-        (Outcome::Answered, Some(reply)) => End::Answered(to_kept(reply)),
+        (Outcome::Answered, Some(reply)) => End::Answered(to_stored_answer(reply)),
         _ => End::Unknown,
     }
 }
 
-fn to_kept(reply: &Reply) -> Option<Arc<Answer>> {
+fn to_stored_answer(reply: &Reply) -> Option<Arc<Answer>> {
     let reply::Body::Whole(body) = &reply.body else {
         return None;
     };
@@ -46,108 +46,117 @@
     }
 }
 
-/// Carries a request, with regard to its key if it has one that matters.
-pub(crate) fn run(shared: &Arc<Shared>, start: Start, sender: Sender) {
-    let repeat = start.catalog.service(start.service).repeat;
-    let Some(key) = start.head.key.clone().filter(|_| repeat == Repeat::Never) else {
-        return carry(shared, Call::new(start, sender));
+/// Runs a request. The idempotency key matters only for services whose requests must not be repeated.
+pub(crate) fn run(shared: &Arc<Shared>, context: RequestContext, requester: Requester) {
+    let repeat = context.catalog.service(context.service).repeat;
+    let Some(key) = context.head.key.clone().filter(|_| repeat == Repeat::Never) else {
+        return run_call(shared, Call::new(context, requester));
     };
-    let Some(ticket) = &start.head.ticket else {
+    let Some(ticket) = &context.head.ticket else {
         let text = "a request with an Idempotency-Key needs the Ragwortfold-Ticket of a look-up";
-        return refuse(sender, Reply::not_run(428, text, None));
+        return reply_refusal(requester, Reply::not_run(428, text, None));
     };
     match shared.issuer.check(Instant::now(), ticket) {
-        Home::Here(generation) => begin(shared, start, sender, key, generation),
-        Home::Gone => tell(sender, Outcome::Unknown(Reason::StaleTicket), None),
+        Home::Here(generation) => begin_run(shared, context, requester, key, generation),
+        Home::Gone => reply_outcome(requester, Outcome::Unknown(Reason::StaleTicket), None),
         Home::Elsewhere(host) => {
-            let home = start.catalog.host_key(&host);
-            let is_relayed = matches!(sender, Sender::Host(_));
+            let home = context.catalog.host_key(&host);
+            let is_relayed = matches!(requester, Requester::Host(_));
             match home.filter(|_| !is_relayed) {
-                Some(home) => Call::new(start, sender).run_at_home(shared, home),
-                None => tell(sender, Outcome::Unknown(Reason::HomeUnreachable), None),
+                Some(home) => Call::new(context, requester).run_at_home(shared, home),
+                None => reply_outcome(requester, Outcome::Unknown(Reason::HomeUnreachable), None),
             }
         }
     }
 }
 
-fn carry(shared: &Arc<Shared>, call: Call) {
+fn run_call(shared: &Arc<Shared>, call: Call) {
     let call = Arc::new(call);
-    call.watch(shared);
+    call.abandon_on_cancel(shared);
     call.run(shared);
 }
 
-fn begin(
+fn begin_run(
     shared: &Arc<Shared>,
-    start: Start,
-    sender: Sender,
+    context: RequestContext,
+    requester: Requester,
     key: Arc<str>,
     generation: Generation,
 ) {
-    let (begun, answer) = bounded(1);
-    let (waiter, told) = bounded(1);
-    shared.core.send(Event::Begin {
-        service: start.service,
+    let (reply, decision) = bounded(1);
+    let (waiter, end) = bounded(1);
+    shared.core.send(Event::BeginKey {
+        service: context.service,
         key,
         generation,
-        identity: identity(&start),
-        reply: begun,
+        identity: identity(&context),
+        reply,
         waiter,
     });
-    match answer.recv() {
-        Ok(Begin::Run(run)) => carry(shared, Call::new(start, sender).with_key(run)),
+    match decision.recv() {
+        Ok(Begin::Run(run)) => run_call(shared, Call::new(context, requester).with_key_run(run)),
         Ok(Begin::Join) => {
-            let left = start.deadline.saturating_duration_since(Instant::now());
-            match told.recv_timeout(left) {
-                Ok(End::Answered(Some(answer))) => replay(sender, &answer),
-                Ok(End::Answered(None)) => tell(sender, Outcome::Unknown(Reason::NotKept), None),
-                Ok(End::NotRun) => tell(sender, Outcome::NotRun(Reason::Refused), None),
-                Ok(End::Unknown) => tell(sender, Outcome::Unknown(Reason::Relayed), None),
-                Err(_) => tell(sender, Outcome::Unknown(Reason::Timeout), None),
+            let left = context.deadline.saturating_duration_since(Instant::now());
+            match end.recv_timeout(left) {
+                Ok(End::Answered(Some(answer))) => send_stored_answer(requester, &answer),
+                Ok(End::Answered(None)) => {
+                    reply_outcome(requester, Outcome::Unknown(Reason::NotKept), None)
+                }
+                Ok(End::NotRun) => reply_outcome(requester, Outcome::NotRun(Reason::Refused), None),
+                Ok(End::Unknown) => {
+                    reply_outcome(requester, Outcome::Unknown(Reason::Relayed), None)
+                }
+                Err(_) => reply_outcome(requester, Outcome::Unknown(Reason::Timeout), None),
             }
         }
-        Ok(Begin::Replay(answer)) => replay(sender, &answer),
-        Ok(Begin::Mismatch) => tell(sender, Outcome::NotRun(Reason::KeyReused), None),
+        Ok(Begin::Replay(answer)) => send_stored_answer(requester, &answer),
+        Ok(Begin::Mismatch) => reply_outcome(requester, Outcome::NotRun(Reason::KeyReused), None),
         Ok(Begin::Full { retry_after }) => {
             let refusal = Refusal {
                 reason: Reason::Crowded,
                 retry_after,
             };
-            tell(sender, Outcome::NotRun(refusal.reason), Some(refusal));
+            reply_outcome(requester, Outcome::NotRun(refusal.reason), Some(refusal));
         }
-        Ok(Begin::Unknown) => tell(sender, Outcome::Unknown(Reason::NotKept), None),
-        Err(_) => tell(sender, Outcome::Unknown(Reason::Leaving), None),
+        Ok(Begin::Unknown) => reply_outcome(requester, Outcome::Unknown(Reason::NotKept), None),
+        Err(_) => reply_outcome(requester, Outcome::Unknown(Reason::Leaving), None),
     }
 }
 
-fn identity(start: &Start) -> Identity {
-    let body = match &start.body {
+fn identity(context: &RequestContext) -> Identity {
+    let body = match &context.body {
         Body::Whole(bytes) => Some(&bytes[..]),
         Body::Part(_) => None,
     };
-    let head = &start.head;
+    let head = &context.head;
     Identity::new(&head.method, &head.path, head.length, body)
 }
 
-fn replay(sender: Sender, answer: &Answer) {
-    give(sender, Outcome::Answered, None, Some(to_reply(answer)));
+fn send_stored_answer(requester: Requester, answer: &Answer) {
+    send_reply(requester, Outcome::Answered, None, Some(to_reply(answer)));
 }
 
-fn tell(sender: Sender, outcome: Outcome, refusal: Option<Refusal>) {
-    give(sender, outcome, refusal, None);
+fn reply_outcome(requester: Requester, outcome: Outcome, refusal: Option<Refusal>) {
+    send_reply(requester, outcome, refusal, None);
 }
 
-fn give(sender: Sender, outcome: Outcome, refusal: Option<Refusal>, reply: Option<Reply>) {
+fn send_reply(
+    requester: Requester,
+    outcome: Outcome,
+    refusal: Option<Refusal>,
+    reply: Option<Reply>,
+) {
     let retry_after = refusal.unwrap_or(Refusal::new(Reason::Refused)).retry_after;
-    match sender {
-        Sender::Caller(request) => to_caller(outcome, retry_after, reply).send(request),
-        Sender::Host(incoming) => relay::reply(incoming, outcome, retry_after, reply),
+    match requester {
+        Requester::Caller(request) => to_caller(outcome, retry_after, reply).send(request),
+        Requester::Host(incoming) => relay::reply(incoming, outcome, retry_after, reply),
     }
 }
 
-fn refuse(sender: Sender, reply: Reply) {
-    match sender {
-        Sender::Caller(request) => reply.send(request),
-        Sender::Host(incoming) => {
+fn reply_refusal(requester: Requester, reply: Reply) {
+    match requester {
+        Requester::Caller(request) => reply.send(request),
+        Requester::Host(incoming) => {
             let refusal = Refusal::new(Reason::BadRequest);
             let outcome = Outcome::NotRun(refusal.reason);
             relay::reply(incoming, outcome, refusal.retry_after, None);
--- a/src/entry/log.rs
+++ b/src/entry/log.rs
@@ -1,4 +1,4 @@
-//! The process's log: one line a message on standard error, each with its part's prefix.
+//! The process's log on standard error: one line for each message, prefixed with the name of its component.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 
 use super::Error;
 
-/// Makes the default logger write as `log` says.
+/// Installs a default logger with the format and level of `log`.
 ///
 /// # Errors
 ///
@@ -29,22 +29,22 @@
     let logger = Logger::builder()
         .sink(sink)
         .flush_level_filter(LevelFilter::All)
-        .level_filter(filter(log.level))
+        .level_filter(to_level_filter(log.level))
         .build()
         .map_err(Error::log)?;
     spdlog::set_default_logger(Arc::new(logger));
     Ok(())
 }
 
-/// Changes the level of the default logger, and says so at the more talkative of both.
+/// Changes the level of the default logger and logs the change at the more verbose of both levels.
 pub(crate) fn change_level(old: border::Level, new: border::Level) {
     let logger = spdlog::default_logger();
-    logger.set_level_filter(filter(old.max(new)));
+    logger.set_level_filter(to_level_filter(old.max(new)));
     spdlog::info!("log: level is now {new}");
-    logger.set_level_filter(filter(new));
+    logger.set_level_filter(to_level_filter(new));
 }
 
-fn filter(level: border::Level) -> LevelFilter {
+fn to_level_filter(level: border::Level) -> LevelFilter {
     LevelFilter::MoreSevereEqual(match level {
         border::Level::Error => Level::Error,
         border::Level::Warn => Level::Warn,
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry host's daemon: actors on one stakker thread, I/O on others.
+//! The entry host's daemon: the core actor runs on one stakker thread, I/O on other threads.
 
 mod background;
 mod body;
@@ -47,27 +47,27 @@
 
 pub use error::Error;
 
-use self::core::Parts;
-use background::{Later, Queue};
-use front::{Front, Relays};
+use self::core::Dependencies;
+use background::{BackgroundTask, TaskSender};
+use front::{Front, RelayPool};
 use metrics::Metrics;
 use published::Published;
 use reply::Reply;
 use server::Server;
 
-/// How long the core may take to tell its status.
-const STATUS_TIME: Duration = Duration::from_secs(1);
-/// How much longer than callers keep its address a leaving host serves.
+/// Time limit for the core's status report, and the `Retry-After` if it is exceeded.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
+/// How much longer than the look-up TTL a leaving host serves.
 const LEAVE_MARGIN: Duration = Duration::from_millis(500);
-/// Longest time that a leaving host waits for work to end.
-const LONGEST_WORK: Duration = Duration::from_secs(3600);
-/// Time without work after which a leaving host ends: longer than the second after which a caller
-/// that was refused elsewhere comes back with this host's ticket.
-const QUIET: Duration = Duration::from_millis(1500);
-/// How often a leaving host looks.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
+/// Longest time that a leaving host waits for its requests to end.
+const MAX_DRAIN_TIME: Duration = Duration::from_secs(3600);
+/// Time without requests after which a leaving host ends. Longer than the 1 s `Retry-After` of a caller that
+/// was refused elsewhere and returns with this host's ticket.
+const IDLE_BEFORE_STOP: Duration = Duration::from_millis(1500);
+/// How often a leaving host checks for requests in flight.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What the threads of one host share.
+/// The state shared by the threads of one host.
 pub(crate) struct Shared {
     pub(crate) settings: Arc<Settings>,
     pub(crate) core: core::Handle,
@@ -76,59 +76,59 @@
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) issuer: Issuer,
     pub(crate) mesh: Arc<Mesh>,
-    later: Queue,
+    background: TaskSender,
     incarnation: u64,
     ids: AtomicU64,
     in_flight: Arc<AtomicUsize>,
 }
 
 impl Shared {
-    /// A number for a request, unique within this process.
+    /// Returns a new request number, unique within this process.
     pub(crate) fn next_id(&self) -> u64 {
         self.ids.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// A request's name towards targets, unique among all hosts.
+    /// Returns the identifier of a request for targets, unique among all hosts.
     pub(crate) fn request_id(&self, id: u64) -> String {
         format!("{}-{}-{id}", self.settings.host, self.incarnation)
     }
 
-    /// Leaves work to the pool for it; drops it if there is too much.
-    pub(crate) fn later(&self, piece: Later) {
-        if let Err(full) = self.later.try_send(piece) {
-            background::give_back(&self.core, full.into_inner());
+    /// Queues a background task; drops it if the queue is full.
+    pub(crate) fn run_in_background(&self, task: BackgroundTask) {
+        if let Err(full) = self.background.try_send(task) {
+            background::return_grant(&self.core, full.into_inner());
         }
     }
 
-    /// Tells a target that a request is no longer waited for.
+    /// Cancels a request at a target in the background.
     pub(crate) fn cancel(&self, target: SocketAddr, id: String) {
-        self.later(Later::Cancel(target, id));
+        self.run_in_background(BackgroundTask::Cancel(target, id));
     }
 
-    /// What this host says of itself.
+    /// Builds the answer to a status request.
     pub(crate) fn status(&self) -> Reply {
         let (sender, receiver) = bounded(1);
         self.core.send(core::Event::Status(sender));
-        match receiver.recv_timeout(STATUS_TIME) {
+        match receiver.recv_timeout(STATUS_TIMEOUT) {
             Ok(status) => {
                 let in_flight = self.in_flight.load(Ordering::Relaxed);
                 Reply::json(200, &status.with_in_flight(in_flight))
             }
-            Err(_) => Reply::not_run(503, "the core is busy", Some(STATUS_TIME)),
+            Err(_) => Reply::not_run(503, "the core is busy", Some(STATUS_TIMEOUT)),
         }
     }
 
-    /// Counts a request as in flight until what is returned is dropped.
-    pub(crate) fn enter(&self) -> InFlight {
+    /// Counts a request as in flight until the returned guard is dropped.
+    pub(crate) fn track_in_flight(&self) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
-        InFlight(self.in_flight.clone())
+        InFlightGuard(self.in_flight.clone())
     }
 }
 
-/// A request that is in flight.
-pub(crate) struct InFlight(Arc<AtomicUsize>);
+/// Counts a request as in flight until it is dropped.
+pub(crate) struct InFlightGuard(Arc<AtomicUsize>);
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -138,7 +138,7 @@
 pub struct Host {
     server: Server,
     shared: Arc<Shared>,
-    feed: config_sync::Queue,
+    config_events: config_sync::EventSender,
     stop: Arc<AtomicBool>,
 }
 
@@ -147,38 +147,38 @@
     ///
     /// # Errors
     ///
-    /// A setting that cannot be used, or a socket or thread that cannot be had.
+    /// A setting is invalid, or a socket or thread could not be created.
     pub fn new(settings: Settings) -> Result<Self, Error> {
         let settings = Arc::new(settings);
-        let listen = address("listen", &settings.listen)?;
-        let idle = Duration::from_millis(settings.pool.idle_ms.into());
-        let listener = server::listen(listen, idle).map_err(|source| Error::Listen {
+        let listen = parse_address("listen", &settings.listen)?;
+        let idle_timeout = Duration::from_millis(settings.pool.idle_ms.into());
+        let listener = server::listen(listen, idle_timeout).map_err(|source| Error::Listen {
             address: listen,
             source,
         })?;
-        let incarnation = incarnation();
+        let incarnation = new_incarnation();
         let rotation = Rotation::new(Instant::now());
         let published = Arc::new(Published::new());
-        let (later, work) = background::queue();
+        let (background, tasks) = background::task_queue();
         let metrics = Arc::new(Metrics::new()?);
-        let (asks, asked) = unbounded();
-        let (feed, news) = unbounded();
-        let delegate = Arc::new(AtomicBool::new(false));
-        let core = core::start(Parts {
+        let (store_commands, store_command_receiver) = unbounded();
+        let (config_events, config_event_receiver) = unbounded();
+        let is_delegate = Arc::new(AtomicBool::new(false));
+        let core = core::start(Dependencies {
             settings: settings.clone(),
             published: published.clone(),
-            later: later.clone(),
+            background: background.clone(),
             rotation,
             incarnation,
-            platform: asks,
-            feed: feed.clone(),
+            store_commands,
+            config_events: config_events.clone(),
             metrics: metrics.clone(),
-            delegate: delegate.clone(),
+            is_delegate: is_delegate.clone(),
         })?;
-        let known = Arc::new(config_sync::Known::default());
-        config_sync::start(core.clone(), known.clone(), news)?;
-        let (relays, relayed) = Relays::new(settings.pool.backlog.get() as usize);
-        let mesh = Arc::new(mesh(&settings, incarnation, core.clone(), relays)?);
+        let current = Arc::new(config_sync::CurrentRevision::default());
+        config_sync::start(core.clone(), current.clone(), config_event_receiver)?;
+        let (relays, relayed_requests) = RelayPool::new(settings.pool.backlog.get() as usize);
+        let mesh = Arc::new(build_mesh(&settings, incarnation, core.clone(), relays)?);
         core.send(core::Event::Mesh(mesh.clone()));
         let stop = Arc::new(AtomicBool::new(false));
         let connect = Duration::from_millis(settings.pool.connect_ms.get().into());
@@ -189,32 +189,32 @@
             metrics,
             issuer: Issuer::new(settings.host.as_str().into(), incarnation, rotation),
             mesh,
-            later,
+            background,
             incarnation,
             ids: AtomicU64::new(0),
             in_flight: Arc::default(),
             settings,
         });
-        background::start(&shared, &work)?;
-        Relays::start(&shared, &relayed)?;
+        background::start(&shared, &tasks)?;
+        RelayPool::start(&shared, &relayed_requests)?;
         let front = Front::new(shared.clone())?;
-        let platform = platform::Parts {
+        let platform = platform::PlatformClient {
             url: shared.settings.platform.as_str().into(),
             core: core.clone(),
-            feed: feed.clone(),
-            known,
-            delegate,
+            config_events: config_events.clone(),
+            current,
+            is_delegate,
             stop: stop.clone(),
             seed: incarnation,
         };
-        platform::start(&platform, asked)?;
+        platform::start(&platform, store_command_receiver)?;
         let zone = &shared.settings.availability_zone;
         health::start(zone, &shared.published, &core, &stop)?;
         let threads = shared.settings.pool.lookup_workers.get() as usize;
-        let handler = Arc::new(move |request| front.take(request));
-        let counted = shared.clone();
-        let rebuilt = Box::new(move || counted.metrics.rebuilt());
-        let server = Server::new(listener, threads, idle, handler, rebuilt)?;
+        let handler = Arc::new(move |request| front.handle(request));
+        let shared_for_rebuilds = shared.clone();
+        let on_rebuild = Box::new(move || shared_for_rebuilds.metrics.count_rebuild());
+        let server = Server::new(listener, threads, idle_timeout, handler, on_rebuild)?;
         spdlog::info!(
             "entry: {} listens on {}",
             shared.settings.host,
@@ -223,35 +223,35 @@
         Ok(Self {
             server,
             shared,
-            feed,
+            config_events,
             stop,
         })
     }
 
-    /// Where callers connect.
+    /// Returns the address that callers connect to.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Leaves in an orderly way: takes itself out of look-ups, serves until callers no longer keep its
-    /// address and all work is done, and ends. Returns how long that took.
+    /// Shuts down gracefully: removes this host from look-ups, serves until callers have dropped its address
+    /// and all requests have ended, then stops. Returns how long that took.
     pub fn drain(self) -> Duration {
         let started = Instant::now();
         self.shared.core.send(core::Event::Leave);
         let ttl = self.shared.published.get().catalog.limits().ttl;
         let earliest = started + ttl + LEAVE_MARGIN;
-        let latest = started + LONGEST_WORK;
-        let mut quiet = Instant::now();
-        let mut seen = self.shared.ids.load(Ordering::Relaxed);
+        let latest = started + MAX_DRAIN_TIME;
+        let mut last_active = Instant::now();
+        let mut last_id = self.shared.ids.load(Ordering::Relaxed);
         loop {
-            thread::sleep(DRAIN_LOOK);
+            thread::sleep(DRAIN_CHECK_INTERVAL);
             let now = Instant::now();
-            let begun = self.shared.ids.load(Ordering::Relaxed);
-            if begun != seen || self.shared.in_flight.load(Ordering::Relaxed) > 0 {
-                quiet = now;
+            let next_id = self.shared.ids.load(Ordering::Relaxed);
+            if next_id != last_id || self.shared.in_flight.load(Ordering::Relaxed) > 0 {
+                last_active = now;
             }
-            seen = begun;
-            let is_done = now >= earliest && now >= quiet + QUIET;
+            last_id = next_id;
+            let is_done = now >= earliest && now >= last_active + IDLE_BEFORE_STOP;
             if is_done || now >= latest {
                 break;
             }
@@ -260,23 +260,23 @@
         started.elapsed()
     }
 
-    /// Ends the host's threads at once, as if the process died.
+    /// Stops the host's threads immediately, without draining.
     pub fn stop(&self) {
         self.stop.store(true, Ordering::Relaxed);
         self.server.stop();
-        let _ = self.feed.send(config_sync::News::Stop);
+        let _ = self.config_events.send(config_sync::ConfigEvent::Stop);
         self.shared.core.send(core::Event::Stop);
     }
 }
 
-/// Opens the links to other hosts.
-fn mesh(
+/// Creates the mesh of links to other hosts.
+fn build_mesh(
     settings: &Settings,
     incarnation: u64,
     core: core::Handle,
-    relays: Relays,
+    relays: RelayPool,
 ) -> Result<Mesh, Error> {
-    let listen = address("peer_listen", &settings.peer_listen)?;
+    let listen = parse_address("peer_listen", &settings.peer_listen)?;
     let config = peer::config::Config::new(
         settings.host.as_str(),
         incarnation,
@@ -285,18 +285,18 @@
         Listen::Address(listen),
     );
     Mesh::new(config, move |event| match event {
-        peer::mesh::Event::Open(incoming) => relays.take(incoming),
+        peer::mesh::Event::Open(incoming) => relays.enqueue(incoming),
         event => core.send(core::Event::Peer(event)),
     })
     .map_err(|error| Error::Peer(error.to_string().into()))
 }
 
-/// Runs an entry host until it is told to stop. `read` reads its settings, at the start and again when
-/// the log level may have changed.
+/// Runs an entry host until SIGTERM or SIGINT. `read` reads its settings, at the start and again on SIGHUP,
+/// which applies a changed log level.
 ///
 /// # Errors
 ///
-/// What keeps the host from starting.
+/// The settings cannot be read, or the host cannot be started.
 pub fn run<E>(read: impl Fn() -> Result<Settings, E>) -> Result<(), E>
 where
     E: From<Error> + std::fmt::Display,
@@ -304,7 +304,7 @@
     let settings = read()?;
     let mut level = settings.log.level;
     log::install(&settings.log)?;
-    limit_files(settings.pool.open_files.into());
+    raise_file_limit(settings.pool.open_files.into());
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(Error::from)?;
     let host = Host::new(settings)?;
     for signal in signals.forever() {
@@ -320,13 +320,13 @@
         }
     }
     spdlog::info!("entry: leaving");
-    let took = host.drain();
-    spdlog::info!("entry: left after {} ms", took.as_millis());
+    let elapsed = host.drain();
+    spdlog::info!("entry: left after {} ms", elapsed.as_millis());
     Ok(())
 }
 
-/// Asks the system for `wanted` open files, as far as it allows.
-fn limit_files(wanted: u64) {
+/// Raises the limit of open files to `wanted`, or as far as the hard limit allows.
+fn raise_file_limit(wanted: u64) {
     let set = Resource::NOFILE.get().and_then(|(_, hard)| {
         let soft = wanted.min(hard);
         Resource::NOFILE.set(soft, hard).map(|()| soft)
@@ -338,15 +338,15 @@
     }
 }
 
-/// A number that rises with each start of a host.
-fn incarnation() -> u64 {
+/// Returns a number that increases with each start of a host: its start time in microseconds.
+fn new_incarnation() -> u64 {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
     u64::try_from(now.as_micros()).unwrap_or(u64::MAX)
 }
 
-fn address(path: &'static str, text: &str) -> Result<SocketAddr, Error> {
+fn parse_address(path: &'static str, text: &str) -> Result<SocketAddr, Error> {
     text.parse()
         .map_err(|_| Error::setting(path, format!("'{text}' is not IP:PORT")))
 }
--- a/src/entry/pipelining.rs
+++ b/src/entry/pipelining.rs
@@ -1,8 +1,9 @@
-//! The requests of one connection, one after the other.
+//! Serializes the pipelined requests of each connection.
 //!
-//! A caller may send requests ahead of the answers. `tiny_http` hands them over at once, and the thread
-//! that answers one of them early waits for all before it: a single connection could keep every
-//! thread. Here a request waits, without a thread, until those before it have their answers.
+//! A caller may send further requests before it has the answers to earlier ones. `tiny_http` returns them
+//! immediately, and a thread that answers one of them blocks until all earlier ones are answered: a single
+//! connection could block every thread. Here a request is queued, without a thread, until the earlier
+//! ones of its connection are answered.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -14,14 +15,14 @@
 use super::raw_socket;
 use super::request::Request;
 
-/// Parts of the table, each with a lock of its own.
+/// Number of shards of the table, each with its own lock.
 const SHARDS: usize = 16;
-/// Requests of one connection that may wait; with more no further ones are read from it.
-const MAX_WAITING: usize = 64;
-/// How long a connection that was closed here is remembered, since requests of it may still come.
-const REMEMBER_CLOSED: Duration = Duration::from_secs(5);
+/// Maximum number of queued requests of one connection; at this number reading from it is shut down.
+const MAX_QUEUED_REQUESTS: usize = 64;
+/// How long a connection closed by this host is remembered, since the library may still return requests of it.
+const CLOSED_RETENTION: Duration = Duration::from_secs(5);
 
-/// Connections with requests that have no answer yet.
+/// The connections with unanswered requests.
 pub(crate) struct Turns {
     shards: [Mutex<BTreeMap<SocketAddr, Connection>>; SHARDS],
     ready: Sender<Request>,
@@ -29,22 +30,22 @@
 
 #[derive(Default)]
 struct Connection {
-    waiting: VecDeque<Request>,
+    queue: VecDeque<Request>,
     state: State,
 }
 
-/// What happens on a connection.
+/// The state of a connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum State {
-    /// A request of it is being handled.
+    /// One of its requests is being handled.
     #[default]
     Busy,
-    /// It was closed by this host then.
+    /// This host closed it at the given time.
     Closed(Instant),
 }
 
 impl Turns {
-    /// Hands each request whose turn has come to `ready`.
+    /// Creates an empty table; queued requests are sent to `ready` when their turn comes.
     pub(crate) fn new(ready: Sender<Request>) -> Arc<Self> {
         Arc::new(Self {
             shards: Default::default(),
@@ -52,8 +53,8 @@
         })
     }
 
-    /// Gives the request back if it is its turn, else keeps it until then.
-    pub(crate) fn take(turns: &Arc<Self>, request: Request) -> Option<Request> {
+    /// Returns the request if it is its turn; otherwise queues it.
+    pub(crate) fn admit(turns: &Arc<Self>, request: Request) -> Option<Request> {
         let Some(peer) = request.remote_addr().copied() else {
             return Some(request);
         };
@@ -65,17 +66,17 @@
         };
         match connection.state {
             State::Busy => {
-                connection.waiting.push_back(request);
-                let crowded = connection.waiting.len() == MAX_WAITING;
+                connection.queue.push_back(request);
+                let is_full = connection.queue.len() == MAX_QUEUED_REQUESTS;
                 drop(shard);
-                if crowded {
+                if is_full {
                     raw_socket::close_read(peer);
                 }
                 None
             }
-            State::Closed(when) if when.elapsed() < REMEMBER_CLOSED => {
+            State::Closed(closed_at) if closed_at.elapsed() < CLOSED_RETENTION => {
                 drop(shard);
-                // What comes now was part of a body. Its connection is gone.
+                // The library parsed the rest of a body as a request. The connection is already closed.
                 drop(request);
                 None
             }
@@ -87,13 +88,15 @@
         }
     }
 
-    /// Forgets connections that were closed long ago.
+    /// Removes connections that were closed longer than [`CLOSED_RETENTION`] ago.
     pub(crate) fn purge(&self, now: Instant) {
         for shard in &self.shards {
             let mut shard = shard.lock().unwrap_or_else(PoisonError::into_inner);
             shard.retain(|_, connection| match connection.state {
                 State::Busy => true,
-                State::Closed(when) => now.saturating_duration_since(when) < REMEMBER_CLOSED,
+                State::Closed(closed_at) => {
+                    now.saturating_duration_since(closed_at) < CLOSED_RETENTION
+                }
             });
         }
     }
@@ -105,13 +108,13 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The request in hand has its answer: lets the next one through.
+    /// Called when the current request is answered: passes on the next one of the connection.
     fn finish(turns: &Arc<Self>, peer: SocketAddr) {
         let mut shard = turns.shard(peer);
         let Some(connection) = shard.get_mut(&peer) else {
             return;
         };
-        match connection.waiting.pop_front() {
+        match connection.queue.pop_front() {
             Some(next) => {
                 drop(shard);
                 let next = next.with_turn(Turn::new(turns, peer));
@@ -125,21 +128,21 @@
 
     fn close(&self, peer: SocketAddr) {
         let closed = Connection {
-            waiting: VecDeque::new(),
+            queue: VecDeque::new(),
             state: State::Closed(Instant::now()),
         };
         let old = self.shard(peer).insert(peer, closed);
         raw_socket::close(peer);
-        // Dropping a request writes an answer; that must not happen under the lock.
+        // Dropping a request writes an answer, which must not happen while the lock is held.
         drop(old);
     }
 }
 
-/// The turn of one request; it ends when dropped.
+/// The turn of one request on its connection. Dropping it ends the turn.
 pub(crate) struct Turn {
     turns: Arc<Turns>,
     peer: SocketAddr,
-    closes: bool,
+    closes_connection: bool,
 }
 
 impl Turn {
@@ -147,19 +150,19 @@
         Self {
             turns: turns.clone(),
             peer,
-            closes: false,
+            closes_connection: false,
         }
     }
 
-    /// Closes the connection when the turn ends, and drops whatever else comes over it.
-    pub(crate) fn close(&mut self) {
-        self.closes = true;
+    /// Closes the connection when the turn ends, and drops its queued and later requests.
+    pub(crate) fn close_at_end(&mut self) {
+        self.closes_connection = true;
     }
 }
 
 impl Drop for Turn {
     fn drop(&mut self) {
-        if self.closes {
+        if self.closes_connection {
             self.turns.close(self.peer);
         } else {
             Turns::finish(&self.turns, self.peer);
--- a/src/entry/platform.rs
+++ b/src/entry/platform.rs
@@ -1,7 +1,7 @@
-//! The threads that talk to the platform.
+//! The threads that call the platform.
 //!
-//! One watches the configuration: a delegate of its zone waits for changes, any other host asks
-//! now and then, in case that nobody told it. The other carries out what control asks of the store,
+//! One follows the configuration: a delegate of its zone watches for changes, any other host polls in
+//! case no other host has sent it a newer revision. The other thread executes control's store commands
 //! and reads the list of hosts.
 
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use super::config_sync::{Known, News, Queue};
+use super::config_sync::{ConfigEvent, CurrentRevision, EventSender};
 use super::core::{Event, Handle};
 use super::Error;
 use crate::control::plan::Record;
@@ -25,44 +25,44 @@
 use crate::store::guard::Guard;
 use crate::store::publication::{self, Fetched};
 
-/// How long one watch waits. One whose connection falls silent hides a change until it is given up, which has to be well within
-/// the time in which a change is to be in force.
-const WATCH: Duration = Duration::from_millis(1500);
-/// Pause after a failed call.
-const PAUSE: Duration = Duration::from_millis(300);
-/// Mean time between the questions of a host that does not watch.
-const POLL: Duration = Duration::from_secs(30);
-/// How often a thread looks whether its part changed.
-const LOOK: Duration = Duration::from_millis(200);
-/// Time between readings of the list of hosts by a delegate.
-const LIST: Duration = Duration::from_secs(2);
-/// The object of the planner lease.
-const LEASE: &str = "control/lease";
-/// The object of the plan.
-const PLAN: &str = "control/plan";
+/// Time limit of one watch. If its connection stalls, a change goes unnoticed until the watch times out, which has to be
+/// well within the time in which a change must be in force.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Mean pause after a failed call, and the time that a fetched revision gets to come into force.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// Mean polling interval of a host that does not watch.
+const POLL_INTERVAL: Duration = Duration::from_secs(30);
+/// How often the threads check whether to stop or whether this host became a delegate.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval at which a delegate reads the list of hosts.
+const HOST_LIST_INTERVAL: Duration = Duration::from_secs(2);
+/// Key of the planner lease in the store.
+const LEASE_KEY: &str = "control/lease";
+/// Key of the plan in the store.
+const PLAN_KEY: &str = "control/plan";
 
-/// What control asks of the store.
-pub(crate) enum Ask {
+/// A store operation requested by control.
+pub(crate) enum StoreCommand {
     /// Read or write the lease.
     Lease(lease::Command),
     /// Read or write the plan.
     Plan(publish::Command, Box<Record>),
 }
 
-/// What the threads share.
+/// The state shared by both threads.
 #[derive(Clone)]
-pub(crate) struct Parts {
+pub(crate) struct PlatformClient {
     pub(crate) url: Arc<str>,
     pub(crate) core: Handle,
-    pub(crate) feed: Queue,
-    pub(crate) known: Arc<Known>,
+    pub(crate) config_events: EventSender,
+    pub(crate) current: Arc<CurrentRevision>,
     /// Whether this host is a delegate of its zone.
-    pub(crate) delegate: Arc<AtomicBool>,
+    pub(crate) is_delegate: Arc<AtomicBool>,
     pub(crate) stop: Arc<AtomicBool>,
     pub(crate) seed: u64,
 }
 
-/// The lease, as it is kept on the platform.
+/// The lease as stored on the platform.
 #[derive(Serialize, Deserialize)]
 struct Lease {
     holder: Arc<str>,
@@ -72,26 +72,29 @@
 }
 
 /// Starts the threads.
-pub(crate) fn start(parts: &Parts, asks: Receiver<Ask>) -> Result<(), Error> {
-    let watcher = parts.clone();
+pub(crate) fn start(
+    client: &PlatformClient,
+    commands: Receiver<StoreCommand>,
+) -> Result<(), Error> {
+    let watcher = client.clone();
     thread::Builder::new()
         .name("watch".into())
         .spawn(move || watcher.watch())?;
-    let keeper = parts.clone();
+    let executor = client.clone();
     thread::Builder::new()
         .name("store".into())
-        .spawn(move || keeper.keep(&asks))?;
+        .spawn(move || executor.execute_commands(&commands))?;
     Ok(())
 }
 
-impl Parts {
+impl PlatformClient {
     fn is_running(&self) -> bool {
         !self.stop.load(Ordering::Relaxed)
     }
 
     fn is_watcher(&self) -> bool {
-        // Until a first configuration is known, nobody is a delegate, and each asks for itself.
-        self.delegate.load(Ordering::Relaxed) || self.known.revision() == 0
+        // Before the first configuration no host is a delegate, so every host watches.
+        self.is_delegate.load(Ordering::Relaxed) || self.current.revision() == 0
     }
 
     fn watch(&self) {
@@ -102,7 +105,7 @@
         while self.is_running() {
             let mut failed = !self.refresh(&guard, &mut seen);
             if self.is_watcher() && !failed {
-                match guard.watch(publication::HEAD, after, WATCH) {
+                match guard.watch(publication::HEAD, after, WATCH_TIMEOUT) {
                     Ok(events) => after = events.version,
                     Err(error) => {
                         spdlog::warn!("platform: {error}");
@@ -111,34 +114,34 @@
                 }
             }
             if failed {
-                thread::sleep(PAUSE.mul_f64(rng.random_range(0.5..1.5)));
+                thread::sleep(RETRY_PAUSE.mul_f64(rng.random_range(0.5..1.5)));
             } else if !self.is_watcher() {
-                self.idle(POLL.mul_f64(rng.random_range(0.5..1.5)));
+                self.wait_for_poll(POLL_INTERVAL.mul_f64(rng.random_range(0.5..1.5)));
             }
         }
     }
 
-    /// Waits until it is time to ask again, or this host has to watch.
-    fn idle(&self, time: Duration) {
-        let end = Instant::now() + time;
-        while self.is_running() && !self.is_watcher() && Instant::now() < end {
-            thread::sleep(LOOK);
+    /// Waits for `time`, or until this host has to watch.
+    fn wait_for_poll(&self, time: Duration) {
+        let deadline = Instant::now() + time;
+        while self.is_running() && !self.is_watcher() && Instant::now() < deadline {
+            thread::sleep(CHECK_INTERVAL);
         }
     }
 
-    /// Reads a newer revision, if there is one. Tells whether the platform could be asked. What was
-    /// `seen` before is not read again, even if it has faults and never came into force.
+    /// Fetches a newer revision, if there is one. Returns whether the platform answered. A revision
+    /// already in `seen` is not fetched again, even if it is invalid and never came into force.
     fn refresh(&self, guard: &Guard, seen: &mut Arc<Fetched>) -> bool {
-        let known = self.known.fetched();
-        if known.revision >= seen.revision {
-            *seen = known;
+        let current = self.current.fetched();
+        if current.revision >= seen.revision {
+            *seen = current;
         }
         match publication::fetch(guard, seen) {
             Ok(Some(fetched)) => {
                 let revision = fetched.revision;
                 *seen = Arc::new(fetched.clone());
-                let _ = self.feed.send(News::Fetched(fetched));
-                self.wait_known(revision);
+                let _ = self.config_events.send(ConfigEvent::Fetched(fetched));
+                self.wait_until_in_force(revision);
                 true
             }
             Ok(None) => true,
@@ -149,38 +152,38 @@
         }
     }
 
-    /// Gives a revision time to come into force, so that it is not fetched twice.
-    fn wait_known(&self, revision: u64) {
-        let end = Instant::now() + PAUSE;
-        while self.known.revision() < revision && Instant::now() < end {
+    /// Waits briefly for a revision to come into force, so that it is not fetched twice.
+    fn wait_until_in_force(&self, revision: u64) {
+        let deadline = Instant::now() + RETRY_PAUSE;
+        while self.current.revision() < revision && Instant::now() < deadline {
             thread::sleep(Duration::from_millis(2));
         }
     }
 
-    fn keep(&self, asks: &Receiver<Ask>) {
+    fn execute_commands(&self, commands: &Receiver<StoreCommand>) {
         let client = Client::new(&self.url).with_timeout(Duration::from_secs(2));
         let guard = Guard::new(client);
-        let mut list = Instant::now();
+        let mut next_list = Instant::now();
         while self.is_running() {
-            match asks.recv_timeout(LOOK) {
-                Ok(Ask::Lease(command)) => {
-                    let event = lease(&guard, command);
-                    self.core.send(Event::Leased(event));
+            match commands.recv_timeout(CHECK_INTERVAL) {
+                Ok(StoreCommand::Lease(command)) => {
+                    let event = execute_lease(&guard, command);
+                    self.core.send(Event::LeaseResult(event));
                 }
-                Ok(Ask::Plan(command, record)) => {
-                    let (event, found) = plan(&guard, command, &record);
+                Ok(StoreCommand::Plan(command, record)) => {
+                    let (event, found) = execute_plan(&guard, command, &record);
                     if let Some(found) = found {
-                        self.core.send(Event::Stored(Box::new(found)));
+                        self.core.send(Event::StoredPlan(Box::new(found)));
                     }
-                    self.core.send(Event::Published(event));
+                    self.core.send(Event::PlanResult(event));
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            if self.delegate.load(Ordering::Relaxed) && Instant::now() >= list {
-                list = Instant::now() + LIST;
+            if self.is_delegate.load(Ordering::Relaxed) && Instant::now() >= next_list {
+                next_list = Instant::now() + HOST_LIST_INTERVAL;
                 match guard.hosts() {
-                    Ok(hosts) => self.core.send(Event::Listed(hosts)),
+                    Ok(hosts) => self.core.send(Event::HostList(hosts)),
                     Err(error) => spdlog::debug!("platform: {error}"),
                 }
             }
@@ -188,11 +191,11 @@
     }
 }
 
-fn lease(guard: &Guard, command: lease::Command) -> lease::Event {
+fn execute_lease(guard: &Guard, command: lease::Command) -> lease::Event {
     match command {
-        lease::Command::Read => match read::<Lease>(guard, LEASE) {
+        lease::Command::Read => match read_object::<Lease>(guard, LEASE_KEY) {
             Ok(found) => lease::Event::Read(
-                found.map(|found| (version(found.version), to_value(found.value))),
+                found.map(|found| (to_version(found.version), to_value(found.value))),
             ),
             Err(error) => {
                 spdlog::debug!("lease: {error}");
@@ -200,9 +203,9 @@
             }
         },
         lease::Command::Write { value, condition } => {
-            let written = guard.put(LEASE, &to_lease(&value), to_condition(&condition));
+            let written = guard.put(LEASE_KEY, &to_lease(&value), to_condition(&condition));
             match written {
-                Ok(Written { version: number }) => lease::Event::Written(version(number)),
+                Ok(Written { version: number }) => lease::Event::Written(to_version(number)),
                 Err(StoreError::Conflict { .. }) => lease::Event::Conflict,
                 Err(StoreError::Uncertain { .. }) => lease::Event::Uncertain,
                 Err(_) => lease::Event::Down,
@@ -211,8 +214,8 @@
     }
 }
 
-/// Carries out a command on the plan. Returns what came of it, and the plan that was read.
-fn plan(
+/// Executes a command on the plan. Returns the result and the plan if one was read.
+fn execute_plan(
     guard: &Guard,
     command: publish::Command,
     record: &Record,
@@ -220,8 +223,8 @@
     let publish::Command::Write { condition, .. } = command else {
         return read_plan(guard);
     };
-    let event = match guard.put(PLAN, record, to_condition(&condition)) {
-        Ok(Written { version: number }) => publish::Event::Written(version(number)),
+    let event = match guard.put(PLAN_KEY, record, to_condition(&condition)) {
+        Ok(Written { version: number }) => publish::Event::Written(to_version(number)),
         Err(StoreError::Conflict { .. }) => publish::Event::Conflict,
         Err(StoreError::Uncertain { .. }) => publish::Event::Uncertain,
         Err(_) => publish::Event::Down,
@@ -230,9 +233,9 @@
 }
 
 fn read_plan(guard: &Guard) -> (publish::Event, Option<Record>) {
-    match read::<Record>(guard, PLAN) {
+    match read_object::<Record>(guard, PLAN_KEY) {
         Ok(Some(found)) => {
-            let seen = (version(found.version), found.value.stamp);
+            let seen = (to_version(found.version), found.value.stamp);
             (publish::Event::Read(Some(seen)), Some(found.value))
         }
         Ok(None) => (publish::Event::Read(None), None),
@@ -243,19 +246,22 @@
     }
 }
 
-fn read<T: DeserializeOwned>(guard: &Guard, key: &str) -> Result<Option<Versioned<T>>, StoreError> {
+fn read_object<T: DeserializeOwned>(
+    guard: &Guard,
+    key: &str,
+) -> Result<Option<Versioned<T>>, StoreError> {
     let found: Option<Versioned<Value>> = guard.get(key)?;
     found.map(Versioned::typed).transpose()
 }
 
-fn version(number: u64) -> lease::Version {
+fn to_version(number: u64) -> lease::Version {
     number.to_string().into()
 }
 
 fn to_condition(condition: &lease::Condition) -> Condition {
     match condition {
         lease::Condition::Absent => Condition::Absent,
-        // Only versions that were made from numbers above come back.
+        // The text was formatted from a number by `to_version`, so parsing cannot fail.
         lease::Condition::Version(text) => Condition::Version(text.parse().unwrap_or_default()),
     }
 }
--- a/src/entry/published.rs
+++ b/src/entry/published.rs
@@ -1,4 +1,4 @@
-//! What the core publishes for the workers: immutable, exchanged as a whole.
+//! The state that the core publishes for the workers: an immutable snapshot, replaced as a whole.
 
 use std::sync::Arc;
 
@@ -7,34 +7,34 @@
 use crate::catalog::Catalog;
 use crate::steer::lookup::Snapshot;
 
-/// One state of the core, for readers.
+/// A snapshot of the core's state.
 pub(crate) struct State {
     /// The configuration in force.
     pub(crate) catalog: Arc<Catalog>,
-    /// What look-ups are answered from; none before the first configuration.
+    /// The data that look-ups are answered from; none before the first configuration.
     pub(crate) lookup: Option<Snapshot>,
-    /// Whether this host knows enough of the others to serve well.
+    /// Whether this host is ready to serve.
     pub(crate) readiness: Readiness,
 }
 
-/// Whether a host serves as well as it will.
+/// Whether a host is ready to serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Readiness {
-    /// It has no configuration, or other hosts may still tell it where traffic goes.
+    /// It has no configuration, or may still lack the traffic splits of other hosts.
     Starting,
     /// It serves.
     Ready,
-    /// It finishes what callers were sent here for, and hands out nothing new.
+    /// It completes requests of callers that were sent here, and answers no look-ups.
     Leaving,
 }
 
-/// The place of the latest state.
+/// Holds the latest state.
 pub(crate) struct Published {
     state: ArcSwap<State>,
 }
 
 impl Published {
-    /// Nothing is in force.
+    /// Creates the initial state, without a configuration.
     pub(crate) fn new() -> Self {
         Self {
             state: ArcSwap::from_pointee(State {
@@ -45,12 +45,12 @@
         }
     }
 
-    /// Publishes a state.
-    pub(crate) fn put(&self, state: State) {
+    /// Replaces the state.
+    pub(crate) fn set(&self, state: State) {
         self.state.store(Arc::new(state));
     }
 
-    /// The latest state.
+    /// Returns the latest state.
     pub(crate) fn get(&self) -> Arc<State> {
         self.state.load_full()
     }
--- a/src/entry/raw_socket.rs
+++ b/src/entry/raw_socket.rs
@@ -1,7 +1,7 @@
-//! Closes a caller's connection, which `tiny_http` offers no way to do.
+//! Access to a caller's socket, which `tiny_http` does not expose: closes it or writes to it directly.
 //!
-//! The connection is found among the process's open files by its remote address. That costs a
-//! walk over them, so it is used only when something went wrong.
+//! The socket is found among the process's open files by its remote address. That iterates over all of
+//! them, so it is used only after a failure.
 
 use std::fs;
 use std::io;
@@ -10,27 +10,27 @@
 
 use socket2::{SockRef, Socket};
 
-/// The process's open files.
+/// Directory of the process's open file descriptors.
 const OPEN_FILES: &str = "/proc/self/fd";
 
 /// Shuts down the connection whose other end is `peer`.
 pub(crate) fn close(peer: SocketAddr) {
-    each(peer, |socket| {
+    for_each_socket(peer, |socket| {
         let _ = socket.shutdown(Shutdown::Both);
     });
 }
 
-/// Reads nothing more from `peer` than what has arrived; it can still be answered.
+/// Shuts down reading from `peer`, apart from what has already arrived; it can still be answered.
 pub(crate) fn close_read(peer: SocketAddr) {
-    each(peer, |socket| {
+    for_each_socket(peer, |socket| {
         let _ = socket.shutdown(Shutdown::Read);
     });
 }
 
-/// Writes to `peer` past the library.
+/// Writes to `peer` directly, bypassing the library.
 pub(crate) fn write(peer: SocketAddr, bytes: &[u8]) -> io::Result<()> {
     let mut result = Err(io::ErrorKind::NotConnected.into());
-    each(peer, |socket| result = send(socket, bytes));
+    for_each_socket(peer, |socket| result = send(socket, bytes));
     result
 }
 
@@ -42,7 +42,7 @@
     Ok(())
 }
 
-fn each(peer: SocketAddr, mut act: impl FnMut(&Socket)) {
+fn for_each_socket(peer: SocketAddr, mut act: impl FnMut(&Socket)) {
     let Ok(entries) = fs::read_dir(OPEN_FILES) else {
         return;
     };
@@ -51,13 +51,13 @@
         .filter_map(|entry| entry.file_name().to_str()?.parse().ok())
         .collect();
     for file in files {
-        act_if(file, peer, &mut act);
+        act_if_peer(file, peer, &mut act);
     }
 }
 
-fn act_if(file: RawFd, peer: SocketAddr, act: &mut impl FnMut(&Socket)) {
-    // SAFETY: the descriptor is only asked for its peer. Should it have been closed or reused since
-    // the directory was read, the call fails or tells another peer, and nothing is done.
+fn act_if_peer(file: RawFd, peer: SocketAddr, act: &mut impl FnMut(&Socket)) {
+    // SAFETY: only the descriptor's peer address is queried. If it has been closed or reused since the
+    // directory was read, the call fails or returns another peer, and nothing is done.
     let file = unsafe { BorrowedFd::borrow_raw(file) };
     let socket = SockRef::from(&file);
     let other = socket.peer_addr().ok().and_then(|other| other.as_socket());
