--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -1,45 +1,45 @@
-//! Requests that another entry host carries, at both ends of the link.
+//! Relays requests between entry hosts: the sending and the receiving side.
 
 use std::io::{self, Read};
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::call::{Start, HOLD_ANSWER};
+use super::call::{RequestContext, MAX_BUFFERED_ANSWER_BYTES};
 use super::reply::{Body, Reply};
-use super::target::Sending;
+use super::target::RequestBody;
 use crate::peer::error::{Dispatch, StreamError};
 use crate::peer::mesh::Mesh;
 use crate::peer::stream::{Incoming, Open, Reply as Head, Stream};
 use crate::steer::attempt::{FailurePoint, Outcome, Reason, Stage};
 
-/// Time to link a host that is not linked yet.
-const LINK_TIME: Duration = Duration::from_millis(1000);
-/// Between hosts, the length of the body that a HEAD request leaves out.
+/// Time limit for linking a host that is not linked yet.
+const LINK_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Header between hosts that carries the length of the body omitted from the answer to a HEAD request.
 const HEAD_LENGTH: &str = "Ragwortfold-Head-Length";
-/// Bytes read and written at once.
-const PIECE: usize = 16 << 10;
+/// Size of the copy buffer, in bytes.
+const COPY_BUFFER_BYTES: usize = 16 << 10;
 
-/// Why a request goes to another host.
+/// Why a request is relayed to another host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Purpose {
-    /// A target of that host's zone shall run it.
-    Place,
-    /// That host is the home of the request's ticket, and alone may dispatch it.
+    /// To run at a target of that host's zone.
+    Dispatch,
+    /// That host is the home of the request's ticket, and only it may dispatch the request.
     Home,
 }
 
-/// What came back.
+/// The answer of the other host.
 pub(crate) enum Answer {
-    /// All of an answer.
+    /// A complete answer.
     Whole(Reply),
-    /// An answer too large to hold; its body is yet to come.
+    /// An answer too large to buffer, with its body still to be read.
     Stream(Reply),
 }
 
 /// A relay that brought no answer.
 pub(crate) struct Failure {
     pub(crate) cause: FailurePoint,
-    /// When to come back, if the host said so.
+    /// When the caller may retry: the host's value if it gave one, otherwise 1 s.
     pub(crate) retry_after: Duration,
 }
 
@@ -52,28 +52,33 @@
     }
 }
 
-/// Whether a break proves that nothing was sent to the host.
-pub(crate) fn is_unsent(cause: FailurePoint) -> bool {
+/// Whether a failure proves that nothing was sent to the host.
+pub(crate) fn is_not_sent(cause: FailurePoint) -> bool {
     matches!(cause, FailurePoint::NoLink | FailurePoint::FrameNotSent)
 }
 
-/// The head of a relayed request.
-pub(crate) fn open(start: &Start, id: &str, left: Duration, purpose: Purpose) -> Open {
-    let head = &start.head;
-    let service = start.catalog.service(start.service);
+/// Builds the head of a relayed request.
+pub(crate) fn to_open(
+    context: &RequestContext,
+    id: &str,
+    time_left: Duration,
+    purpose: Purpose,
+) -> Open {
+    let head = &context.head;
+    let service = context.catalog.service(context.service);
     let mut open = Open::new(
         id,
         head.service.clone(),
         head.method.clone(),
         head.path.clone(),
-        left,
+        time_left,
     );
     open.class = service.class.clone();
     open.priority = service.priority;
     open.headers = head.headers.clone();
     open.length = head.length;
-    open.locality = Some(start.catalog.region(start.locality).name.clone());
-    open.block = Some(start.block.to_string().into());
+    open.locality = Some(context.catalog.region(context.locality).name.clone());
+    open.block = Some(context.block.to_string().into());
     if purpose == Purpose::Home {
         open.key = head.key.clone();
         open.ticket = head.ticket.as_ref().map(|ticket| ticket.to_string().into());
@@ -81,14 +86,14 @@
     open
 }
 
-/// Sends a request to `host` and waits for its answer. Tells the bytes of both bodies.
+/// Sends a request to `host` and waits for its answer. Also returns the body bytes sent and received.
 pub(crate) fn call(
     mesh: &Mesh,
     host: &str,
     open: &Open,
-    body: Sending<'_, '_>,
+    body: RequestBody<'_, '_>,
 ) -> (Result<Answer, Failure>, u64) {
-    let mut stream = match mesh.open(host, open, LINK_TIME) {
+    let mut stream = match mesh.open(host, open, LINK_TIMEOUT) {
         Ok(stream) => stream,
         Err(error) => {
             spdlog::debug!("relay: {error}");
@@ -96,53 +101,58 @@
         }
     };
     let mut bytes = 0;
-    let result = write(&mut stream, body, &mut bytes).and_then(|()| read(stream, open, &mut bytes));
+    let result = send_body(&mut stream, body, &mut bytes)
+        .and_then(|()| read_answer(stream, open, &mut bytes));
     (result, bytes)
 }
 
-fn write(stream: &mut Stream, body: Sending<'_, '_>, bytes: &mut u64) -> Result<(), Failure> {
+fn send_body(
+    stream: &mut Stream,
+    body: RequestBody<'_, '_>,
+    bytes: &mut u64,
+) -> Result<(), Failure> {
     let written = match body {
-        Sending::Whole(whole) => {
-            *bytes += whole.len() as u64;
-            stream.write_body(whole)
+        RequestBody::Whole(content) => {
+            *bytes += content.len() as u64;
+            stream.write_body(content)
         }
-        Sending::Stream(reader) => copy(stream, reader, bytes)?,
+        RequestBody::Stream(reader) => copy_body(stream, reader, bytes)?,
     };
     let finished = written.and_then(|()| stream.finish_body());
     match finished {
-        // An answer may be there before the body has been sent whole.
+        // The host may answer before it has received the whole body.
         Ok(()) | Err(StreamError::Stopped) => Ok(()),
-        Err(error) => Err(failure(stream, &error, Stage::Body)),
+        Err(error) => Err(to_failure(stream, &error, Stage::Body)),
     }
 }
 
-fn copy(
+fn copy_body(
     stream: &mut Stream,
     reader: &mut dyn Read,
     bytes: &mut u64,
 ) -> Result<Result<(), StreamError>, Failure> {
-    let mut piece = [0; PIECE];
+    let mut buffer = [0; COPY_BUFFER_BYTES];
     loop {
-        let count = match reader.read(&mut piece) {
+        let count = match reader.read(&mut buffer) {
             Ok(0) => return Ok(Ok(())),
             Ok(count) => count,
             Err(error) => {
-                spdlog::debug!("relay: the request's body broke off: {error}");
+                spdlog::debug!("relay: reading the request body failed: {error}");
                 stream.cancel();
                 return Err(Failure::new(FailurePoint::CallerGone(Stage::Body)));
             }
         };
         *bytes += count as u64;
-        if let Err(error) = stream.write_body(&piece[..count]) {
+        if let Err(error) = stream.write_body(&buffer[..count]) {
             return Ok(Err(error));
         }
     }
 }
 
-fn read(mut stream: Stream, open: &Open, bytes: &mut u64) -> Result<Answer, Failure> {
+fn read_answer(mut stream: Stream, open: &Open, bytes: &mut u64) -> Result<Answer, Failure> {
     let head = stream
         .read_head(open.deadline)
-        .map_err(|error| failure(&stream, &error, Stage::Sent))?;
+        .map_err(|error| to_failure(&stream, &error, Stage::Sent))?;
     let (status, headers, length) = match head {
         Head::Head {
             status,
@@ -163,33 +173,33 @@
         body: Body::Length(length.unwrap_or_default()),
     };
     if &*open.method == "HEAD" {
-        reply.body = Body::Length(take_length(&mut reply));
+        reply.body = Body::Length(take_head_length(&mut reply));
         return Ok(Answer::Whole(reply));
     }
-    if let Some(length) = length.filter(|&length| length > HOLD_ANSWER) {
+    if let Some(length) = length.filter(|&length| length > MAX_BUFFERED_ANSWER_BYTES) {
         *bytes += length;
-        reply.body = Body::Stream(Box::new(Rest(stream)), length);
+        reply.body = Body::Stream(Box::new(AnswerReader(stream)), length);
         return Ok(Answer::Stream(reply));
     }
-    let mut held = Vec::new();
-    let mut piece = [0; PIECE];
+    let mut content = Vec::new();
+    let mut buffer = [0; COPY_BUFFER_BYTES];
     loop {
-        match stream.read_body(&mut piece) {
+        match stream.read_body(&mut buffer) {
             Ok(0) => break,
-            Ok(count) => held.extend_from_slice(&piece[..count]),
-            Err(error) => return Err(failure(&stream, &error, Stage::AnswerBody)),
+            Ok(count) => content.extend_from_slice(&buffer[..count]),
+            Err(error) => return Err(to_failure(&stream, &error, Stage::AnswerBody)),
         }
-        if held.len() as u64 > HOLD_ANSWER {
+        if content.len() as u64 > MAX_BUFFERED_ANSWER_BYTES {
             return Err(Failure::new(FailurePoint::WrongLength(Stage::AnswerBody)));
         }
     }
-    *bytes += held.len() as u64;
-    reply.body = Body::Whole(held.into());
+    *bytes += content.len() as u64;
+    reply.body = Body::Whole(content.into());
     Ok(Answer::Whole(reply))
 }
 
-/// Takes the length of a left-out body from the headers.
-fn take_length(reply: &mut Reply) -> u64 {
+/// Removes the header with the length of an omitted body and returns its value.
+fn take_head_length(reply: &mut Reply) -> u64 {
     let found = reply
         .headers
         .iter()
@@ -198,7 +208,7 @@
     value.and_then(|text| text.parse().ok()).unwrap_or_default()
 }
 
-fn failure(stream: &Stream, error: &StreamError, stage: Stage) -> Failure {
+fn to_failure(stream: &Stream, error: &StreamError, stage: Stage) -> Failure {
     spdlog::debug!("relay: {}: {error}", stream.host());
     if stream.dispatch() == Dispatch::NotSent {
         return Failure::new(FailurePoint::FrameNotSent);
@@ -213,24 +223,24 @@
 }
 
 /// The rest of a relayed answer's body.
-struct Rest(Stream);
+struct AnswerReader(Stream);
 
-impl Read for Rest {
+impl Read for AnswerReader {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         self.0.read_body(buffer).map_err(io::Error::other)
     }
 }
 
 /// The rest of a relayed request's body.
-pub(crate) struct Reader<'a>(pub(crate) &'a mut Incoming);
+pub(crate) struct RequestReader<'a>(pub(crate) &'a mut Incoming);
 
-impl Read for Reader<'_> {
+impl Read for RequestReader<'_> {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         self.0.read_body(buffer).map_err(io::Error::other)
     }
 }
 
-/// Gives the one reply to the host that relayed a request.
+/// Sends the reply to the host that relayed a request.
 pub(crate) fn reply(
     incoming: Incoming,
     outcome: Outcome,
@@ -239,23 +249,23 @@
 ) {
     let reason = outcome.reason().map_or("", Reason::as_str);
     let result = match (outcome, reply) {
-        (Outcome::Answered, Some(reply)) => answer(incoming, reply),
+        (Outcome::Answered, Some(reply)) => send_answer(incoming, reply),
         (Outcome::NotRun(_), _) => incoming.refuse(reason, retry_after),
         _ => incoming.unknown(reason),
     };
     if let Err(error) = result {
-        spdlog::debug!("relay: a reply broke off: {error}");
+        spdlog::debug!("relay: sending the reply failed: {error}");
     }
 }
 
-fn answer(mut incoming: Incoming, reply: Reply) -> Result<(), StreamError> {
+fn send_answer(mut incoming: Incoming, reply: Reply) -> Result<(), StreamError> {
     match reply.body {
         Body::Whole(bytes) => {
             incoming.reply_head(reply.status, &reply.headers, Some(bytes.len() as u64))?;
             incoming.write_body(&bytes)?;
         }
         Body::Length(length) => {
-            // What a HEAD request gets: the length is a header here, and no body follows.
+            // Answer to a HEAD request: the length is sent as a header and no body follows.
             let length: Arc<str> = length.to_string().into();
             let mut headers = reply.headers;
             headers.push((HEAD_LENGTH.into(), length));
@@ -263,12 +273,12 @@
         }
         Body::Stream(mut reader, length) => {
             incoming.reply_head(reply.status, &reply.headers, Some(length))?;
-            let mut piece = [0; PIECE];
+            let mut buffer = [0; COPY_BUFFER_BYTES];
             loop {
-                match reader.read(&mut piece) {
+                match reader.read(&mut buffer) {
                     Ok(0) => break,
-                    Ok(count) => incoming.write_body(&piece[..count])?,
-                    // Dropping the stream within the reply tells the other host that it was cut.
+                    Ok(count) => incoming.write_body(&buffer[..count])?,
+                    // Dropping the stream before its end reports to the other host that the body broke off.
                     Err(_) => return Err(StreamError::Cut),
                 }
             }
--- a/src/entry/reply.rs
+++ b/src/entry/reply.rs
@@ -1,4 +1,4 @@
-//! An answer to a caller, and how it is written.
+//! Answers to callers and how they are written.
 
 use std::io::{self, Cursor, Read};
 use std::net::SocketAddr;
@@ -14,22 +14,22 @@
 
 /// The body of an answer.
 pub(crate) enum Body {
-    /// All of it.
+    /// The complete body.
     Whole(Arc<[u8]>),
-    /// A body too large to hold, of a known length.
+    /// A body too large to buffer, and its length.
     Stream(Box<dyn Read + Send>, u64),
-    /// What a HEAD request gets: the length alone.
+    /// No body, only its length: the answer to a HEAD request.
     Length(u64),
 }
 
-/// An answer.
+/// An answer to a caller.
 pub(crate) struct Reply {
     pub(crate) status: u16,
     pub(crate) headers: Vec<Header>,
     pub(crate) body: Body,
 }
 
-/// The body of an answer that ragwortfold itself gives for a request it did not carry.
+/// The body of an error answer of this host itself.
 #[derive(Serialize)]
 struct Problem<'a> {
     error: &'a str,
@@ -37,22 +37,22 @@
 }
 
 impl Reply {
-    /// A JSON answer.
+    /// Builds an answer with a JSON body.
     pub(crate) fn json(status: u16, value: &impl Serialize) -> Self {
         let text = serde_json::to_vec(value).unwrap_or_default();
         Self::whole(status, "application/json", text)
     }
 
-    /// An answer with all of its body.
-    pub(crate) fn whole(status: u16, kind: &str, body: Vec<u8>) -> Self {
+    /// Builds an answer with a complete body.
+    pub(crate) fn whole(status: u16, content_type: &str, body: Vec<u8>) -> Self {
         Self {
             status,
-            headers: vec![("Content-Type".into(), kind.into())],
+            headers: vec![("Content-Type".into(), content_type.into())],
             body: Body::Whole(body.into()),
         }
     }
 
-    /// The request did not run.
+    /// Builds an error answer that states that the request did not run.
     pub(crate) fn not_run(status: u16, error: &str, retry_after: Option<Duration>) -> Self {
         let mut reply = Self::problem(status, error, "not-run");
         if let Some(wait) = retry_after {
@@ -62,7 +62,7 @@
         reply
     }
 
-    /// Whether the request ran cannot be told.
+    /// Builds an error answer that states that it is unknown whether the request ran.
     pub(crate) fn unknown(status: u16, error: &str) -> Self {
         Self::problem(status, error, "unknown")
     }
@@ -78,13 +78,15 @@
         self.headers.push((name.into(), value.into()));
     }
 
-    /// Writes the answer to the caller. A body that breaks off closes the connection, so that the
-    /// caller cannot take it for whole.
+    /// Writes the answer to the caller. If the body breaks off, the connection is closed so that the
+    /// caller cannot mistake it for complete.
     pub(crate) fn send(self, request: Request) {
         let peer = request.remote_addr().copied();
         let (length, reader): (u64, Box<dyn Read + Send>) = match self.body {
             Body::Whole(bytes) => (bytes.len() as u64, Box::new(Cursor::new(bytes))),
-            Body::Stream(reader, length) => (length, Box::new(Exact::new(reader, length))),
+            Body::Stream(reader, length) => {
+                (length, Box::new(ExactLengthReader::new(reader, length)))
+            }
             Body::Length(length) => (length, Box::new(io::empty())),
         };
         let headers = self.headers.iter().filter_map(to_header).collect();
@@ -98,12 +100,12 @@
         .with_chunked_threshold(usize::MAX);
         if let Err(error) = request.respond(response) {
             spdlog::debug!("http: an answer broke off: {error}");
-            close(peer);
+            close_connection(peer);
         }
     }
 }
 
-fn close(peer: Option<SocketAddr>) {
+fn close_connection(peer: Option<SocketAddr>) {
     if let Some(peer) = peer {
         raw_socket::close(peer);
     }
@@ -113,37 +115,37 @@
     tiny_http::Header::from_bytes(name.as_bytes(), value.as_bytes()).ok()
 }
 
-/// A reader that fails if its source ends before `left` bytes.
-struct Exact {
+/// A reader that fails if its source ends before `bytes_left` bytes.
+struct ExactLengthReader {
     reader: Box<dyn Read + Send>,
-    left: u64,
+    bytes_left: u64,
 }
 
-impl Exact {
+impl ExactLengthReader {
     fn new(reader: Box<dyn Read + Send>, length: u64) -> Self {
         Self {
             reader,
-            left: length,
+            bytes_left: length,
         }
     }
 }
 
-impl Read for Exact {
+impl Read for ExactLengthReader {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
-        if self.left == 0 {
+        if self.bytes_left == 0 {
             return Ok(0);
         }
-        let most = buffer
+        let limit = buffer
             .len()
-            .min(usize::try_from(self.left).unwrap_or(usize::MAX));
-        let count = self.reader.read(&mut buffer[..most]).map_err(|error| {
-            // The library takes broken connections for the caller's and hides them.
+            .min(usize::try_from(self.bytes_left).unwrap_or(usize::MAX));
+        let count = self.reader.read(&mut buffer[..limit]).map_err(|error| {
+            // The library ignores connection errors because it attributes them to the caller; wrap them.
             io::Error::other(error)
         })?;
-        if count == 0 && most > 0 {
+        if count == 0 && limit > 0 {
             return Err(io::Error::other("the body ended early"));
         }
-        self.left -= count as u64;
+        self.bytes_left -= count as u64;
         Ok(count)
     }
 }
--- a/src/entry/request.rs
+++ b/src/entry/request.rs
@@ -1,7 +1,7 @@
-//! A caller's request: the library's, with care for a body that is not read to its end.
+//! A caller's request: wraps the library's request and handles bodies that are not read to their end.
 //!
-//! When a `tiny_http::Request` is dropped, the library reads what is left of a body of stated length,
-//! without end and into a buffer of that length; what is left of a chunked one it takes for the next
+//! When a `tiny_http::Request` is dropped, the library reads the rest of a body of stated length, without
+//! a time limit and into a buffer of that length; it parses the rest of a chunked body as the next
 //! request.
 
 use std::io::{self, Read};
@@ -13,109 +13,114 @@
 
 use super::pipelining::Turn;
 use super::raw_socket;
-use super::watchdog::{Act, Guard, Watch};
-
-/// Bodies up to this size are read before the library hands a request over, in bytes.
-const READ_AHEAD: u64 = 1024;
-/// How long the rest of a refused body is read, so that the caller gets to read the answer.
-const LINGER: Duration = Duration::from_millis(500);
-/// The most of a refused chunked body that is read, in bytes.
-const MAX_DRAIN: u64 = 32 << 20;
-/// The largest rest of a body for which the library may make a buffer, in bytes.
-const MAX_LEFT: u64 = 1 << 30;
-/// Bytes read at once while a body is drained.
-const PIECE: usize = 64 << 10;
-
-/// A request, and the answer that is due to it.
+use super::watchdog::{Guard, TimeoutAction, Watchdog};
+
+/// Bodies up to this size are read by the library before it returns the request, in bytes.
+const READ_AHEAD_BYTES: u64 = 1024;
+/// How long the rest of a refused body is read, so that the caller can receive the answer.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum number of bytes of a refused chunked body that are read.
+const MAX_DRAIN_BYTES: u64 = 32 << 20;
+/// Largest unread rest of a body for which the library may allocate a buffer, in bytes.
+const MAX_UNREAD_BYTES: u64 = 1 << 30;
+/// Size of the buffer for draining a body, in bytes.
+const DRAIN_BUFFER_BYTES: usize = 64 << 10;
+
+/// A request that has to be answered exactly once.
 pub(crate) struct Request {
     inner: Option<tiny_http::Request>,
     framing: Framing,
-    read: u64,
-    watch: Watch,
+    bytes_read: u64,
+    watchdog: Watchdog,
     body_guard: Option<Guard>,
-    // Dropped last: the next request of the connection may be answered only then.
+    // Dropped last: the next request of the connection may be answered only after this one.
     turn: Option<Turn>,
 }
 
-/// How the body ends, and whether it was read to its end.
+/// How the end of the body is determined, and whether it has been reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Framing {
-    /// It has been read whole.
-    Ended,
-    /// After so many bytes.
+    /// The body has been read to its end.
+    Complete,
+    /// The body ends after this many bytes.
     Length(u64),
-    /// With the last chunk.
-    Chunks,
-    /// The sender broke its rules.
-    Broken,
+    /// The body ends with the last chunk.
+    Chunked,
+    /// The chunked encoding is invalid or reading it failed.
+    Invalid,
 }
 
 impl Request {
-    /// Wraps a request, whose connection is watched while its body is read.
-    pub(crate) fn new(inner: tiny_http::Request, watch: &Watch) -> Self {
+    /// Wraps a request; `watchdog` limits the time for reading its body.
+    pub(crate) fn new(inner: tiny_http::Request, watchdog: &Watchdog) -> Self {
         Self {
-            framing: framing(&inner),
+            framing: framing_of(&inner),
             inner: Some(inner),
-            read: 0,
-            watch: watch.clone(),
+            bytes_read: 0,
+            watchdog: watchdog.clone(),
             body_guard: None,
             turn: None,
         }
     }
 
-    /// The request has its turn on its connection.
+    /// Attaches the request's turn on its connection.
     pub(crate) fn with_turn(mut self, turn: Turn) -> Self {
         self.turn = Some(turn);
         self
     }
 
-    /// Whether a part of the body is still to be read.
+    /// Whether a part of the body is still unread.
     pub(crate) fn has_body_left(&self) -> bool {
-        self.framing != Framing::Ended
+        self.framing != Framing::Complete
     }
 
-    /// Gives up reading the body at `deadline`.
+    /// Stops reading the body at `deadline`.
     pub(crate) fn limit_body(&mut self, deadline: Instant) {
-        if self.framing == Framing::Ended {
+        if self.framing == Framing::Complete {
             return;
         }
-        let time = deadline.saturating_duration_since(Instant::now());
+        let timeout = deadline.saturating_duration_since(Instant::now());
         let peer = self.remote_addr().copied();
-        self.body_guard = peer.map(|peer| self.watch.guard(peer, time, Act::CloseRead));
+        self.body_guard =
+            peer.map(|peer| self.watchdog.guard(peer, timeout, TimeoutAction::CloseRead));
     }
 
-    /// The body.
+    /// Returns a reader for the body.
     pub(crate) fn as_reader(&mut self) -> &mut dyn Read {
         self
     }
 
-    /// Gives the answer. Returns an error if it broke off.
+    /// Sends the answer. Returns an error if it could not be sent completely.
     pub(crate) fn respond<R: Read>(mut self, response: Response<R>) -> io::Result<()> {
         self.body_guard = None;
         let Some(peer) = self.remote_addr().copied() else {
             return self.respond_now(response);
         };
         match self.framing {
-            Framing::Ended => self.respond_now(response),
-            Framing::Length(length) if length - self.read > MAX_LEFT => {
-                self.abandon(peer, response)
+            Framing::Complete => self.respond_now(response),
+            Framing::Length(length) if length - self.bytes_read > MAX_UNREAD_BYTES => {
+                self.respond_and_leak(peer, response)
             }
             _ if self.awaits_continue() => {
                 raw_socket::close_read(peer);
                 self.respond_now(response)
             }
             Framing::Length(_) => {
-                // The library writes the answer, and then reads the rest.
-                let _guard = self.watch.guard(peer, LINGER, Act::CloseRead);
+                // The library writes the answer and then reads the rest of the body.
+                let _guard = self
+                    .watchdog
+                    .guard(peer, LINGER_TIMEOUT, TimeoutAction::CloseRead);
                 self.respond_now(response)
             }
-            Framing::Chunks | Framing::Broken => {
-                let guard = self.watch.guard(peer, LINGER, Act::CloseRead);
+            Framing::Chunked | Framing::Invalid => {
+                let guard = self
+                    .watchdog
+                    .guard(peer, LINGER_TIMEOUT, TimeoutAction::CloseRead);
                 self.drain();
                 drop(guard);
-                if self.framing != Framing::Ended {
+                if self.framing != Framing::Complete {
                     if let Some(turn) = &mut self.turn {
-                        turn.close();
+                        turn.close_at_end();
                     }
                 }
                 self.respond_now(response)
@@ -128,34 +133,38 @@
         inner.map_or(Ok(()), |inner| inner.respond(response))
     }
 
-    /// Whether the caller was not yet told to send the body.
+    /// Whether the caller still waits for `100 Continue` before it sends the body.
     fn awaits_continue(&self) -> bool {
-        let expects = |header: &tiny_http::Header| header.field.equiv("Expect");
-        self.read == 0 && self.headers().iter().any(expects)
+        let is_expect = |header: &tiny_http::Header| header.field.equiv("Expect");
+        self.bytes_read == 0 && self.headers().iter().any(is_expect)
     }
 
     fn drain(&mut self) {
-        let mut piece = vec![0; PIECE];
-        let mut left = MAX_DRAIN;
-        while left > 0 && self.framing == Framing::Chunks {
-            match self.read(&mut piece) {
+        let mut buffer = vec![0; DRAIN_BUFFER_BYTES];
+        let mut left = MAX_DRAIN_BYTES;
+        while left > 0 && self.framing == Framing::Chunked {
+            match self.read(&mut buffer) {
                 Ok(0) | Err(_) => return,
                 Ok(count) => left = left.saturating_sub(count as u64),
             }
         }
     }
 
-    /// Answers past the library, and never lets go of the request: the library would make a buffer as
-    /// large as the rest of the body, and the process end for lack of memory. A thread and a
-    /// connection's file are lost with it.
-    fn abandon<R: Read>(mut self, peer: SocketAddr, response: Response<R>) -> io::Result<()> {
+    /// Answers directly on the socket and leaks the library's request: on drop the library would allocate
+    /// a buffer as large as the rest of the body, and the process would run out of memory. This also
+    /// leaks a thread and the connection's file descriptor.
+    fn respond_and_leak<R: Read>(
+        mut self,
+        peer: SocketAddr,
+        response: Response<R>,
+    ) -> io::Result<()> {
         spdlog::error!("http: {peer} announced a body of absurd length; a thread is lost to it");
         let mut bytes = Vec::new();
         let version = self.http_version().clone();
         let printed = response.raw_print(&mut bytes, version, &[], false, None);
         let result = printed.and_then(|()| raw_socket::write(peer, &bytes));
         if let Some(turn) = &mut self.turn {
-            turn.close();
+            turn.close_at_end();
         }
         std::mem::forget(self.inner.take());
         result
@@ -166,7 +175,7 @@
     type Target = tiny_http::Request;
 
     fn deref(&self) -> &tiny_http::Request {
-        // It is there until the request is answered, which consumes it.
+        // `inner` is taken only when the request is answered, which consumes it.
         self.inner.as_ref().expect("a request that was answered")
     }
 }
@@ -176,22 +185,22 @@
         let Some(inner) = self.inner.as_mut() else {
             return Ok(0);
         };
-        if self.framing == Framing::Ended && inner.body_length().is_none() {
+        if self.framing == Framing::Complete && inner.body_length().is_none() {
             return Ok(0);
         }
         let result = inner.as_reader().read(buffer);
-        let chunked = matches!(self.framing, Framing::Chunks);
+        let is_chunked = matches!(self.framing, Framing::Chunked);
         match &result {
             Ok(0) if buffer.is_empty() => {}
-            Ok(0) if chunked => self.framing = Framing::Ended,
-            Err(_) if chunked => self.framing = Framing::Broken,
-            Ok(count) => self.read += *count as u64,
+            Ok(0) if is_chunked => self.framing = Framing::Complete,
+            Err(_) if is_chunked => self.framing = Framing::Invalid,
+            Ok(count) => self.bytes_read += *count as u64,
             Err(_) => {}
         }
-        if self.framing == Framing::Length(self.read) {
-            self.framing = Framing::Ended;
+        if self.framing == Framing::Length(self.bytes_read) {
+            self.framing = Framing::Complete;
         }
-        if self.framing == Framing::Ended {
+        if self.framing == Framing::Complete {
             self.body_guard = None;
         }
         result
@@ -200,31 +209,31 @@
 
 impl Drop for Request {
     fn drop(&mut self) {
-        // Without an answer so far: a thread that carried it has panicked, or its connection is gone.
+        // Not answered yet: the thread that handled it panicked, or its connection is closed.
         if let Some(inner) = self.inner.take() {
-            let again = Self {
+            let unanswered = Self {
                 inner: Some(inner),
                 framing: self.framing,
-                read: self.read,
-                watch: self.watch.clone(),
+                bytes_read: self.bytes_read,
+                watchdog: self.watchdog.clone(),
                 body_guard: None,
                 turn: self.turn.take(),
             };
-            let _ = again.respond(Response::empty(StatusCode(500)));
+            let _ = unanswered.respond(Response::empty(StatusCode(500)));
         }
     }
 }
 
-fn framing(request: &tiny_http::Request) -> Framing {
-    let chunked = |header: &tiny_http::Header| header.field.equiv("Transfer-Encoding");
-    if request.headers().iter().any(chunked) {
-        return Framing::Chunks;
+fn framing_of(request: &tiny_http::Request) -> Framing {
+    let is_chunked = |header: &tiny_http::Header| header.field.equiv("Transfer-Encoding");
+    if request.headers().iter().any(is_chunked) {
+        return Framing::Chunked;
     }
-    let expects = |header: &tiny_http::Header| header.field.equiv("Expect");
-    let expects = request.headers().iter().any(expects);
+    let is_expect = |header: &tiny_http::Header| header.field.equiv("Expect");
+    let expects = request.headers().iter().any(is_expect);
     match request.body_length() {
-        None | Some(0) => Framing::Ended,
-        Some(length) if length as u64 <= READ_AHEAD && !expects => Framing::Ended,
+        None | Some(0) => Framing::Complete,
+        Some(length) if length as u64 <= READ_AHEAD_BYTES && !expects => Framing::Complete,
         Some(length) => Framing::Length(length as u64),
     }
 }
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -1,17 +1,18 @@
 //! The HTTP edge towards callers, on `tiny_http`.
 //!
-//! All that the library does badly at its edges is dealt with here, so that it could be exchanged:
+//! All workarounds for limits of the library are here and in the modules named below, so that the library
+//! could be replaced:
 //!
-//! - One failed `accept` ends a `tiny_http::Server` for good, and if its thread panics for lack of
-//!   files, without a word. The listening socket is therefore kept here and a new server is built on
-//!   a duplicate of it; the old one goes on for the connections it has. A probe asks through the
-//!   socket whether that is due.
+//! - One failed `accept` ends a `tiny_http::Server` permanently, and silently if its thread panics because
+//!   the process has no file descriptors left. The listening socket is therefore kept here and a new server
+//!   is built on a duplicate of it; the old one keeps serving its existing connections. A probe connects to
+//!   the socket to detect a server that has ended.
 //! - It has no time-outs. They are set on the listening socket, from which each accepted socket
-//!   inherits them. Since they make an idle `accept` fail, the probe connects more often than that.
-//! - It hands over the requests of one connection at once, and an answer then waits for those before
-//!   it, with its thread. [`super::pipelining`] lets them through one after the other.
-//! - It reads the rest of a body that nobody asked for, without end, or takes it for the next
-//!   request. [`super::request`] sees to that.
+//!   inherits them. Since they also make an idle `accept` fail, the probe connects more often than that.
+//! - It returns the pipelined requests of one connection at once, and the thread that sends an answer then
+//!   blocks until the earlier ones are sent. [`super::pipelining`] admits them one after the other.
+//! - It reads the unread rest of a body without a time limit, or parses it as the next request.
+//!   [`super::request`] prevents both.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -20,36 +21,36 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crossbeam_channel::{unbounded, Receiver as Queue, RecvTimeoutError};
+use crossbeam_channel::{unbounded, Receiver as ChannelReceiver, RecvTimeoutError};
 use socket2::{Domain, Protocol, Socket, Type};
 
 use super::pipelining::Turns;
 use super::request::Request;
-use super::watchdog::{Act, Watch};
+use super::watchdog::{TimeoutAction, Watchdog};
 
-/// Connections that wait to be accepted.
+/// Maximum number of connections waiting to be accepted.
 const ACCEPT_BACKLOG: i32 = 1024;
-/// Pause before a server is built anew after `accept` failed.
+/// Pause before a server is rebuilt after `accept` failed.
 const REBUILD_PAUSE: Duration = Duration::from_millis(50);
-/// How long a replaced server is still read from without a request.
+/// How long a replaced server is still polled after its last request.
 const RETIRE_AFTER: Duration = Duration::from_secs(600);
-/// How often a blocked thread looks whether it should stop.
-const STOP_CHECK: Duration = Duration::from_millis(250);
-/// The probe connects this many times within the sockets' time-out, or more often.
-const PROBES_PER_TIMEOUT: u32 = 3;
-/// Longest time between two probes, and for the answer to one.
-const PROBE_PAUSE: Duration = Duration::from_secs(1);
-/// Probes without an answer after which the server is built anew.
-const MAX_UNANSWERED: u32 = 2;
-/// What the probe asks.
-const PROBE: &[u8] = b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n";
-/// How long a thread that receives requests may take to answer one itself. A caller that does not
-/// read would else keep it.
-const LONGEST_ANSWER: Duration = Duration::from_secs(2);
+/// How often a blocked thread checks whether it should stop.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Minimum number of probes within the time-out of the sockets.
+const MIN_PROBES_PER_TIMEOUT: u32 = 3;
+/// Longest time between two probes, and the time limit for the answer to one.
+const MAX_PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of unanswered probes after which the server is rebuilt.
+const MAX_UNANSWERED_PROBES: u32 = 2;
+/// The request that the probe sends.
+const PROBE_REQUEST: &[u8] = b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n";
+/// Time limit for handling a request on a thread that receives requests; without it, a caller that
+/// does not read its answer would block the thread.
+const HANDLER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a request is handed to.
+/// Called with each request.
 pub(crate) type Handler = Arc<dyn Fn(Request) + Send + Sync>;
-/// Called when the library's server had to be built anew.
+/// Called when the library's server was rebuilt.
 pub(crate) type Rebuilt = Box<dyn Fn() + Send + Sync>;
 
 /// A listening server.
@@ -61,26 +62,26 @@
     listener: TcpListener,
     address: SocketAddr,
     threads: usize,
-    idle: Duration,
+    idle_timeout: Duration,
     handler: Handler,
     rebuilt: Rebuilt,
-    /// Set once the newest server is replaced.
+    /// Set when the newest server is replaced.
     replaced: Mutex<Arc<AtomicBool>>,
     stop: AtomicBool,
     turns: Arc<Turns>,
-    watch: Watch,
+    watchdog: Watchdog,
 }
 
 /// Opens a listening socket whose time-outs each accepted socket inherits.
-pub(crate) fn listen(address: SocketAddr, idle: Duration) -> io::Result<TcpListener> {
+pub(crate) fn listen(address: SocketAddr, idle_timeout: Duration) -> io::Result<TcpListener> {
     let socket = Socket::new(
         Domain::for_address(address),
         Type::STREAM,
         Some(Protocol::TCP),
     )?;
     socket.set_reuse_address(true)?;
-    socket.set_read_timeout(Some(idle))?;
-    socket.set_write_timeout(Some(idle))?;
+    socket.set_read_timeout(Some(idle_timeout))?;
+    socket.set_write_timeout(Some(idle_timeout))?;
     socket.set_tcp_nodelay(true)?;
     socket.bind(&address.into())?;
     socket.listen(ACCEPT_BACKLOG)?;
@@ -88,49 +89,49 @@
 }
 
 impl Server {
-    /// Serves `listener` with `threads` threads that hand each request to `handler`.
+    /// Serves `listener` with `threads` threads that pass each request to `handler`.
     pub(crate) fn new(
         listener: TcpListener,
         threads: usize,
-        idle: Duration,
+        idle_timeout: Duration,
         handler: Handler,
         rebuilt: Rebuilt,
     ) -> io::Result<Self> {
         let address = listener.local_addr()?;
-        let (ready, next) = unbounded();
+        let (ready, queued) = unbounded();
         let inner = Arc::new(Inner {
             listener,
             address,
             threads,
-            idle,
+            idle_timeout,
             handler,
             rebuilt,
             replaced: Mutex::default(),
             stop: AtomicBool::new(false),
             turns: Turns::new(ready),
-            watch: Watch::new()?,
+            watchdog: Watchdog::new()?,
         });
         Inner::serve(&inner)?;
         for index in 0..threads {
             let inner = inner.clone();
-            let next = next.clone();
+            let queued = queued.clone();
             thread::Builder::new()
                 .name(format!("next-{index}"))
-                .spawn(move || inner.serve_next(&next))?;
+                .spawn(move || inner.handle_queued(&queued))?;
         }
-        let probe = inner.clone();
+        let prober = inner.clone();
         thread::Builder::new()
             .name("probe".into())
-            .spawn(move || Inner::probe(&probe))?;
+            .spawn(move || Inner::probe(&prober))?;
         Ok(Self { inner })
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub(crate) fn address(&self) -> SocketAddr {
         self.inner.address
     }
 
-    /// Ends its threads; requests that were handed over go on.
+    /// Ends the server's threads; requests already passed to the handler continue.
     pub(crate) fn stop(&self) {
         self.inner.stop.store(true, Ordering::Relaxed);
     }
@@ -145,11 +146,11 @@
         let replaced = Arc::new(AtomicBool::new(false));
         *inner.newest() = replaced.clone();
         for index in 0..inner.threads {
-            let receiver = Receiver {
+            let receiver = RequestReceiver {
                 inner: inner.clone(),
                 server: server.clone(),
                 replaced: replaced.clone(),
-                first: index == 0,
+                is_first: index == 0,
             };
             thread::Builder::new()
                 .name(format!("http-{index}"))
@@ -175,10 +176,10 @@
         }
     }
 
-    /// Handles requests that had to wait for an earlier one of their connection.
-    fn serve_next(&self, next: &Queue<Request>) {
+    /// Handles requests that were queued behind an earlier one of their connection.
+    fn handle_queued(&self, queued: &ChannelReceiver<Request>) {
         while !self.stop.load(Ordering::Relaxed) {
-            match next.recv_timeout(STOP_CHECK) {
+            match queued.recv_timeout(STOP_CHECK_INTERVAL) {
                 Ok(request) => self.handle(request),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
@@ -188,77 +189,80 @@
 
     fn handle(&self, request: Request) {
         let peer = request.remote_addr().copied();
-        let _guard = peer.map(|peer| self.watch.guard(peer, LONGEST_ANSWER, Act::Close));
+        let _guard = peer.map(|peer| {
+            self.watchdog
+                .guard(peer, HANDLER_TIMEOUT, TimeoutAction::Close)
+        });
         (self.handler)(request);
     }
 
-    /// Asks for an answer now and then, so that `accept` never reaches the socket's time-out and a
-    /// server that accepts no more is replaced.
+    /// Sends a probe at regular intervals, so that `accept` never reaches the socket's time-out and a
+    /// server that no longer accepts connections is replaced.
     fn probe(inner: &Arc<Self>) {
-        let pause = PROBE_PAUSE.min(inner.idle / PROBES_PER_TIMEOUT);
-        let mut next = Instant::now() + pause;
+        let interval = MAX_PROBE_INTERVAL.min(inner.idle_timeout / MIN_PROBES_PER_TIMEOUT);
+        let mut next_probe = Instant::now() + interval;
         let mut unanswered = 0;
         while !inner.stop.load(Ordering::Relaxed) {
-            thread::sleep(STOP_CHECK.min(pause));
-            if Instant::now() < next {
+            thread::sleep(STOP_CHECK_INTERVAL.min(interval));
+            if Instant::now() < next_probe {
                 continue;
             }
             inner.turns.purge(Instant::now());
-            match inner.ask_self() {
+            match inner.send_probe() {
                 Ok(()) => unanswered = 0,
                 Err(error) => {
                     spdlog::warn!("http: own socket does not answer: {error}");
                     unanswered += 1;
                 }
             }
-            if unanswered >= MAX_UNANSWERED {
+            if unanswered >= MAX_UNANSWERED_PROBES {
                 unanswered = 0;
                 inner.newest().store(true, Ordering::Relaxed);
                 Self::rebuild(inner);
             }
-            next = Instant::now() + pause;
+            next_probe = Instant::now() + interval;
         }
     }
 
-    /// Any answer will do.
-    fn ask_self(&self) -> io::Result<()> {
-        let mut stream = TcpStream::connect_timeout(&self.address, PROBE_PAUSE)?;
-        stream.set_read_timeout(Some(PROBE_PAUSE))?;
-        stream.set_write_timeout(Some(PROBE_PAUSE))?;
-        stream.write_all(PROBE)?;
+    /// Sends the probe; any answer counts as success.
+    fn send_probe(&self) -> io::Result<()> {
+        let mut stream = TcpStream::connect_timeout(&self.address, MAX_PROBE_INTERVAL)?;
+        stream.set_read_timeout(Some(MAX_PROBE_INTERVAL))?;
+        stream.set_write_timeout(Some(MAX_PROBE_INTERVAL))?;
+        stream.write_all(PROBE_REQUEST)?;
         stream.read_exact(&mut [0])
     }
 }
 
-/// One thread that takes requests from one server.
-struct Receiver {
+/// The state of one thread that receives requests from one server.
+struct RequestReceiver {
     inner: Arc<Inner>,
-    /// Locked while a request is waited for, so that requests of one connection keep their order.
+    /// Locked while waiting for a request, so that requests of one connection keep their order.
     server: Arc<Mutex<tiny_http::Server>>,
     replaced: Arc<AtomicBool>,
-    first: bool,
+    is_first: bool,
 }
 
-/// What a server has for a thread.
+/// The result of waiting for a request.
 enum Received {
     Request(Box<Request>),
-    /// A request that waits for an earlier one of its connection.
+    /// A request was queued behind an earlier one of its connection.
     Queued,
     Nothing,
 }
 
-impl Receiver {
+impl RequestReceiver {
     fn run(self) {
-        let mut last = Instant::now();
+        let mut last_request = Instant::now();
         while !self.inner.stop.load(Ordering::Relaxed) {
             match self.receive() {
                 Ok(Received::Request(request)) => {
-                    last = Instant::now();
+                    last_request = Instant::now();
                     self.inner.handle(*request);
                 }
-                Ok(Received::Queued) => last = Instant::now(),
+                Ok(Received::Queued) => last_request = Instant::now(),
                 Ok(Received::Nothing) => {
-                    if self.is_done(last) {
+                    if self.is_done(last_request) {
                         break;
                     }
                 }
@@ -273,19 +277,19 @@
 
     fn receive(&self) -> io::Result<Received> {
         let server = self.server.lock().unwrap_or_else(PoisonError::into_inner);
-        let Some(request) = server.recv_timeout(STOP_CHECK)? else {
+        let Some(request) = server.recv_timeout(STOP_CHECK_INTERVAL)? else {
             return Ok(Received::Nothing);
         };
-        let request = Request::new(request, &self.inner.watch);
-        let taken = Turns::take(&self.inner.turns, request);
-        Ok(taken.map_or(Received::Queued, |request| {
+        let request = Request::new(request, &self.inner.watchdog);
+        let admitted = Turns::admit(&self.inner.turns, request);
+        Ok(admitted.map_or(Received::Queued, |request| {
             Received::Request(Box::new(request))
         }))
     }
 
-    /// Whether a replaced server needs this thread no more.
-    fn is_done(&self, last: Instant) -> bool {
+    /// Whether this thread's server was replaced and no longer needs the thread.
+    fn is_done(&self, last_request: Instant) -> bool {
         let replaced = self.replaced.load(Ordering::Relaxed);
-        replaced && (!self.first || last.elapsed() > RETIRE_AFTER)
+        replaced && (!self.is_first || last_request.elapsed() > RETIRE_AFTER)
     }
 }
--- a/src/entry/stage.rs
+++ b/src/entry/stage.rs
@@ -1,47 +1,47 @@
-//! How far the call that runs on this thread came: connected, written, read.
+//! Records how far the HTTP call of the current thread got: connected, written, read.
 //!
 //! `ureq` reports the same error for a connection that was closed before and after the request ran.
-//! What it asked of the socket tells them apart, so each transport is wrapped and notes it for the
-//! thread that drives it.
+//! The socket operations tell these cases apart, so each transport is wrapped and records them in a
+//! thread-local value.
 
 use std::cell::Cell;
 
 use ureq::unversioned::transport::{Buffers, ConnectionDetails, Connector, NextTimeout, Transport};
 use ureq::Error;
 
-/// What one call did to its connection.
+/// The socket operations of one call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Stage {
-    /// A connection was asked for; without it, a pooled one was used.
-    pub(crate) dialled: bool,
-    /// The new connection was made.
-    pub(crate) connected: bool,
-    /// Bytes handed to the socket, or about to be.
+    /// Whether a new connection was requested; otherwise a pooled one was used.
+    pub(crate) is_dialled: bool,
+    /// Whether the new connection was established.
+    pub(crate) is_connected: bool,
+    /// Bytes passed to the socket, including those of a write that failed.
     pub(crate) written: u64,
-    /// Whether any byte came back.
-    pub(crate) read: bool,
+    /// Whether any byte was received.
+    pub(crate) has_read: bool,
 }
 
 thread_local! {
     static STAGE: Cell<Stage> = const { Cell::new(Stage {
-        dialled: false,
-        connected: false,
+        is_dialled: false,
+        is_connected: false,
         written: 0,
-        read: false,
+        has_read: false,
     }) };
 }
 
-/// Forgets the thread's last call.
+/// Resets the stage before a call of this thread.
 pub(crate) fn reset() {
     STAGE.with(|stage| stage.set(Stage::default()));
 }
 
-/// How far the thread's call came.
+/// Returns the stage of this thread's last call.
 pub(crate) fn get() -> Stage {
     STAGE.with(Cell::get)
 }
 
-fn note(change: impl FnOnce(&mut Stage)) {
+fn update(change: impl FnOnce(&mut Stage)) {
     STAGE.with(|cell| {
         let mut stage = cell.get();
         change(&mut stage);
@@ -49,59 +49,59 @@
     });
 }
 
-/// Notes that a connection is asked for. Goes before the connector that makes it.
+/// Records that a new connection is requested. Chained in front of the connector that opens it.
 #[derive(Debug, Default)]
-pub(crate) struct Dial;
+pub(crate) struct RecordDial;
 
-impl Connector<()> for Dial {
+impl Connector<()> for RecordDial {
     type Out = ();
 
     fn connect(&self, _: &ConnectionDetails<'_>, _: Option<()>) -> Result<Option<()>, Error> {
-        note(|stage| stage.dialled = true);
+        update(|stage| stage.is_dialled = true);
         Ok(None)
     }
 }
 
-/// Wraps what the connector before it made.
+/// Wraps the transport of the previous connector in a [`RecordedTransport`].
 #[derive(Debug, Default)]
-pub(crate) struct Watch;
+pub(crate) struct RecordTransport;
 
-impl<In: Transport> Connector<In> for Watch {
-    type Out = Watched<In>;
+impl<In: Transport> Connector<In> for RecordTransport {
+    type Out = RecordedTransport<In>;
 
     fn connect(
         &self,
         _: &ConnectionDetails<'_>,
         chained: Option<In>,
     ) -> Result<Option<Self::Out>, Error> {
-        let transport = chained.map(|inner| Watched { inner });
+        let transport = chained.map(|inner| RecordedTransport { inner });
         if transport.is_some() {
-            note(|stage| stage.connected = true);
+            update(|stage| stage.is_connected = true);
         }
         Ok(transport)
     }
 }
 
-/// A transport that notes what is written and read.
+/// A transport that records writes and reads in the thread's stage.
 #[derive(Debug)]
-pub(crate) struct Watched<T> {
+pub(crate) struct RecordedTransport<T> {
     inner: T,
 }
 
-impl<T: Transport> Transport for Watched<T> {
+impl<T: Transport> Transport for RecordedTransport<T> {
     fn buffers(&mut self) -> &mut dyn Buffers {
         self.inner.buffers()
     }
 
     fn transmit_output(&mut self, amount: usize, timeout: NextTimeout) -> Result<(), Error> {
-        note(|stage| stage.written += amount as u64);
+        update(|stage| stage.written += amount as u64);
         self.inner.transmit_output(amount, timeout)
     }
 
     fn await_input(&mut self, timeout: NextTimeout) -> Result<bool, Error> {
         let progress = self.inner.await_input(timeout)?;
         if progress {
-            note(|stage| stage.read = true);
+            update(|stage| stage.has_read = true);
         }
         Ok(progress)
     }
--- a/src/entry/status.rs
+++ b/src/entry/status.rs
@@ -1,4 +1,4 @@
-//! What a host says of itself to operators.
+//! The status report of a host for operators.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 
 use crate::border::settings::Settings;
 use crate::control::agent::Agent;
-use crate::control::membership::{Status as Liveness, ZoneStatus};
+use crate::control::membership::{Status as MemberStatus, ZoneStatus};
 use crate::steer::engine::Engine;
 
 /// Shares of availability zones, by service and locality.
@@ -26,7 +26,7 @@
     /// The epoch of the planner lease, if this host holds it.
     planner_epoch: Option<u64>,
     delegate: bool,
-    /// Requests that this host has not answered yet, whoever works on them.
+    /// Requests that this host has not answered yet, including those that other hosts are processing.
     in_flight: usize,
     hosts: BTreeMap<Arc<str>, Host>,
     zones: BTreeMap<Arc<str>, &'static str>,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Sets the number of requests that are not answered yet, which the core does not know.
+    /// Sets the number of unanswered requests, which the core does not track.
     pub(crate) fn with_in_flight(mut self, in_flight: usize) -> Self {
         self.in_flight = in_flight;
         self
@@ -100,11 +100,11 @@
         .hosts()
         .map(|(key, host)| {
             let state = match agent.membership().status(key) {
-                Liveness::Unknown => "unknown",
-                Liveness::Dead => "dead",
-                Liveness::Suspect => "suspect",
-                Liveness::Alive if live.contains(&key) => "alive",
-                Liveness::Alive => "leaving",
+                MemberStatus::Unknown => "unknown",
+                MemberStatus::Dead => "dead",
+                MemberStatus::Suspect => "suspect",
+                MemberStatus::Alive if live.contains(&key) => "alive",
+                MemberStatus::Alive => "leaving",
             };
             let record = Host {
                 availability_zone: catalog.zone(host.zone).name.clone(),
@@ -121,13 +121,13 @@
     agent
         .zone_statuses()
         .into_iter()
-        .map(|(zone, sight)| {
-            let sight = match sight {
+        .map(|(zone, status)| {
+            let status = match status {
                 ZoneStatus::Alive => "alive",
                 ZoneStatus::Lost => "lost",
                 ZoneStatus::Unknown(_) => "unknown",
             };
-            (catalog.zone(zone).name.clone(), sight)
+            (catalog.zone(zone).name.clone(), status)
         })
         .collect()
 }
@@ -142,7 +142,7 @@
         let (Some(group), Some(site)) = (engine.group(key), catalog.site(key, zone)) else {
             continue;
         };
-        let free = group.headroom();
+        let headroom = group.headroom();
         let targets = site
             .targets
             .iter()
@@ -157,12 +157,12 @@
             })
             .collect();
         let record = Service {
-            slots: free.slots,
-            in_flight: free.in_flight,
-            limit: free.limit,
-            queued: free.queued,
-            cold: free.cold,
-            ejected: free.ejected,
+            slots: headroom.slots,
+            in_flight: headroom.in_flight,
+            limit: headroom.limit,
+            queued: headroom.queued,
+            cold: headroom.cold,
+            ejected: headroom.ejected,
             targets,
         };
         services.insert(service.name.clone(), record);
--- a/src/entry/target.rs
+++ b/src/entry/target.rs
@@ -1,4 +1,4 @@
-//! One call to one target, over HTTP.
+//! HTTP client for calls to targets.
 
 use std::io::{Cursor, Read};
 use std::net::SocketAddr;
@@ -15,146 +15,152 @@
 use crate::literal::LiteralResolver;
 use crate::steer::throttle::Rate;
 
-/// Idle connections kept to each target.
-const IDLE_PER_TARGET: usize = 16;
-/// Idle connections kept in all.
-const IDLE: usize = 1024;
-/// Time in which a kept connection breaks that its target had closed: a round trip within the zone, with room for a busy
-/// machine. On one that breaks later the request may have run, and have crashed the target.
-const STALE: Duration = Duration::from_millis(10);
+/// Maximum number of idle connections to each target.
+const MAX_IDLE_PER_TARGET: usize = 16;
+/// Maximum number of idle connections to all targets.
+const MAX_IDLE: usize = 1024;
+/// Time within which a pooled connection that the target had closed fails: a round trip within the zone, with some margin
+/// for a busy machine. If it fails later, the request may have run and crashed the target.
+const STALE_DETECTION_TIME: Duration = Duration::from_millis(10);
 /// How long an idle connection is kept.
-const IDLE_AGE: Duration = Duration::from_secs(10);
+const MAX_IDLE_AGE: Duration = Duration::from_secs(10);
 
 /// Which connections a call may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Connection {
-    /// A pooled one; the call may be sent again should it turn out to be closed.
+    /// A pooled one; the call is sent again if the connection turns out to be closed.
     Pooled,
-    /// A new one: only then does a failed connect prove that nothing ran.
+    /// A new one, for which a failed connect proves that the request did not run.
     Fresh,
 }
 
-/// Calls targets.
+/// HTTP client with one agent for pooled and one for new connections.
 #[derive(Clone)]
 pub(crate) struct Client {
     pooled: Agent,
     fresh: Agent,
 }
 
-/// What to ask of a target.
-pub(crate) struct Ask<'a> {
+/// A request to a target, without its body.
+pub(crate) struct TargetRequest<'a> {
     pub(crate) address: SocketAddr,
     pub(crate) id: &'a str,
     pub(crate) method: &'a str,
     pub(crate) path: &'a str,
     pub(crate) headers: &'a [Header],
-    /// Time left.
+    /// Time left until the request's deadline.
     pub(crate) deadline: Duration,
     pub(crate) connection: Connection,
 }
 
-/// A body on its way to a target.
-pub(crate) enum Sending<'a, 'b> {
+/// The body of a request to a target or another host.
+pub(crate) enum RequestBody<'a, 'b> {
     Whole(&'a [u8]),
     Stream(&'a mut Stream<'b>),
 }
 
-/// The head of a target's answer, with its body yet to be read.
+/// The head of a target's answer, with a reader for its body.
 pub(crate) struct Answer {
     pub(crate) status: u16,
     pub(crate) headers: Vec<Header>,
-    /// Length the target stated.
+    /// The body's length if the target stated it.
     pub(crate) length: Option<u64>,
     pub(crate) reader: Box<dyn Read + Send>,
-    /// The target's own account of its load: in flight, slots.
+    /// The load that the target reports: requests in flight, slots.
     pub(crate) load: Option<(u32, u32)>,
-    /// The target's own account of its state.
+    /// The state that the target reports.
     pub(crate) state: Option<Arc<str>>,
-    /// The target's own account of the rate that it takes.
+    /// The request rate that the target states.
     pub(crate) rate: Rate,
-    /// The target said that the request did not run.
+    /// Whether the target reported that the request did not run.
     pub(crate) refused: bool,
 }
 
-/// A call that got no answer's head.
+/// A call that failed before the head of the answer.
 #[derive(Debug, thiserror::Error)]
 #[error("{cause}")]
 pub(crate) struct Error {
-    /// How far it came.
+    /// How far the call got.
     pub(crate) stage: Stage,
     cause: Cause,
 }
 
-/// Why there is no answer.
+/// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 enum Cause {
     #[error("{0}")]
     Http(#[from] ureq::Error),
-    /// A target sent an answer twice, or one to a request that was given up.
-    #[error("the answer is to request '{0}'")]
+    /// The target sent an answer twice, or the answer to an abandoned request.
+    #[error("the answer belongs to request '{0}'")]
     OtherRequest(Arc<str>),
 }
 
 impl Error {
-    /// Whether time ran out.
+    /// Whether the call timed out.
     pub(crate) fn is_timeout(&self) -> bool {
         matches!(self.cause, Cause::Http(ureq::Error::Timeout(_)))
     }
 
-    /// Whether the answer was not HTTP.
-    pub(crate) fn is_garbage(&self) -> bool {
+    /// Whether the answer was not valid HTTP or belonged to another request.
+    pub(crate) fn is_invalid_answer(&self) -> bool {
         matches!(
             self.cause,
             Cause::OtherRequest(_) | Cause::Http(ureq::Error::Protocol(_) | ureq::Error::Http(_))
         )
     }
 
-    /// Whether a pooled connection turned out to be closed, or to bear another request's answer.
+    /// Whether a pooled connection was closed, or delivered another request's answer.
     fn is_stale(&self) -> bool {
         let other = matches!(self.cause, Cause::OtherRequest(_));
-        !self.stage.dialled && (other || !self.stage.read) && !self.is_timeout()
+        !self.stage.is_dialled && (other || !self.stage.has_read) && !self.is_timeout()
     }
 }
 
 impl Error {
-    /// The same for a request of which an earlier copy came as far as `earlier`.
+    /// Adds the progress of an earlier copy of the request, `earlier`, to the stage.
     fn with_earlier(mut self, earlier: Stage) -> Self {
-        self.stage.connected |= earlier.written > 0;
+        self.stage.is_connected |= earlier.written > 0;
         self.stage.written += earlier.written;
         self
     }
 }
 
 impl Client {
-    /// A client that gives up connecting after `connect`.
+    /// Creates a client whose connects time out after `connect`.
     pub(crate) fn new(connect: Duration) -> Self {
         Self {
-            pooled: agent(connect, IDLE, IDLE_PER_TARGET),
-            fresh: agent(connect, 0, 0),
+            pooled: build_agent(connect, MAX_IDLE, MAX_IDLE_PER_TARGET),
+            fresh: build_agent(connect, 0, 0),
         }
     }
 
-    /// Sends a request and waits for the head of its answer. What found its pooled connection stale at once
-    /// is sent once more on a new one.
-    pub(crate) fn call(&self, ask: &Ask<'_>, body: Sending<'_, '_>) -> Result<Answer, Error> {
-        let whole = match &body {
-            Sending::Whole(bytes) => Some(*bytes),
-            Sending::Stream(_) => None,
+    /// Sends a request and waits for the head of its answer. A request whose pooled connection fails as stale
+    /// within [`STALE_DETECTION_TIME`] is sent once more on a new connection.
+    pub(crate) fn call(
+        &self,
+        target_request: &TargetRequest<'_>,
+        body: RequestBody<'_, '_>,
+    ) -> Result<Answer, Error> {
+        let buffered = match &body {
+            RequestBody::Whole(bytes) => Some(*bytes),
+            RequestBody::Stream(_) => None,
         };
-        let agent = match ask.connection {
+        let agent = match target_request.connection {
             Connection::Pooled => &self.pooled,
             Connection::Fresh => &self.fresh,
         };
-        let begun = Instant::now();
-        let result = attempt(agent, ask, body);
-        let is_early = begun.elapsed() < STALE;
-        match (result, whole) {
+        let started = Instant::now();
+        let result = run(agent, target_request, body);
+        let failed_early = started.elapsed() < STALE_DETECTION_TIME;
+        match (result, buffered) {
             (Err(error), Some(bytes))
-                if ask.connection == Connection::Pooled && error.is_stale() && is_early =>
+                if target_request.connection == Connection::Pooled
+                    && error.is_stale()
+                    && failed_early =>
             {
-                let again = attempt(&self.fresh, ask, Sending::Whole(bytes));
-                // The first copy may have run, whatever becomes of the second.
-                again.map_err(|again| again.with_earlier(error.stage))
+                let second = run(&self.fresh, target_request, RequestBody::Whole(bytes));
+                // The first copy may have run even if the second one fails.
+                second.map_err(|second| second.with_earlier(error.stage))
             }
             (result, _) => result,
         }
@@ -162,41 +168,44 @@
 
     fn send(
         agent: &Agent,
-        ask: &Ask<'_>,
-        body: Sending<'_, '_>,
+        target_request: &TargetRequest<'_>,
+        body: RequestBody<'_, '_>,
     ) -> Result<http::Response<ureq::Body>, ureq::Error> {
         let (length, body) = match body {
-            Sending::Whole(bytes) => (Some(bytes.len() as u64), bytes),
-            Sending::Stream(stream) => {
+            RequestBody::Whole(bytes) => (Some(bytes.len() as u64), bytes),
+            RequestBody::Stream(stream) => {
                 let length = stream.length;
-                let request = request(ask, length)?;
-                let request =
-                    configure(agent, request.map(|()| SendBody::from_reader(stream)), ask);
+                let request = to_http_request(target_request, length)?;
+                let request = with_deadline(
+                    agent,
+                    request.map(|()| SendBody::from_reader(stream)),
+                    target_request,
+                );
                 return agent.run(request);
             }
         };
-        if body.is_empty() && is_bodiless(ask.method) {
-            let request = request(ask, None)?;
-            let request = configure(agent, request.map(|()| SendBody::none()), ask);
+        if body.is_empty() && is_bodiless(target_request.method) {
+            let request = to_http_request(target_request, None)?;
+            let request = with_deadline(agent, request.map(|()| SendBody::none()), target_request);
             return agent.run(request);
         }
         let mut reader = Cursor::new(body);
-        let request = request(ask, length)?;
-        let request = configure(
+        let request = to_http_request(target_request, length)?;
+        let request = with_deadline(
             agent,
             request.map(|()| SendBody::from_reader(&mut reader)),
-            ask,
+            target_request,
         );
         agent.run(request)
     }
 
-    /// Tells a target that a request is no longer waited for.
-    pub(crate) fn cancel(&self, address: SocketAddr, id: &str, time: Duration) {
+    /// Asks a target to cancel a request.
+    pub(crate) fn cancel(&self, address: SocketAddr, id: &str, timeout: Duration) {
         let result = self
             .pooled
             .delete(format!("http://{address}/requests/{id}"))
             .config()
-            .timeout_global(Some(time))
+            .timeout_global(Some(timeout))
             .build()
             .call();
         if let Err(error) = result {
@@ -205,11 +214,15 @@
     }
 }
 
-fn attempt(agent: &Agent, ask: &Ask<'_>, body: Sending<'_, '_>) -> Result<Answer, Error> {
+fn run(
+    agent: &Agent,
+    target_request: &TargetRequest<'_>,
+    body: RequestBody<'_, '_>,
+) -> Result<Answer, Error> {
     stage::reset();
-    let result = Client::send(agent, ask, body).map_err(Cause::from);
+    let result = Client::send(agent, target_request, body).map_err(Cause::from);
     result
-        .and_then(|response| answer(ask, response))
+        .and_then(|response| to_answer(target_request, response))
         .map_err(|cause| Error {
             stage: stage::get(),
             cause,
@@ -220,7 +233,7 @@
     matches!(method, "GET" | "HEAD" | "OPTIONS" | "DELETE" | "TRACE")
 }
 
-fn agent(connect: Duration, idle: usize, idle_per_target: usize) -> Agent {
+fn build_agent(connect: Duration, idle: usize, idle_per_target: usize) -> Agent {
     let config = Agent::config_builder()
         .http_status_as_error(false)
         .max_redirects(0)
@@ -232,23 +245,32 @@
         .timeout_connect(Some(connect))
         .max_idle_connections(idle)
         .max_idle_connections_per_host(idle_per_target)
-        .max_idle_age(IDLE_AGE)
+        .max_idle_age(MAX_IDLE_AGE)
         .proxy(None)
         .build();
-    let connector = stage::Dial
+    let connector = stage::RecordDial
         .chain(TcpConnector::default())
-        .chain(stage::Watch);
+        .chain(stage::RecordTransport);
     Agent::with_parts(config, connector, LiteralResolver::default())
 }
 
-fn request(ask: &Ask<'_>, length: Option<u64>) -> Result<http::Request<()>, ureq::Error> {
-    let method = Method::from_bytes(ask.method.as_bytes()).map_err(http::Error::from)?;
+fn to_http_request(
+    target_request: &TargetRequest<'_>,
+    length: Option<u64>,
+) -> Result<http::Request<()>, ureq::Error> {
+    let method = Method::from_bytes(target_request.method.as_bytes()).map_err(http::Error::from)?;
     let mut builder = http::Request::builder()
         .method(method)
-        .uri(format!("http://{}{}", ask.address, ask.path))
-        .header(head::REQUEST_ID, ask.id)
-        .header(head::DEADLINE, ask.deadline.as_millis().to_string());
-    for (name, value) in ask.headers {
+        .uri(format!(
+            "http://{}{}",
+            target_request.address, target_request.path
+        ))
+        .header(head::REQUEST_ID, target_request.id)
+        .header(
+            head::DEADLINE,
+            target_request.deadline.as_millis().to_string(),
+        );
+    for (name, value) in target_request.headers {
         builder = builder.header(&**name, &**value);
     }
     if let Some(length) = length {
@@ -257,41 +279,44 @@
     Ok(builder.body(())?)
 }
 
-fn configure<'b>(
+fn with_deadline<'b>(
     agent: &Agent,
     request: http::Request<SendBody<'b>>,
-    ask: &Ask<'_>,
+    target_request: &TargetRequest<'_>,
 ) -> http::Request<SendBody<'b>> {
     agent
         .configure_request(request)
-        .timeout_global(Some(ask.deadline))
+        .timeout_global(Some(target_request.deadline))
         .build()
 }
 
-fn answer(ask: &Ask<'_>, response: http::Response<ureq::Body>) -> Result<Answer, Cause> {
+fn to_answer(
+    target_request: &TargetRequest<'_>,
+    response: http::Response<ureq::Body>,
+) -> Result<Answer, Cause> {
     let (parts, body) = response.into_parts();
-    let text = |name: &str| -> Option<Arc<str>> {
+    let header = |name: &str| -> Option<Arc<str>> {
         let value = parts.headers.get(name)?;
         value.to_str().ok().map(Into::into)
     };
-    if let Some(id) = text(head::REQUEST_ID).filter(|id| **id != *ask.id) {
+    if let Some(id) = header(head::REQUEST_ID).filter(|id| **id != *target_request.id) {
         return Err(Cause::OtherRequest(id));
     }
-    let connection = text("connection").unwrap_or_default();
+    let connection = header("connection").unwrap_or_default();
     let headers = parts
         .headers
         .iter()
-        .filter(|(name, _)| !is_own(name.as_str(), &connection))
+        .filter(|(name, _)| !is_not_forwarded(name.as_str(), &connection))
         .filter_map(|(name, value)| Some((name.as_str().into(), value.to_str().ok()?.into())))
         .collect();
     let status = parts.status.as_u16();
-    let refused = status == 503 && text(head::OUTCOME).as_deref() == Some("not-run");
+    let refused = status == 503 && header(head::OUTCOME).as_deref() == Some("not-run");
     Ok(Answer {
         status,
         headers,
-        length: text("content-length").and_then(|text| text.parse().ok()),
-        load: text(head::LOAD).and_then(|text| load(&text)),
-        state: text(head::STATE),
+        length: header("content-length").and_then(|text| text.parse().ok()),
+        load: header(head::LOAD).and_then(|text| parse_load(&text)),
+        state: header(head::STATE),
         rate: Rate::new(
             parts
                 .headers
@@ -304,19 +329,22 @@
     })
 }
 
-/// Headers of a target that are not the caller's business or are written anew.
-fn is_own(name: &str, connection: &str) -> bool {
-    let own = [
+/// Whether a header of an answer is not forwarded: it is meant for this host or set again by it.
+fn is_not_forwarded(name: &str, connection: &str) -> bool {
+    let internal = [
         head::OUTCOME,
         head::LOAD,
         head::STATE,
         head::RATE,
         "content-length",
     ];
-    head::is_hop_by_hop(name, connection) || own.iter().any(|own| name.eq_ignore_ascii_case(own))
+    head::is_hop_by_hop(name, connection)
+        || internal
+            .iter()
+            .any(|internal| name.eq_ignore_ascii_case(internal))
 }
 
-fn load(text: &str) -> Option<(u32, u32)> {
+fn parse_load(text: &str) -> Option<(u32, u32)> {
     let (in_flight, slots) = text.split_once('/')?;
     Some((in_flight.trim().parse().ok()?, slots.trim().parse().ok()?))
 }
--- a/src/entry/watchdog.rs
+++ b/src/entry/watchdog.rs
@@ -1,7 +1,7 @@
-//! Closes connections on which something takes too long, since `tiny_http` has no time-outs.
+//! Closes connections on which an operation takes too long, since `tiny_http` has no time-outs.
 //!
-//! A thread that may block on a caller takes a [`Guard`]; if it still has it when the time is over,
-//! the connection is closed and the thread goes on with an error.
+//! A thread that may block on a caller holds a [`Guard`]; if the guard still exists when its time is
+//! over, the connection is closed and the blocked operation fails.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -12,65 +12,70 @@
 
 use super::raw_socket;
 
-/// How often it looks.
-const LOOK: Duration = Duration::from_millis(100);
-/// Parts of the table, each with a lock of its own.
+/// How often expired guards are looked for.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Number of shards of the table, each with its own lock.
 const SHARDS: usize = 16;
 
-/// What is done when the time is over.
+/// What is done to the connection when the time is expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Act {
-    /// Nothing more is read from the caller; it can still be answered.
+pub(crate) enum TimeoutAction {
+    /// Close it for reading; the caller can still be answered.
     CloseRead,
-    /// The connection is closed.
+    /// Close it.
     Close,
 }
 
 #[derive(Clone, Copy)]
 struct Entry {
     peer: SocketAddr,
-    act: Act,
+    action: TimeoutAction,
 }
 
 #[derive(Default)]
 struct Shard {
-    next: u64,
+    next_key: u64,
     entries: BTreeMap<u64, (Instant, Entry)>,
 }
 
 type Table = [Mutex<Shard>; SHARDS];
 
-/// Watches connections. Its thread ends when the last copy is dropped.
+/// Closes connections whose guards expire. Its thread ends when the last copy is dropped.
 #[derive(Clone)]
-pub(crate) struct Watch {
+pub(crate) struct Watchdog {
     table: Arc<Table>,
 }
 
-impl Watch {
-    /// Starts the thread.
+impl Watchdog {
+    /// Starts the watchdog's thread.
     pub(crate) fn new() -> io::Result<Self> {
         let table = Arc::<Table>::default();
-        let watched = Arc::downgrade(&table);
+        let weak_table = Arc::downgrade(&table);
         thread::Builder::new()
             .name("watch".into())
             .spawn(move || loop {
-                thread::sleep(LOOK);
-                let Some(table) = watched.upgrade() else {
+                thread::sleep(CHECK_INTERVAL);
+                let Some(table) = weak_table.upgrade() else {
                     return;
                 };
-                table.iter().for_each(look);
+                table.iter().for_each(close_expired);
             })?;
         Ok(Self { table })
     }
 
-    /// Does `act` to the connection unless the guard is dropped within `time`.
-    pub(crate) fn guard(&self, peer: SocketAddr, time: Duration, act: Act) -> Guard {
+    /// Applies `action` to the connection unless the guard is dropped within `timeout`.
+    pub(crate) fn guard(
+        &self,
+        peer: SocketAddr,
+        timeout: Duration,
+        action: TimeoutAction,
+    ) -> Guard {
         let shard = usize::from(peer.port()) % SHARDS;
         let mut table = lock(&self.table[shard]);
-        let key = table.next;
-        table.next += 1;
-        let due = Instant::now() + time;
-        table.entries.insert(key, (due, Entry { peer, act }));
+        let key = table.next_key;
+        table.next_key += 1;
+        let due = Instant::now() + timeout;
+        table.entries.insert(key, (due, Entry { peer, action }));
         Guard {
             table: self.table.clone(),
             shard,
@@ -79,20 +84,20 @@
     }
 }
 
-fn look(shard: &Mutex<Shard>) {
+fn close_expired(shard: &Mutex<Shard>) {
     let now = Instant::now();
-    let mut over = Vec::new();
+    let mut expired = Vec::new();
     lock(shard).entries.retain(|_, (due, entry)| {
         if *due <= now {
-            over.push(*entry);
+            expired.push(*entry);
         }
         *due > now
     });
-    for entry in over {
+    for entry in expired {
         spdlog::debug!("http: {} takes too long", entry.peer);
-        match entry.act {
-            Act::CloseRead => raw_socket::close_read(entry.peer),
-            Act::Close => raw_socket::close(entry.peer),
+        match entry.action {
+            TimeoutAction::CloseRead => raw_socket::close_read(entry.peer),
+            TimeoutAction::Close => raw_socket::close(entry.peer),
         }
     }
 }
@@ -101,7 +106,7 @@
     shard.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Keeps a connection watched.
+/// Cancels the time-out of a connection when dropped.
 pub(crate) struct Guard {
     table: Arc<Table>,
     shard: usize,
--- a/src/host/metrics.rs
+++ b/src/host/metrics.rs
@@ -27,7 +27,7 @@
         return answer::plain_text(StatusCode::NOT_FOUND, "metrics are at /metrics\n");
     }
     update_gauges(&host);
-    Response::new(full(Bytes::from(host.metrics.text())))
+    Response::new(full(Bytes::from(host.metrics.encode())))
 }
 
 /// Updates the gauges from the host's current state.
@@ -35,16 +35,16 @@
     let metrics = &host.metrics;
     let core = &mut *host.core.borrow_mut();
     let now = now();
-    metrics.revision(core.table.version().unwrap_or_default());
+    metrics.set_revision(core.table.version().unwrap_or_default());
     for (service, left) in core.budgets.remaining(now) {
-        metrics.repeats(service, left);
+        metrics.set_repeats_left(service, left);
     }
     for belief in core.fleet.estimates(now) {
-        metrics.belief(&belief);
+        metrics.set_target_estimate(&belief);
     }
     for (kind, at) in &core.confirmed_at {
-        metrics.age(kind.as_str(), now.saturating_duration_since(*at));
+        metrics.set_age(kind.as_str(), now.saturating_duration_since(*at));
     }
-    metrics.hosts("alive", core.presence.alive(now).count());
-    metrics.hosts("known", core.presence.peers().count() + 1);
+    metrics.set_host_count("alive", core.presence.alive(now).count());
+    metrics.set_host_count("known", core.presence.peers().count() + 1);
 }
--- a/src/host/request_log.rs
+++ b/src/host/request_log.rs
@@ -9,7 +9,7 @@
 use super::exchange::{Exchange, InFlight};
 use super::log::Event;
 use super::{now, serve, Host};
-use crate::entry::metrics::Sample;
+use crate::entry::metrics::RequestSample;
 use crate::inventory::TargetKey;
 use crate::steer::fleet::{End, Refusal, TargetQuery};
 
@@ -248,7 +248,7 @@
     total: Duration,
 ) {
     let attempt_time: Duration = trace.attempts.iter().map(|attempt| attempt.took).sum();
-    host.metrics.request(&Sample {
+    host.metrics.record_request(&RequestSample {
         service,
         class: &exchange.route.name,
         outcome: match event {
@@ -259,10 +259,11 @@
         },
         total,
         added: total.saturating_sub(attempt_time),
-        waited: Duration::ZERO,
+        queued: Duration::ZERO,
         attempts: trace.attempts.len() as u32,
     });
     if event == Event::Refused {
-        host.metrics.refusal(service, trace.stop_reason.as_str());
+        host.metrics
+            .count_refusal(service, trace.stop_reason.as_str());
     }
 }
