--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -1,7 +1,7 @@
 //! What one decision costs: splits, client blocks, look-ups, budgets and quotas, over sizes.
 
-#[path = "../tests/places/mod.rs"]
-mod places;
+#[path = "../tests/catalogs/mod.rs"]
+mod catalogs;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hint::black_box;
@@ -9,9 +9,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use catalogs::{configuration, Size};
 use criterion::{criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion};
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
-use places::{configuration, Size};
 use prefix_trie::PrefixMap;
 use ragwortfold::border::configuration::{Client, Configuration};
 use ragwortfold::border::settings::Steer;
@@ -102,7 +102,7 @@
 }
 
 fn choose(criterion: &mut Criterion) {
-    let catalog = places::catalog(LARGE);
+    let catalog = catalogs::catalog(LARGE);
     let mut group = criterion.benchmark_group("split");
     for count in [2, 4, 16] {
         let zones = catalog.zones().take(count).zip(1..);
@@ -129,7 +129,7 @@
 }
 
 fn tables(criterion: &mut Criterion) {
-    let catalog = places::catalog(LARGE);
+    let catalog = catalogs::catalog(LARGE);
     let mut group = criterion.benchmark_group("table");
     for (family, count) in [4, 6]
         .into_iter()
@@ -164,7 +164,7 @@
 
 /// The library's trie, to compare with.
 fn tries(criterion: &mut Criterion) {
-    let catalog = places::catalog(LARGE);
+    let catalog = catalogs::catalog(LARGE);
     let mut group = criterion.benchmark_group("prefix_trie");
     for family in [4, 6] {
         let count = BLOCKS[2];
@@ -285,7 +285,7 @@
 
 /// An engine of one host that knows all zones, and what tells it of them.
 fn engine(size: Size, now: Instant) -> (Engine, Arc<Catalog>, View) {
-    let catalog = Arc::new(places::catalog(size));
+    let catalog = Arc::new(catalogs::catalog(size));
     let mut view = View::default();
     let mut free = BTreeMap::new();
     for (zone, _) in catalog.zones() {
--- a/benches/path.rs
+++ b/benches/path.rs
@@ -5,16 +5,16 @@
 
 #![allow(clippy::unwrap_used, reason = "a bench may end at once")]
 
-#[path = "../tests/world/mod.rs"]
-mod world;
+#[path = "../tests/cluster/mod.rs"]
+mod cluster;
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
 
+use cluster::World;
 use hdrhistogram::Histogram;
-use world::World;
 
 /// How long each row is measured.
 const TIME: Duration = Duration::from_secs(4);
--- a/benches/publish.rs
+++ b/benches/publish.rs
@@ -6,8 +6,8 @@
 
 #![allow(clippy::unwrap_used)]
 
-#[path = "../tests/world/mod.rs"]
-mod world;
+#[path = "../tests/cluster/mod.rs"]
+mod cluster;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,6 +16,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant, SystemTime};
 
+use cluster::{eventually, World};
 use ragwortfold::border::objects::Head;
 use ragwortfold::config::{self, Folder};
 use ragwortfold::store::client::Client;
@@ -24,7 +25,6 @@
 use serde_json::{json, Value};
 use standin::link::{self, Flow, Link};
 use standin::platform::{self, Platform};
-use world::{eventually, World};
 
 const ZONES: [(&str, &str); 6] = [
     ("arequipa", "arequipa-a"),
--- a/tests/caller.rs
+++ b/tests/caller.rs
@@ -2,8 +2,8 @@
 
 #![allow(clippy::unwrap_used)]
 
+mod cluster;
 mod scripted;
-mod world;
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -11,9 +11,9 @@
 use std::thread;
 use std::time::Duration;
 
+use cluster::{eventually, send, Host, World, PATIENCE};
 use scripted::{Act, Pair, Times};
 use serde_json::{json, Value};
-use world::{eventually, send, Host, World, PATIENCE};
 
 const ZONE: &str = "lima-a";
 
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -2,12 +2,12 @@
 
 #![allow(clippy::unwrap_used)]
 
-mod world;
+mod cluster;
 
 use std::time::Instant;
 
+use cluster::{eventually, send, World};
 use serde_json::{json, Value};
-use world::{eventually, send, World};
 
 fn fleet() -> World {
     let mut world = World::new();
@@ -45,7 +45,7 @@
 
 fn wait_known(world: &World) {
     for host in names(world) {
-        world::settles(|| knows_all(world, &host));
+        cluster::settles(|| knows_all(world, &host));
     }
 }
 
@@ -77,7 +77,7 @@
     println!("revision 2 everywhere after {:?}", start.elapsed());
 
     // The platform goes; a host that starts now has it from its peers.
-    let url = format!("http://{}", world::free_address());
+    let url = format!("http://{}", cluster::free_address());
     let name = "ent-cusco-a-1";
     world.hosts.get_mut(name).unwrap().kill();
     world.start_with(name, &url, json!({}));
--- a/tests/crash.rs
+++ b/tests/crash.rs
@@ -5,15 +5,15 @@
 
 #![allow(clippy::unwrap_used)]
 
-mod world;
+mod cluster;
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 use std::time::Duration;
 
+use cluster::{send, Answer, World};
 use serde_json::json;
 use standin::crash::{run_callers, Settings, Target};
-use world::{send, Answer, World};
 
 const ZONES: [(&str, &str); 4] = [
     ("lima", "lima-a"),
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -2,15 +2,15 @@
 
 #![allow(clippy::unwrap_used)]
 
+mod catalogs;
 mod fleet;
-mod places;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use catalogs::{configuration, hosts, lay, region, service, zone, Size};
 use fleet::{Event, Fleet};
-use places::{configuration, hosts, lay, region, service, zone, Size};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -2,12 +2,12 @@
 
 #![allow(clippy::unwrap_used)]
 
-mod world;
+mod cluster;
 
 use std::time::{Duration, Instant};
 
+use cluster::{send, World};
 use serde_json::{json, Value};
-use world::{send, World};
 
 const REGIONS: [&str; 3] = ["arequipa", "cusco", "lima"];
 
@@ -38,7 +38,7 @@
     }
     let world = world.run();
     for host in world.hosts.keys() {
-        world::settles(|| {
+        cluster::settles(|| {
             let status = status(&world, host);
             let hosts = status["hosts"].as_object().unwrap();
             let is_known = hosts.values().all(|other| other["state"] == "alive");
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -16,7 +16,7 @@
 use rand_pcg::Pcg64;
 use serde_json::{json, Value};
 
-use super::places::{configuration, lay, region, service, Size};
+use super::catalogs::{configuration, lay, region, service, Size};
 
 /// Two zones in each of three regions, two hosts a zone, two targets with four slots.
 const PLACES: Size = Size {
--- a/tests/lookup.rs
+++ b/tests/lookup.rs
@@ -2,13 +2,13 @@
 
 #![allow(clippy::unwrap_used)]
 
-mod places;
+mod catalogs;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 
+use catalogs::{catalog, configuration, hosts, lay, region, service, zone, Size, SMALL};
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
-use places::{catalog, configuration, hosts, lay, region, service, zone, Size, SMALL};
 use prefix_trie::PrefixMap;
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestRunner};
--- a/tests/operate.rs
+++ b/tests/operate.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used)]
 
-mod world;
+mod cluster;
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -11,10 +11,10 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+use cluster::{eventually, send, World};
 use serde_json::{json, Value};
 use standin::platform::Fault;
 use tempfile::TempDir;
-use world::{eventually, send, World};
 
 /// Time in which a leaving target must stop getting new work.
 const LEAVE: Duration = Duration::from_secs(2);
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -2,9 +2,9 @@
 
 #![allow(clippy::unwrap_used)]
 
-mod world;
+mod cluster;
 
-use world::{send, World};
+use cluster::{send, World};
 
 fn one_host() -> World {
     World::new()
@@ -106,7 +106,7 @@
         b"",
     );
     let relayed = send("HEAD", &url.replace("upload", "x"), &[], b"");
-    let length = |answer: Result<world::Answer, ureq::Error>| {
+    let length = |answer: Result<cluster::Answer, ureq::Error>| {
         answer.unwrap().headers["content-length"].clone()
     };
     assert_eq!(length(relayed), length(direct));
--- a/tests/publication.rs
+++ b/tests/publication.rs
@@ -2,13 +2,13 @@
 
 #![allow(clippy::unwrap_used)]
 
-mod fake;
+mod fake_platform;
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, SystemTime};
 
-use fake::{Call, Fault, Platform};
+use fake_platform::{Call, Fault, Platform};
 use ragwortfold::border::objects::{Head, Past};
 use ragwortfold::store::backoff::Backoff;
 use ragwortfold::store::breaker::Breaker;
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -2,11 +2,11 @@
 
 #![allow(clippy::unwrap_used)]
 
-mod places;
+mod catalogs;
 
 use std::time::{Duration, Instant};
 
-use places::{catalog, configuration, hosts, lay, region, SMALL};
+use catalogs::{catalog, configuration, hosts, lay, region, SMALL};
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestRunner};
 use ragwortfold::catalog::{Catalog, HostKey};
--- a/tests/rate.rs
+++ b/tests/rate.rs
@@ -3,17 +3,17 @@
 
 #![allow(clippy::unwrap_used)]
 
-mod world;
+mod cluster;
 
 use std::cmp::Reverse;
 use std::time::{Duration, Instant};
 
+use cluster::{send, World};
 use serde_json::json;
 use standin::rate_limit::{
     run_callers, Call, Headers, Target, LIMITED_TIME, MAX_SETTLING_TIME, MIN_ANSWERED_SHARE,
     MIN_USED_SHARE, REQUESTS_PER_S,
 };
-use world::{send, World};
 
 const HEADERS: Headers = Headers {
     rate: "ragwortfold-rate",
--- a/tests/scripted/mod.rs
+++ b/tests/scripted/mod.rs
@@ -13,7 +13,7 @@
 
 use socket2::{Domain, SockRef, Socket, Type};
 
-use crate::world::free_address;
+use crate::cluster::free_address;
 
 /// What a target does with a connection or a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/tests/shift.rs
+++ b/tests/shift.rs
@@ -2,12 +2,12 @@
 
 #![allow(clippy::unwrap_used)]
 
-mod places;
+mod catalogs;
 mod property;
 
 use std::time::{Duration, Instant};
 
-use places::{catalog, zone, SMALL};
+use catalogs::{catalog, zone, SMALL};
 use property::run;
 use proptest::prelude::*;
 
--- a/tests/split.rs
+++ b/tests/split.rs
@@ -2,12 +2,12 @@
 
 #![allow(clippy::unwrap_used)]
 
-mod places;
+mod catalogs;
 mod property;
 
 use std::time::{Duration, Instant};
 
-use places::{catalog, configuration, lay, region, service, zone, SMALL};
+use catalogs::{catalog, configuration, lay, region, service, zone, SMALL};
 use property::run;
 use proptest::prelude::*;
 
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -2,11 +2,11 @@
 
 #![allow(clippy::unwrap_used)]
 
-mod fake;
+mod fake_platform;
 
 use std::time::{Duration, Instant};
 
-use fake::{Fault, Platform};
+use fake_platform::{Fault, Platform};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use ragwortfold::store::backoff::Backoff;
--- a/tests/target.rs
+++ b/tests/target.rs
@@ -6,15 +6,15 @@
 
 #![allow(clippy::unwrap_used)]
 
+mod cluster;
 mod scripted;
-mod world;
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, Weak};
 
+use cluster::{send, Answer, World};
 use scripted::{Act, Pair, Times};
 use serde_json::json;
-use world::{send, Answer, World};
 
 const ZONE: &str = "lima-a";
 /// A deadline longer than the patience of `send`: what is given up must be answered at once.
