--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use catalogs::{configuration, Size};
+use catalogs::{configuration, CatalogSize};
 use criterion::{criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion};
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use prefix_trie::PrefixMap;
@@ -29,7 +29,7 @@
 use rand_pcg::Pcg64;
 
 /// 688 hosts in 16 zones of 4 regions, 144 sites, 54 targets a zone.
-const LARGE: Size = Size {
+const LARGE: CatalogSize = CatalogSize {
     regions: 4,
     zones: 4,
     hosts: 43,
@@ -284,7 +284,7 @@
 }
 
 /// An engine of one host that knows all zones, and what tells it of them.
-fn engine(size: Size, now: Instant) -> (Engine, Arc<Catalog>, View) {
+fn engine(size: CatalogSize, now: Instant) -> (Engine, Arc<Catalog>, View) {
     let catalog = Arc::new(catalogs::catalog(size));
     let mut view = View::default();
     let mut free = BTreeMap::new();
@@ -340,13 +340,13 @@
 }
 
 fn whole(criterion: &mut Criterion) {
-    let sizes = |of: &str| -> Vec<(usize, Size)> {
+    let sizes = |of: &str| -> Vec<(usize, CatalogSize)> {
         let all = match of {
-            "sites" => [1, 3, 9].map(|services| Size { services, ..LARGE }),
-            "targets" => [2, 6, 50].map(|targets| Size { targets, ..LARGE }),
-            _ => [3, 12, 43].map(|hosts| Size { hosts, ..LARGE }),
+            "sites" => [1, 3, 9].map(|services| CatalogSize { services, ..LARGE }),
+            "targets" => [2, 6, 50].map(|targets| CatalogSize { targets, ..LARGE }),
+            _ => [3, 12, 43].map(|hosts| CatalogSize { hosts, ..LARGE }),
         };
-        let count = |size: Size| match of {
+        let count = |size: CatalogSize| match of {
             "sites" => size.services * size.regions * size.zones,
             "targets" => size.services * size.targets,
             _ => size.hosts * size.regions * size.zones,
--- a/benches/path.rs
+++ b/benches/path.rs
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use cluster::World;
+use cluster::TestCluster;
 use hdrhistogram::Histogram;
 
 /// How long each row is measured.
@@ -117,7 +117,7 @@
         .filter_map(|argument| argument.parse().ok())
         .next()
         .unwrap_or(0);
-    let mut world = World::new()
+    let mut world = TestCluster::new()
         .with_zone("lima", "lima-a")
         .with_host("lima-a", "ent-1");
     for index in 0..4 {
@@ -125,7 +125,7 @@
             .with_target("lima-a", "lookups", &format!("look-{index}"), 64)
             .with_target("lima-a", "bookings", &format!("book-{index}"), 64);
     }
-    let world = world.run();
+    let world = world.start_all();
     let host = &world.hosts["ent-1"];
     let direct = format!("http://{}/pass", world.targets["look-0"].address());
     let through = host.url("/v1/services/lookups/pass");
--- a/benches/publish.rs
+++ b/benches/publish.rs
@@ -16,7 +16,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant, SystemTime};
 
-use cluster::{eventually, World};
+use cluster::{eventually, TestCluster};
 use ragwortfold::border::objects::Head;
 use ragwortfold::config::{self, Folder};
 use ragwortfold::store::client::Client;
@@ -61,7 +61,7 @@
 }
 
 impl Watch {
-    fn new(world: &Arc<World>) -> Self {
+    fn new(world: &Arc<TestCluster>) -> Self {
         let mut watch = Self {
             stop: Arc::default(),
             accepted: Times::default(),
@@ -238,8 +238,8 @@
 }
 
 /// 12 hosts that run, each with a link of its own to the platform.
-fn fleet() -> (World, BTreeMap<String, Link>) {
-    let mut world = World::new();
+fn fleet() -> (TestCluster, BTreeMap<String, Link>) {
+    let mut world = TestCluster::new();
     for (region, zone) in ZONES {
         world = world
             .with_zone(region, zone)
@@ -264,7 +264,7 @@
     (world, links)
 }
 
-fn race(world: &World, watch: &Watch) {
+fn race(world: &TestCluster, watch: &Watch) {
     world.platform.set_fault(platform::Fault {
         lose_answers: LOSE,
         ..platform::Fault::default()
@@ -300,7 +300,7 @@
 
 fn cut(
     name: &str,
-    world: &World,
+    world: &TestCluster,
     links: &BTreeMap<String, Link>,
     watch: &Watch,
     is_cut: impl Fn(&str) -> bool,
--- a/tests/caller.rs
+++ b/tests/caller.rs
@@ -1,4 +1,4 @@
-//! The contract with callers: what hostile and odd ones do, on bare sockets, to the byte.
+//! The contract with callers, including hostile and malformed requests, tested on raw sockets.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,22 +11,22 @@
 use std::thread;
 use std::time::Duration;
 
-use cluster::{eventually, send, Host, World, PATIENCE};
+use cluster::{eventually, send, Host, TestCluster, TEST_TIMEOUT};
 use scripted::{Act, Pair, Times};
 use serde_json::{json, Value};
 
 const ZONE: &str = "lima-a";
 
-/// One entry host, two ordinary targets and a service that echoes.
-struct Bench {
-    world: World,
+/// One entry host, two ordinary targets and an echo service.
+struct Fixture {
+    cluster: TestCluster,
     _echo: Pair,
 }
 
-impl Bench {
+impl Fixture {
     fn new(pool: &Value) -> Self {
         let echo = Pair::new(Act::Echo, Times::Always);
-        let world = World::new()
+        let cluster = TestCluster::new()
             .with_zone("lima", ZONE)
             .with_target(ZONE, "lookups", "look-1", 16)
             .with_target(ZONE, "bookings", "book-1", 16)
@@ -38,24 +38,27 @@
             )
             .with_target_at(ZONE, "small", "small-1", echo.addresses[1])
             .with_host(ZONE, "ent-1")
-            .run_with(&json!({"pool": pool}));
-        Self { world, _echo: echo }
+            .start_all_with(&json!({"pool": pool}));
+        Self {
+            cluster,
+            _echo: echo,
+        }
     }
 
     fn host(&self) -> &Host {
-        &self.world.hosts["ent-1"]
+        &self.cluster.hosts["ent-1"]
     }
 
     fn open(&self) -> Caller {
         Caller::new(self.host())
     }
 
-    /// How many requests ran at the target of `lookups` or `bookings`.
+    /// Returns how many requests ran at the target of `lookups` or `bookings`.
     fn runs(&self, target: &str) -> usize {
-        self.world.targets[target].journal().entries.len()
+        self.cluster.targets[target].journal().entries.len()
     }
 
-    /// The host serves others.
+    /// Checks that the host serves other callers.
     fn check_serves(&self) {
         let answer = send("GET", &self.host().url("/v1/services/lookups/x"), &[], b"").unwrap();
         assert_eq!((answer.status, &*answer.outcome), (200, "answered"));
@@ -70,16 +73,16 @@
     }
 }
 
-/// The host of the tests that need no settings of their own; it ends with the last that uses it.
-fn shared() -> Arc<Bench> {
-    static BENCH: Mutex<Weak<Bench>> = Mutex::new(Weak::new());
-    let mut kept = BENCH.lock().unwrap_or_else(|poison| poison.into_inner());
-    if let Some(bench) = kept.upgrade() {
-        return bench;
+/// The host shared by tests with default settings. It is stopped after the last test that uses it.
+fn shared_fixture() -> Arc<Fixture> {
+    static FIXTURE: Mutex<Weak<Fixture>> = Mutex::new(Weak::new());
+    let mut cached = FIXTURE.lock().unwrap_or_else(|poison| poison.into_inner());
+    if let Some(fixture) = cached.upgrade() {
+        return fixture;
     }
-    let bench = Arc::new(Bench::new(&json!({"workers": 16})));
-    *kept = Arc::downgrade(&bench);
-    bench
+    let fixture = Arc::new(Fixture::new(&json!({"workers": 16})));
+    *cached = Arc::downgrade(&fixture);
+    fixture
 }
 
 /// A caller on one connection.
@@ -87,15 +90,15 @@
     reader: BufReader<TcpStream>,
 }
 
-/// An answer as it came.
+/// An unparsed answer.
 #[derive(Debug)]
-struct Raw {
+struct RawAnswer {
     status: u16,
     head: String,
     body: Vec<u8>,
 }
 
-impl Raw {
+impl RawAnswer {
     fn header(&self, name: &str) -> Option<&str> {
         self.headers(name).first().copied()
     }
@@ -124,8 +127,8 @@
 impl Caller {
     fn new(host: &Host) -> Self {
         let stream = TcpStream::connect(host.address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        stream.set_write_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        stream.set_write_timeout(Some(TEST_TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
         Self {
             reader: BufReader::new(stream),
@@ -133,13 +136,13 @@
     }
 
     fn write(&mut self, bytes: impl AsRef<[u8]>) -> &mut Self {
-        // The host may close before it has read all.
+        // The host may close the connection before it has read everything.
         let _ = self.reader.get_mut().write_all(bytes.as_ref());
         self
     }
 
-    /// One whole answer.
-    fn read(&mut self) -> io::Result<Raw> {
+    /// Reads one complete answer.
+    fn read(&mut self) -> io::Result<RawAnswer> {
         let mut head = String::new();
         loop {
             let before = head.len();
@@ -151,7 +154,7 @@
             }
         }
         let status = head[9..12].parse().unwrap();
-        let mut raw = Raw {
+        let mut raw = RawAnswer {
             status,
             head,
             body: Vec::new(),
@@ -163,11 +166,11 @@
         Ok(raw)
     }
 
-    fn ask(&mut self, bytes: impl AsRef<[u8]>) -> Raw {
+    fn request(&mut self, bytes: impl AsRef<[u8]>) -> RawAnswer {
         self.write(bytes).read().unwrap()
     }
 
-    /// Whether the host closes the connection, after whatever it still sends.
+    /// Whether the host closes the connection, ignoring what it sends before that.
     fn is_closed(&mut self) -> bool {
         let ended = self.reader.read_to_end(&mut Vec::new());
         match ended {
@@ -177,7 +180,7 @@
     }
 }
 
-/// A request without a body.
+/// Builds a request without a body.
 fn get(path: &str) -> String {
     format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n")
 }
@@ -190,11 +193,11 @@
     format!("POST {path} HTTP/1.1\r\nHost: x\r\n{header}\r\n\r\n{body}")
 }
 
-fn long(size: usize) -> String {
+fn repeated(size: usize) -> String {
     "l".repeat(size)
 }
 
-fn chunks(body: &str, size: usize) -> String {
+fn to_chunks(body: &str, size: usize) -> String {
     let mut text = String::new();
     for part in body.as_bytes().chunks(size) {
         text += &format!(
@@ -222,8 +225,8 @@
 }
 
 fn check_refused(status: u16, request: &str) {
-    let bench = shared();
-    let raw = bench.open().ask(request);
+    let fixture = shared_fixture();
+    let raw = fixture.open().request(request);
     assert_eq!(
         (raw.status, raw.outcome()),
         (status, "not-run"),
@@ -236,7 +239,7 @@
         .as_str()
         .is_some_and(|text| !text.is_empty()));
     assert_eq!(raw.header("Content-Type"), Some("application/json"));
-    bench.check_serves();
+    fixture.check_serves();
 }
 
 refused! {
@@ -255,18 +258,18 @@
     deadline_too_long: 400, get_with(LOOKUPS, "Ragwortfold-Deadline-Ms: 3600001");
     key_empty: 400, get_with(BOOKINGS, "Idempotency-Key: ");
     key_with_space: 400, get_with(BOOKINGS, "Idempotency-Key: a b");
-    key_too_long: 400, get_with(BOOKINGS, &format!("Idempotency-Key: {}", long(256)));
+    key_too_long: 400, get_with(BOOKINGS, &format!("Idempotency-Key: {}", repeated(256)));
     key_twice: 400, get_with(BOOKINGS, "Idempotency-Key: a\r\nIdempotency-Key: b");
     key_without_ticket: 428, get_with(BOOKINGS, "Idempotency-Key: a");
     ticket_malformed: 400, get_with(BOOKINGS, "Idempotency-Key: a\r\nRagwortfold-Ticket: ent-1");
     ticket_empty: 400, get_with(BOOKINGS, "Ragwortfold-Ticket: ");
-    head_oversize: 431, get_with(LOOKUPS, &format!("X-Long: {}", long(40_000)));
-    path_oversize: 431, get(&format!("{LOOKUPS}{}", long(40_000)));
+    head_oversize: 431, get_with(LOOKUPS, &format!("X-Long: {}", repeated(40_000)));
+    path_oversize: 431, get(&format!("{LOOKUPS}{}", repeated(40_000)));
     many_headers: 431, get_with(LOOKUPS, "X-Many: 0123456789\r\n".repeat(3000).trim_end());
-    body_oversize: 413, post(SMALL, "Content-Length: 3001", &long(3001));
-    body_oversize_large: 413, post(SMALL, "Content-Length: 9000000", &long(9_000_000));
-    body_oversize_chunked: 413, post(SMALL, CHUNKED, &chunks(&long(3001), 100));
-    body_oversize_chunked_large: 413, post(SMALL, CHUNKED, &chunks(&long(900_000), 100_000));
+    body_oversize: 413, post(SMALL, "Content-Length: 3001", &repeated(3001));
+    body_oversize_large: 413, post(SMALL, "Content-Length: 9000000", &repeated(9_000_000));
+    body_oversize_chunked: 413, post(SMALL, CHUNKED, &to_chunks(&repeated(3001), 100));
+    body_oversize_chunked_large: 413, post(SMALL, CHUNKED, &to_chunks(&repeated(900_000), 100_000));
     body_of_absurd_length: 413, post(SMALL, "Content-Length: 9000000000000000", "begun");
     body_of_absurd_length_to_nowhere: 404, post("/v1/nowhere", "Content-Length: 9000000000000000", "begun");
     body_of_absurd_length_to_no_service: 404,
@@ -286,17 +289,17 @@
     look_up_of_valueless_parameter: 400, get("/v1/entries?service");
 }
 
-/// What is not HTTP at all: the library closes the connection, and others are served.
+/// Input that is not HTTP: the library closes the connection, and other callers are served.
 macro_rules! not_http {
     ($($name:ident: $bytes:expr;)*) => {$(
         #[test]
         fn $name() {
-            let bench = shared();
-            let mut caller = bench.open();
+            let fixture = shared_fixture();
+            let mut caller = fixture.open();
             caller.write($bytes);
             caller.reader.get_ref().shutdown(Shutdown::Write).unwrap();
             assert!(caller.is_closed());
-            bench.check_serves();
+            fixture.check_serves();
         }
     )*};
 }
@@ -313,29 +316,29 @@
 }
 
 #[test]
-fn a_connection_is_kept_for_many_requests() {
-    let bench = shared();
-    let mut caller = bench.open();
+fn a_connection_is_reused_for_many_requests() {
+    let fixture = shared_fixture();
+    let mut caller = fixture.open();
     for number in 0..50 {
         let path = format!("/v1/services/echo/{number}");
-        let raw = caller.ask(post(&path, "Content-Length: 3", "abc"));
+        let raw = caller.request(post(&path, "Content-Length: 3", "abc"));
         assert_eq!((raw.status, raw.outcome()), (200, "answered"));
         assert!(raw
             .text()
             .starts_with(&format!("POST /{number} HTTP/1.1\r\n")));
-        assert_eq!(caller.ask(get("/healthz")).status, 200);
+        assert_eq!(caller.request(get("/healthz")).status, 200);
     }
 }
 
 #[test]
-fn a_refused_body_does_not_upset_the_next_request() {
-    let bench = shared();
+fn a_refused_body_does_not_affect_the_next_request() {
+    let fixture = shared_fixture();
     for body in [10, 2000, 100_000] {
-        let mut caller = bench.open();
+        let mut caller = fixture.open();
         let head = format!("Content-Length: {body}");
-        let refused = caller.ask(post("/v1/services/nowhere/x", &head, &long(body)));
+        let refused = caller.request(post("/v1/services/nowhere/x", &head, &repeated(body)));
         assert_eq!(refused.status, 404);
-        // The connection may be closed, but what comes next must not be taken for a body's rest.
+        // The connection may be closed, but the next request must not be read as the rest of a body.
         if let Ok(next) = caller.write(get("/healthz")).read() {
             assert_eq!(next.status, 200, "{body}");
         }
@@ -343,24 +346,24 @@
 }
 
 #[test]
-fn the_rest_of_a_refused_body_is_never_run() {
-    let bench = shared();
+fn the_rest_of_a_refused_body_is_never_run_as_a_request() {
+    let fixture = shared_fixture();
     let hidden = post("/v1/services/bookings/hidden", "Content-Length: 0", "");
     for path in ["/v1/services/nowhere/x", "/v1/nowhere", SMALL] {
         let size = format!("{:x}", hidden.len() + 5000);
-        let body = format!("{size}\r\n{}{hidden}\r\n0\r\n\r\n", long(5000));
+        let body = format!("{size}\r\n{}{hidden}\r\n0\r\n\r\n", repeated(5000));
         for header in [
             CHUNKED.to_owned(),
             format!("Content-Length: {}", body.len()),
         ] {
-            let mut caller = bench.open();
-            let raw = caller.ask(post(path, &header, &body));
+            let mut caller = fixture.open();
+            let raw = caller.request(post(path, &header, &body));
             assert_eq!(raw.outcome(), "not-run", "{path}");
             caller.reader.get_ref().shutdown(Shutdown::Write).unwrap();
             assert!(caller.is_closed());
         }
     }
-    let journal = bench.world.targets["book-1"].journal();
+    let journal = fixture.cluster.targets["book-1"].journal();
     let ran = journal
         .entries
         .iter()
@@ -370,11 +373,15 @@
 
 #[test]
 fn pipelined_requests_are_answered_in_order() {
-    let bench = shared();
-    let mut caller = bench.open();
+    let fixture = shared_fixture();
+    let mut caller = fixture.open();
     let slow = get_with("/v1/services/lookups/slow", "Standin-Work-Ms: 300");
     let look_up = get("/v1/entries?service=lookups");
-    let upload = post("/v1/services/echo/up", "Content-Length: 2000", &long(2000));
+    let upload = post(
+        "/v1/services/echo/up",
+        "Content-Length: 2000",
+        &repeated(2000),
+    );
     let fast = get("/v1/services/echo/fast");
     caller.write([slow, look_up, upload, fast, get("/healthz")].concat());
     assert!(caller.read().unwrap().text().contains("GET /slow"));
@@ -384,20 +391,20 @@
     assert_eq!(caller.read().unwrap().text(), "ok\n");
 }
 
-/// One connection's queue of requests must not hold up the others.
+/// The queued requests of one connection must not delay other connections.
 #[test]
-fn pipelined_requests_behind_a_slow_one_hold_up_nobody_else() {
-    let bench = Bench::new(&json!({"workers": 4, "lookup_workers": 2}));
-    let mut hostile = bench.open();
+fn pipelined_requests_behind_a_slow_one_do_not_delay_other_connections() {
+    let fixture = Fixture::new(&json!({"workers": 4, "lookup_workers": 2}));
+    let mut hostile = fixture.open();
     let slow = "Standin-Work-Ms: 4000\r\nRagwortfold-Deadline-Ms: 20000";
     hostile.write(get_with(LOOKUPS, slow));
     for _ in 0..10 {
         hostile.write(get("/v1/entries?service=lookups"));
         hostile.write(get(LOOKUPS));
     }
-    eventually("the slow one runs", || bench.runs("look-1") > 0);
+    eventually("the slow request runs", || fixture.runs("look-1") > 0);
     for _ in 0..20 {
-        bench.check_serves();
+        fixture.check_serves();
     }
     let stream = hostile.reader.get_ref();
     stream.set_nonblocking(true).unwrap();
@@ -405,7 +412,7 @@
     assert_eq!(
         early,
         Err(io::ErrorKind::WouldBlock),
-        "the slow one came first"
+        "an answer arrived before the slow one"
     );
     stream.set_nonblocking(false).unwrap();
     for _ in 0..21 {
@@ -415,31 +422,31 @@
 
 #[test]
 fn connection_close_closes() {
-    let bench = shared();
-    let mut caller = bench.open();
-    let raw = caller.ask(get_with(LOOKUPS, "Connection: close"));
+    let fixture = shared_fixture();
+    let mut caller = fixture.open();
+    let raw = caller.request(get_with(LOOKUPS, "Connection: close"));
     assert_eq!((raw.status, raw.outcome()), (200, "answered"));
     assert!(caller.is_closed());
 }
 
 #[test]
 fn http_1_0_is_answered_and_closed() {
-    let bench = shared();
-    let mut caller = bench.open();
-    let raw = caller.ask(format!("GET {LOOKUPS} HTTP/1.0\r\n\r\n"));
+    let fixture = shared_fixture();
+    let mut caller = fixture.open();
+    let raw = caller.request(format!("GET {LOOKUPS} HTTP/1.0\r\n\r\n"));
     assert_eq!((raw.status, raw.outcome()), (200, "answered"));
     assert!(caller.is_closed());
 }
 
 #[test]
 fn expect_continue_is_answered_before_the_body() {
-    let bench = shared();
+    let fixture = shared_fixture();
     for size in [10, 5000] {
-        let mut caller = bench.open();
+        let mut caller = fixture.open();
         let header = format!("Content-Length: {size}\r\nExpect: 100-continue");
-        let interim = caller.ask(post(LOOKUPS, &header, ""));
+        let interim = caller.request(post(LOOKUPS, &header, ""));
         assert_eq!(interim.status, 100);
-        let raw = caller.ask(long(size));
+        let raw = caller.request(repeated(size));
         assert_eq!((raw.status, raw.outcome()), (200, "answered"));
         let answer: Value = serde_json::from_slice(&raw.body).unwrap();
         assert_eq!(answer["body_length"], size);
@@ -448,23 +455,25 @@
 
 #[test]
 fn expect_continue_is_refused_without_the_body() {
-    let bench = shared();
+    let fixture = shared_fixture();
     let header = "Content-Length: 5000\r\nExpect: 100-continue";
-    let raw = bench.open().ask(post("/v1/services/nowhere/x", header, ""));
+    let raw = fixture
+        .open()
+        .request(post("/v1/services/nowhere/x", header, ""));
     assert_eq!(raw.status, 404);
-    let raw = bench.open().ask(post(SMALL, header, ""));
+    let raw = fixture.open().request(post(SMALL, header, ""));
     assert_eq!(raw.status, 413);
 }
 
 #[test]
 fn a_chunked_upload_arrives_whole() {
-    let bench = shared();
+    let fixture = shared_fixture();
     let body: String = (0..8 << 20)
         .map(|at| char::from(b'a' + (at % 23) as u8))
         .collect();
-    let raw = bench
+    let raw = fixture
         .open()
-        .ask(post(LOOKUPS, CHUNKED, &chunks(&body, 70_001)));
+        .request(post(LOOKUPS, CHUNKED, &to_chunks(&body, 70_001)));
     assert_eq!(
         (raw.status, raw.outcome()),
         (200, "answered"),
@@ -478,11 +487,11 @@
 
 #[test]
 fn a_slow_body_arrives_whole() {
-    let bench = shared();
-    let mut caller = bench.open();
+    let fixture = shared_fixture();
+    let mut caller = fixture.open();
     caller.write(post(LOOKUPS, "Content-Length: 2000", ""));
     for _ in 0..20 {
-        caller.write(long(100));
+        caller.write(repeated(100));
         thread::sleep(Duration::from_millis(10));
     }
     let raw = caller.read().unwrap();
@@ -490,8 +499,8 @@
 }
 
 #[test]
-fn heads_pass_to_the_byte_but_for_hop_by_hop_headers() {
-    let bench = shared();
+fn heads_are_forwarded_unchanged_except_hop_by_hop_headers() {
+    let fixture = shared_fixture();
     let path = "/a%2Fb/%C3%A9/../c;d=e?q=%20+x&&y==1&z";
     let request = format!(
         "PATCH /v1/services/echo{path} HTTP/1.1\r\nHost: x\r\nX-MiXed-CaSe: a  b;c=\"d\" , e\r\n\
@@ -500,7 +509,7 @@
          Authorization: Basic YQ==\r\nCookie: a=1; b=2\r\nUser-Agent: test/1\r\nAccept: */*\r\n\
          Content-Length: 0\r\n\r\n"
     );
-    let raw = bench.open().ask(request);
+    let raw = fixture.open().request(request);
     assert_eq!((raw.status, raw.outcome()), (200, "answered"));
     let seen = raw.text();
     assert!(
@@ -563,32 +572,34 @@
 }
 
 #[test]
-fn what_the_caller_says_of_itself_does_not_change_the_request_id() {
-    let bench = shared();
+fn a_request_id_header_of_the_caller_is_not_forwarded() {
+    let fixture = shared_fixture();
     let forged = "Ragwortfold-Request-Id: forged\r\nRagwortfold-Deadline-Ms: 900";
-    let raw = bench.open().ask(get_with("/v1/services/echo/x", forged));
+    let raw = fixture
+        .open()
+        .request(get_with("/v1/services/echo/x", forged));
     assert!(!raw.text().contains("forged"), "{}", raw.text());
 }
 
 #[test]
 fn five_hundred_idle_connections_leave_others_served() {
-    let bench = shared();
-    let idle: Vec<Caller> = (0..500).map(|_| bench.open()).collect();
-    bench.check_serves();
+    let fixture = shared_fixture();
+    let idle: Vec<Caller> = (0..500).map(|_| fixture.open()).collect();
+    fixture.check_serves();
     for mut caller in idle {
-        assert_eq!(caller.ask(get("/healthz")).status, 200);
+        assert_eq!(caller.request(get("/healthz")).status, 200);
     }
 }
 
-/// A host whose callers may be silent for 700 ms.
-fn impatient() -> Bench {
-    Bench::new(&json!({"workers": 2, "lookup_workers": 2, "idle_ms": 700}))
+/// Starts a host that closes connections after 700 ms without data.
+fn fixture_with_short_idle_timeout() -> Fixture {
+    Fixture::new(&json!({"workers": 2, "lookup_workers": 2, "idle_ms": 700}))
 }
 
 #[test]
-fn half_sent_requests_are_closed_and_hold_up_nobody() {
-    let bench = impatient();
-    let halves = [
+fn incomplete_requests_are_closed_and_do_not_delay_others() {
+    let fixture = fixture_with_short_idle_timeout();
+    let incomplete_requests = [
         "GET /v1/services/lookups/x HTTP/1.1\r\nX-Ha".to_owned(),
         "GE".to_owned(),
         post(LOOKUPS, "Content-Length: 100", "half"),
@@ -597,33 +608,37 @@
         post(LOOKUPS, "Content-Length: 5000000", "half"),
     ];
     let mut callers = Vec::new();
-    for half in halves.iter().cycle().take(24) {
-        let mut caller = bench.open();
-        caller.write(half);
+    for request in incomplete_requests.iter().cycle().take(24) {
+        let mut caller = fixture.open();
+        caller.write(request);
         callers.push(caller);
     }
-    let url = bench.host().url("/v1/entries?service=lookups");
+    let url = fixture.host().url("/v1/entries?service=lookups");
     assert_eq!(send("GET", &url, &[], b"").unwrap().status, 200);
     for (index, caller) in callers.iter_mut().enumerate() {
-        assert!(caller.is_closed(), "{}", halves[index % halves.len()]);
+        assert!(
+            caller.is_closed(),
+            "{}",
+            incomplete_requests[index % incomplete_requests.len()]
+        );
     }
-    bench.check_serves();
-    let whole = bench.world.targets["look-1"].journal().entries;
+    fixture.check_serves();
+    let entries = fixture.cluster.targets["look-1"].journal().entries;
     assert!(
-        whole.iter().all(|entry| entry.line.starts_with("GET")),
-        "{whole:?}"
+        entries.iter().all(|entry| entry.line.starts_with("GET")),
+        "{entries:?}"
     );
 }
 
-/// A body that trickles in is given up when the request's time is over.
+/// Reading a body that arrives very slowly stops at the request's deadline.
 #[test]
-fn an_endless_slow_body_does_not_keep_a_worker() {
-    let bench = Bench::new(&json!({"workers": 1, "lookup_workers": 1}));
+fn a_very_slow_body_does_not_block_a_worker() {
+    let fixture = Fixture::new(&json!({"workers": 1, "lookup_workers": 1}));
     let header = "Content-Length: 9000\r\nRagwortfold-Deadline-Ms: 1000";
-    let mut caller = bench.open();
+    let mut caller = fixture.open();
     caller.write(post(LOOKUPS, header, ""));
     let mut stream = caller.reader.get_ref().try_clone().unwrap();
-    let dripping = thread::spawn(move || {
+    let sender = thread::spawn(move || {
         for _ in 0..80 {
             if stream.write_all(b"d").is_err() {
                 return true;
@@ -634,43 +649,43 @@
     });
     let answer = caller.read();
     assert!(answer.is_ok_and(|raw| raw.outcome() == "not-run"));
-    assert!(dripping.join().unwrap(), "the connection stayed open");
-    bench.check_serves();
+    assert!(sender.join().unwrap(), "the connection stayed open");
+    fixture.check_serves();
 }
 
 #[test]
-fn callers_that_hang_up_within_an_answer_free_the_worker() {
-    let bench = impatient();
+fn callers_that_disconnect_during_an_answer_free_the_worker() {
+    let fixture = fixture_with_short_idle_timeout();
     let size = "Standin-Answer-Bytes: 30000000";
     for _ in 0..6 {
-        let mut caller = bench.open();
+        let mut caller = fixture.open();
         caller.write(get_with(LOOKUPS, size));
         let mut beginning = [0; 1000];
         caller.reader.read_exact(&mut beginning).unwrap();
     }
     eventually("others are served", || {
-        let answer = send("GET", &bench.host().url(LOOKUPS), &[], b"").unwrap();
+        let answer = send("GET", &fixture.host().url(LOOKUPS), &[], b"").unwrap();
         answer.status == 200
     });
-    bench.check_serves();
+    fixture.check_serves();
 }
 
 #[test]
 fn callers_that_never_read_their_answer_are_cut() {
-    let bench = impatient();
+    let fixture = fixture_with_short_idle_timeout();
     let size = "Standin-Answer-Bytes: 40000000";
-    let mut hostile: Vec<Caller> = (0..4).map(|_| bench.open()).collect();
+    let mut hostile: Vec<Caller> = (0..4).map(|_| fixture.open()).collect();
     for caller in &mut hostile {
         caller.write(get_with(LOOKUPS, size));
     }
     eventually("others are served", || {
-        let answer = send("GET", &bench.host().url(LOOKUPS), &[], b"").unwrap();
+        let answer = send("GET", &fixture.host().url(LOOKUPS), &[], b"").unwrap();
         answer.status == 200
     });
     for caller in &mut hostile {
         if let Ok(raw) = caller.read() {
             panic!(
-                "a cut answer passed for a whole one: {} and {} bytes",
+                "a truncated answer looked complete: status {}, {} bytes",
                 raw.status,
                 raw.body.len()
             );
@@ -678,25 +693,25 @@
     }
 }
 
-/// Look-ups whose answers nobody reads must not take the look-ups of others along.
+/// Callers that do not read the answers to their look-ups must not block the look-ups of others.
 #[test]
 fn callers_that_never_read_look_ups_are_cut() {
-    let bench = Bench::new(&json!({"workers": 2, "lookup_workers": 2, "idle_ms": 600_000}));
-    let mut hostile: Vec<Caller> = (0..4).map(|_| bench.open()).collect();
-    let many = get("/metrics").repeat(4000);
+    let fixture = Fixture::new(&json!({"workers": 2, "lookup_workers": 2, "idle_ms": 600_000}));
+    let mut hostile: Vec<Caller> = (0..4).map(|_| fixture.open()).collect();
+    let requests = get("/metrics").repeat(4000);
     let writers: Vec<_> = hostile
         .iter_mut()
         .map(|caller| {
             let mut stream = caller.reader.get_ref().try_clone().unwrap();
-            let many = many.clone();
+            let requests = requests.clone();
             thread::spawn(move || {
-                stream.set_write_timeout(Some(PATIENCE / 2)).unwrap();
-                let _ = stream.write_all(many.as_bytes());
+                stream.set_write_timeout(Some(TEST_TIMEOUT / 2)).unwrap();
+                let _ = stream.write_all(requests.as_bytes());
             })
         })
         .collect();
     thread::sleep(Duration::from_millis(500));
-    bench.check_serves();
+    fixture.check_serves();
     drop(hostile);
     for writer in writers {
         writer.join().unwrap();
@@ -705,27 +720,27 @@
 
 #[test]
 fn a_full_host_refuses_at_once_and_still_answers_look_ups() {
-    let bench = Bench::new(&json!({"workers": 2, "lookup_workers": 2, "backlog": 1}));
+    let fixture = Fixture::new(&json!({"workers": 2, "lookup_workers": 2, "backlog": 1}));
     let slow = "Standin-Work-Ms: 4000\r\nRagwortfold-Deadline-Ms: 60000";
-    let mut busy: Vec<Caller> = (0..2).map(|_| bench.open()).collect();
+    let mut busy: Vec<Caller> = (0..2).map(|_| fixture.open()).collect();
     for (index, caller) in busy.iter_mut().enumerate() {
         caller.write(get_with(LOOKUPS, slow));
-        eventually("it runs", || bench.runs("look-1") == index + 1);
+        eventually("the request runs", || fixture.runs("look-1") == index + 1);
     }
-    let mut waiting = bench.open();
+    let mut waiting = fixture.open();
     waiting.write(get(LOOKUPS));
     let look_up = send(
         "GET",
-        &bench.host().url("/v1/entries?service=lookups"),
+        &fixture.host().url("/v1/entries?service=lookups"),
         &[],
         b"",
     );
     assert_eq!(look_up.unwrap().status, 200);
     for request in [
         get(LOOKUPS),
-        post(BOOKINGS, "Content-Length: 900", &long(900)),
+        post(BOOKINGS, "Content-Length: 900", &repeated(900)),
     ] {
-        let raw = bench.open().ask(request);
+        let raw = fixture.open().request(request);
         assert_eq!(
             (raw.status, raw.outcome()),
             (503, "not-run"),
@@ -741,18 +756,18 @@
         assert_eq!(
             early,
             Err(io::ErrorKind::WouldBlock),
-            "a busy one came first"
+            "a busy request was answered early"
         );
         stream.set_nonblocking(false).unwrap();
     }
     for caller in busy.iter_mut().chain([&mut waiting]) {
         assert_eq!(caller.read().unwrap().status, 200);
     }
-    assert_eq!(bench.runs("book-1"), 0);
+    assert_eq!(fixture.runs("book-1"), 0);
 }
 
-/// A connection takes two files, so that either the first or the second is the one too many: the
-/// library's `accept` fails on the one, and its thread panics on the other.
+/// A connection uses two file descriptors, so the limit is hit by either the first or the second: on the
+/// first the library's `accept` fails, on the second its thread panics.
 #[test]
 fn a_host_out_of_files_at_an_even_count_serves_again() {
     check_out_of_files(96);
@@ -765,21 +780,24 @@
 
 fn check_out_of_files(open_files: u32) {
     let pool = json!({"workers": 2, "idle_ms": 5000, "open_files": open_files});
-    let bench = Bench::new(&pool);
-    let before = rebuilds(&bench.metrics());
-    let crowd: Vec<TcpStream> = (0..200)
-        .map(|_| TcpStream::connect(bench.host().address).unwrap())
+    let fixture = Fixture::new(&pool);
+    let before = rebuild_count(&fixture.metrics());
+    let connections: Vec<TcpStream> = (0..200)
+        .map(|_| TcpStream::connect(fixture.host().address).unwrap())
         .collect();
     thread::sleep(Duration::from_millis(300));
-    drop(crowd);
-    eventually("it serves again", || {
-        send("GET", &bench.host().url(LOOKUPS), &[], b"").is_ok_and(|answer| answer.status == 200)
+    drop(connections);
+    eventually("the host serves again", || {
+        send("GET", &fixture.host().url(LOOKUPS), &[], b"").is_ok_and(|answer| answer.status == 200)
     });
-    bench.check_serves();
-    assert!(rebuilds(&bench.metrics()) > before, "it never ran out");
+    fixture.check_serves();
+    assert!(
+        rebuild_count(&fixture.metrics()) > before,
+        "the host never ran out of files"
+    );
 }
 
-fn rebuilds(metrics: &str) -> f64 {
+fn rebuild_count(metrics: &str) -> f64 {
     let line = metrics
         .lines()
         .find(|line| line.starts_with("ragwortfold_http_rebuilds"));
@@ -788,9 +806,9 @@
 
 #[test]
 fn metrics_have_histograms_for_each_service_and_class() {
-    let bench = shared();
-    bench.check_serves();
-    let metrics = bench.metrics();
+    let fixture = shared_fixture();
+    fixture.check_serves();
+    let metrics = fixture.metrics();
     for name in [
         "request_seconds",
         "added_seconds",
@@ -813,24 +831,27 @@
 
 #[test]
 fn a_hangup_signal_reads_the_log_level_again() {
-    let bench = Bench::new(&json!({"workers": 2}));
-    let file = bench.world.settings_file("ent-1");
+    let fixture = Fixture::new(&json!({"workers": 2}));
+    let file = fixture.cluster.settings_file("ent-1");
     let text = std::fs::read_to_string(&file).unwrap();
     let mut settings: Value = serde_json::from_str(&text).unwrap();
-    let put = |settings: &Value| {
+    let write_and_reload = |settings: &Value| {
         std::fs::write(&file, settings.to_string()).unwrap();
-        bench.host().signal("HUP");
+        fixture.host().signal("HUP");
     };
     settings["log"]["level"] = "error".into();
-    put(&settings);
+    write_and_reload(&settings);
     eventually("the level changed", || {
-        bench.world.log("ent-1").contains("log: level is now error")
+        fixture
+            .cluster
+            .log("ent-1")
+            .contains("log: level is now error")
     });
-    // A faulty file changes nothing and ends nothing.
+    // An invalid file changes nothing and does not stop the host.
     settings["log"]["level"] = "loud".into();
-    put(&settings);
-    eventually("the fault is told", || {
-        bench.world.log("ent-1").contains("log: level stays")
+    write_and_reload(&settings);
+    eventually("the fault is logged", || {
+        fixture.cluster.log("ent-1").contains("log: level stays")
     });
-    bench.check_serves();
+    fixture.check_serves();
 }
--- a/tests/catalogs/mod.rs
+++ b/tests/catalogs/mod.rs
@@ -1,4 +1,4 @@
-//! Catalogs for tests and benches.
+//! Builds catalogs for tests and benchmarks.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -6,9 +6,9 @@
 use ragwortfold::catalog::{Catalog, HostKey, RegionKey, ServiceKey, ZoneKey};
 use serde_json::{json, Value};
 
-/// Sizes of a catalog: so many of each in the one before.
+/// Size of a catalog: regions, zones a region, hosts a zone, services, and targets of a service in a zone.
 #[derive(Clone, Copy)]
-pub struct Size {
+pub struct CatalogSize {
     pub regions: usize,
     pub zones: usize,
     pub hosts: usize,
@@ -17,7 +17,7 @@
 }
 
 /// Two zones in each of three regions, two hosts a zone.
-pub const SMALL: Size = Size {
+pub const SMALL: CatalogSize = CatalogSize {
     regions: 3,
     zones: 2,
     hosts: 2,
@@ -25,9 +25,9 @@
     targets: 2,
 };
 
-/// The configuration: regions `r0`.., zones `r0-z0`.., hosts `r0-z0-h0`.., services `s0`..; links take 10 ms a
-/// step from one region to the next.
-pub fn configuration(size: Size) -> Value {
+/// Builds a configuration with regions `r0`.., zones `r0-z0`.., hosts `r0-z0-h0`.. and services `s0`..; the latency
+/// of a link is 10 ms for each step between region numbers.
+pub fn configuration(size: CatalogSize) -> Value {
     let mut value = json!({"regions": {}, "availability_zones": {}, "hosts": {}, "services": {},
         "targets": {}, "links": {}, "limits": {"shift": {
             "default": {"share": 0.05, "window_s": 60}, "failover": {"share": 0.25, "window_s": 10}}}});
@@ -61,16 +61,16 @@
     value
 }
 
-/// Lays a configuration out after `before`.
-pub fn lay(before: &Catalog, value: Value) -> Catalog {
+/// Builds the catalog of a configuration that follows `previous`.
+pub fn next_catalog(previous: &Catalog, value: Value) -> Catalog {
     let configuration = serde_json::from_value(value).expect("a configuration");
-    before
-        .with_revision(before.revision + 1, &configuration)
+    previous
+        .with_revision(previous.revision + 1, &configuration)
         .expect("a catalog")
 }
 
-pub fn catalog(size: Size) -> Catalog {
-    lay(&Catalog::default(), configuration(size))
+pub fn catalog(size: CatalogSize) -> Catalog {
+    next_catalog(&Catalog::default(), configuration(size))
 }
 
 pub fn zone(catalog: &Catalog, name: &str) -> ZoneKey {
--- a/tests/cluster/mod.rs
+++ b/tests/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! A small world for tests: a platform and targets in this process, entry hosts as processes.
+//! A small cluster for tests: a platform and targets in this process, entry hosts as processes.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 #![allow(clippy::unwrap_used)]
@@ -18,11 +18,11 @@
 use standin::platform::Platform;
 use standin::target::{Settings, Target};
 
-/// How long anything may take before a test gives up.
-pub const PATIENCE: Duration = Duration::from_secs(30);
-const SECRET: &str = "a secret of the tests";
+/// Time limit for each step of a test.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+const PEER_SECRET: &str = "a secret of the tests";
 
-/// One entry host that runs as a process.
+/// An entry host running as a process.
 pub struct Host {
     pub name: String,
     pub address: SocketAddr,
@@ -39,7 +39,7 @@
         self.child.id()
     }
 
-    /// Sends a signal by number name, e.g. `TERM`.
+    /// Sends a signal by name, e.g. `TERM`.
     pub fn signal(&self, name: &str) {
         let status = Command::new("kill")
             .args([format!("-{name}"), self.id().to_string()])
@@ -48,10 +48,10 @@
         assert!(status.success());
     }
 
-    /// Waits for its end and tells the exit code.
+    /// Waits for the process to end and returns its exit code.
     pub fn wait(&mut self) -> Option<i32> {
-        let end = Instant::now() + PATIENCE;
-        while Instant::now() < end {
+        let deadline = Instant::now() + TEST_TIMEOUT;
+        while Instant::now() < deadline {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.code();
             }
@@ -72,31 +72,31 @@
     }
 }
 
-/// An address that nothing listens on, and that the system does not give out by itself.
+/// Returns an address that nothing listens on, outside the system's range of ephemeral ports.
 pub fn free_address() -> SocketAddr {
     standin::free_address(Ipv4Addr::LOCALHOST.into()).unwrap()
 }
 
-/// The platform, the targets, and the configuration that names them.
-pub struct World {
+/// The platform, the targets, the entry hosts, and the configuration that lists them.
+pub struct TestCluster {
     pub platform: Platform,
     pub targets: BTreeMap<String, Target>,
     pub hosts: BTreeMap<String, Host>,
     pub configuration: Value,
     pub platform_url: String,
-    dir: PathBuf,
+    directory: PathBuf,
 }
 
-impl World {
-    /// Two services, `lookups` (idempotent) and `bookings`, and no places yet.
+impl TestCluster {
+    /// Creates two services, `lookups` (idempotent) and `bookings`, but no regions or zones yet.
     pub fn new() -> Self {
         let platform = Platform::new("127.0.0.1:0".parse().unwrap()).unwrap();
-        let dir = std::env::temp_dir().join(format!(
+        let directory = std::env::temp_dir().join(format!(
             "ragwortfold-{}-{}",
             std::process::id(),
             platform.address().port()
         ));
-        std::fs::create_dir_all(&dir).unwrap();
+        std::fs::create_dir_all(&directory).unwrap();
         Self {
             platform_url: format!("http://{}", platform.address()),
             platform,
@@ -110,7 +110,7 @@
                 },
                 "limits": {"shift": {"failover": {"share": 1.0, "window_s": 1}}},
             }),
-            dir,
+            directory,
         }
     }
 
@@ -121,7 +121,7 @@
         self
     }
 
-    /// Adds a target that runs.
+    /// Starts a target and adds it.
     pub fn with_target(mut self, zone: &str, service: &str, name: &str, slots: usize) -> Self {
         let settings = Settings::new(name, slots).with_zone(zone);
         let target = Target::new("127.0.0.1:0".parse().unwrap(), settings).unwrap();
@@ -133,7 +133,7 @@
         self
     }
 
-    /// Adds an entry host to the configuration; [`World::start`] starts it.
+    /// Adds an entry host to the configuration; [`TestCluster::start`] starts it.
     pub fn with_host(mut self, zone: &str, name: &str) -> Self {
         self.configuration["hosts"][name] = json!({
             "availability_zone": zone,
@@ -143,7 +143,7 @@
         self
     }
 
-    /// Publishes the configuration as `revision`, without the command line.
+    /// Publishes the configuration as `revision` directly to the store, without the command line.
     pub fn publish(&self, revision: u64) {
         let client = Client::new(&self.platform_url);
         let text = self.configuration.to_string();
@@ -171,22 +171,22 @@
         self.start_with(name, &url, json!({}));
     }
 
-    /// Starts a configured host with other settings.
-    pub fn start_with(&mut self, name: &str, platform: &str, more: Value) {
-        let record = &self.configuration["hosts"][name];
-        let text = |key: &str| record[key].as_str().unwrap().to_owned();
+    /// Starts a configured host with another platform address and overridden settings.
+    pub fn start_with(&mut self, name: &str, platform: &str, overrides: Value) {
+        let host_record = &self.configuration["hosts"][name];
+        let field = |key: &str| host_record[key].as_str().unwrap().to_owned();
         let mut settings = json!({
-            "host": name, "availability_zone": text("availability_zone"),
-            "listen": text("address"), "peer_listen": text("peer_address"),
-            "platform": platform, "peer_secret": SECRET,
+            "host": name, "availability_zone": field("availability_zone"),
+            "listen": field("address"), "peer_listen": field("peer_address"),
+            "platform": platform, "peer_secret": PEER_SECRET,
             "pool": {"workers": 32, "relay_workers": 32}, "log": {"level": "debug"},
         });
-        for (key, value) in more.as_object().unwrap() {
+        for (key, value) in overrides.as_object().unwrap() {
             settings[key] = value.clone();
         }
-        let file = self.dir.join(format!("{name}.json"));
+        let file = self.directory.join(format!("{name}.json"));
         std::fs::write(&file, settings.to_string()).unwrap();
-        let log = std::fs::File::create(self.dir.join(format!("{name}.log"))).unwrap();
+        let log = std::fs::File::create(self.directory.join(format!("{name}.log"))).unwrap();
         let child = Command::new(env!("CARGO_BIN_EXE_ragwortfold"))
             .args(["entry", "--settings"])
             .arg(&file)
@@ -196,14 +196,14 @@
             .unwrap();
         let host = Host {
             name: name.into(),
-            address: text("address").parse().unwrap(),
-            peer_address: text("peer_address").parse().unwrap(),
+            address: field("address").parse().unwrap(),
+            peer_address: field("peer_address").parse().unwrap(),
             child,
         };
         self.hosts.insert(name.into(), host);
     }
 
-    /// Waits until a host serves.
+    /// Waits until a host is ready.
     pub fn wait_ready(&self, name: &str) {
         let host = &self.hosts[name];
         eventually(&format!("{name} serves"), || {
@@ -211,8 +211,8 @@
         });
     }
 
-    /// Publishes, starts all configured hosts and waits until they serve.
-    pub fn run(mut self) -> Self {
+    /// Publishes the configuration, starts all configured hosts and waits until they are ready.
+    pub fn start_all(mut self) -> Self {
         self.publish(1);
         let names: Vec<String> = self.configuration["hosts"]
             .as_object()
@@ -229,42 +229,45 @@
         self
     }
 
-    /// What a host logged.
+    /// Returns the log of a host.
     pub fn log(&self, name: &str) -> String {
-        std::fs::read_to_string(self.dir.join(format!("{name}.log"))).unwrap_or_default()
+        std::fs::read_to_string(self.directory.join(format!("{name}.log"))).unwrap_or_default()
     }
 }
 
-impl Drop for World {
+impl Drop for TestCluster {
     fn drop(&mut self) {
         if thread::panicking() {
             for name in self.hosts.keys() {
                 eprintln!("--- log of {name}\n{}", self.log(name));
             }
         }
-        let _ = std::fs::remove_dir_all(&self.dir);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
 /// Waits until `check` holds.
-pub fn eventually(what: &str, mut check: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+pub fn eventually(condition: &str, mut check: impl FnMut() -> bool) {
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while !check() {
-        assert!(Instant::now() < end, "never: {what}");
+        assert!(
+            Instant::now() < deadline,
+            "condition not met in time: {condition}"
+        );
         thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Waits until `check` finds nothing amiss.
-pub fn settles(mut check: impl FnMut() -> Result<(), String>) {
-    let end = Instant::now() + PATIENCE;
+/// Waits until `check` returns no error.
+pub fn eventually_ok(mut check: impl FnMut() -> Result<(), String>) {
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while let Err(problem) = check() {
-        assert!(Instant::now() < end, "still: {problem}");
+        assert!(Instant::now() < deadline, "not resolved in time: {problem}");
         thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// An answer, whatever its status.
+/// An answer of any status.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -292,7 +295,7 @@
 ) -> Result<Answer, ureq::Error> {
     let agent = ureq::Agent::config_builder()
         .http_status_as_error(false)
-        .timeout_global(Some(PATIENCE))
+        .timeout_global(Some(TEST_TIMEOUT))
         .allow_non_standard_methods(true)
         .max_redirects(0)
         .max_redirects_will_error(false)
@@ -330,8 +333,8 @@
     })
 }
 
-impl World {
-    /// Drops the services of [`World::new`].
+impl TestCluster {
+    /// Removes the services of [`TestCluster::new`].
     pub fn without_services(mut self) -> Self {
         self.configuration["services"] = json!({});
         self
@@ -343,7 +346,7 @@
         self
     }
 
-    /// Adds a target that something else answers for.
+    /// Adds a target that the test itself serves.
     pub fn with_target_at(
         mut self,
         zone: &str,
@@ -358,14 +361,14 @@
         self
     }
 
-    /// Like [`World::run`], with more settings for each host.
-    pub fn run_with(mut self, more: &Value) -> Self {
+    /// Like [`TestCluster::start_all`], with overridden settings for each host.
+    pub fn start_all_with(mut self, overrides: &Value) -> Self {
         self.publish(1);
         let hosts = self.configuration["hosts"].as_object().unwrap();
         let names: Vec<String> = hosts.keys().cloned().collect();
         let url = self.platform_url.clone();
         for name in &names {
-            self.start_with(name, &url, more.clone());
+            self.start_with(name, &url, overrides.clone());
         }
         for name in &names {
             self.wait_ready(name);
@@ -373,8 +376,8 @@
         self
     }
 
-    /// The settings file of a host that was started.
+    /// Returns the settings file of a started host.
     pub fn settings_file(&self, name: &str) -> PathBuf {
-        self.dir.join(format!("{name}.json"))
+        self.directory.join(format!("{name}.json"))
     }
 }
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -1,4 +1,4 @@
-//! Control with real processes: membership, configuration, the planner lease.
+//! Membership, configuration distribution and the planner lease, with real processes.
 
 #![allow(clippy::unwrap_used)]
 
@@ -6,57 +6,57 @@
 
 use std::time::Instant;
 
-use cluster::{eventually, send, World};
+use cluster::{eventually, send, TestCluster};
 use serde_json::{json, Value};
 
-fn fleet() -> World {
-    let mut world = World::new();
+fn start_cluster() -> TestCluster {
+    let mut cluster = TestCluster::new();
     for (region, zone) in [("lima", "lima-a"), ("lima", "lima-b"), ("cusco", "cusco-a")] {
-        world = world
+        cluster = cluster
             .with_zone(region, zone)
             .with_target(zone, "lookups", &format!("look-{zone}"), 4)
             .with_target(zone, "bookings", &format!("book-{zone}"), 4)
             .with_host(zone, &format!("ent-{zone}-1"))
             .with_host(zone, &format!("ent-{zone}-2"));
     }
-    world.run()
+    cluster.start_all()
 }
 
-fn status(world: &World, host: &str) -> Value {
-    send("GET", &world.hosts[host].url("/v1/status"), &[], b"")
+fn status(cluster: &TestCluster, host: &str) -> Value {
+    send("GET", &cluster.hosts[host].url("/v1/status"), &[], b"")
         .unwrap()
         .json()
 }
 
-fn names(world: &World) -> Vec<String> {
-    world.hosts.keys().cloned().collect()
+fn host_names(cluster: &TestCluster) -> Vec<String> {
+    cluster.hosts.keys().cloned().collect()
 }
 
-/// Whether a host knows that all others are alive.
-fn knows_all(world: &World, host: &str) -> Result<(), String> {
-    let status = status(world, host);
+/// Checks that a host sees all hosts as alive.
+fn sees_all_alive(cluster: &TestCluster, host: &str) -> Result<(), String> {
+    let status = status(cluster, host);
     let hosts = status["hosts"].as_object().unwrap();
     let alive = hosts.values().filter(|h| h["state"] == "alive").count();
-    if alive == names(world).len() {
+    if alive == host_names(cluster).len() {
         return Ok(());
     }
-    Err(format!("{host} knows {hosts:?}"))
+    Err(format!("{host} sees {hosts:?}"))
 }
 
-fn wait_known(world: &World) {
-    for host in names(world) {
-        cluster::settles(|| knows_all(world, &host));
+fn wait_until_all_alive(cluster: &TestCluster) {
+    for host in host_names(cluster) {
+        cluster::eventually_ok(|| sees_all_alive(cluster, &host));
     }
 }
 
 #[test]
-fn hosts_find_each_other_and_one_plans() {
-    let world = fleet();
-    wait_known(&world);
-    eventually("one host plans", || {
-        let planners = names(&world)
+fn hosts_discover_each_other_and_one_becomes_planner() {
+    let cluster = start_cluster();
+    wait_until_all_alive(&cluster);
+    eventually("one host is the planner", || {
+        let planners = host_names(&cluster)
             .iter()
-            .filter(|host| !status(&world, host)["planner_epoch"].is_null())
+            .filter(|host| !status(&cluster, host)["planner_epoch"].is_null())
             .count();
         planners == 1
     });
@@ -64,54 +64,55 @@
 
 #[test]
 fn a_change_comes_into_force_everywhere_and_a_new_host_gets_it_from_peers() {
-    let mut world = fleet();
-    wait_known(&world);
-    world.configuration["services"]["lookups"]["deadline_ms"] = json!(4000);
-    world.publish(2);
+    let mut cluster = start_cluster();
+    wait_until_all_alive(&cluster);
+    cluster.configuration["services"]["lookups"]["deadline_ms"] = json!(4000);
+    cluster.publish(2);
     let start = Instant::now();
     eventually("revision 2 everywhere", || {
-        names(&world)
+        host_names(&cluster)
             .iter()
-            .all(|host| status(&world, host)["revision"] == 2)
+            .all(|host| status(&cluster, host)["revision"] == 2)
     });
     println!("revision 2 everywhere after {:?}", start.elapsed());
 
-    // The platform goes; a host that starts now has it from its peers.
+    // A host that cannot reach the platform gets the revision from its peers.
     let url = format!("http://{}", cluster::free_address());
     let name = "ent-cusco-a-1";
-    world.hosts.get_mut(name).unwrap().kill();
-    world.start_with(name, &url, json!({}));
+    cluster.hosts.get_mut(name).unwrap().kill();
+    cluster.start_with(name, &url, json!({}));
     eventually("revision 2 from peers", || {
-        send("GET", &world.hosts[name].url("/healthz"), &[], b"").is_ok_and(|a| a.status == 200)
-            && status(&world, name)["revision"] == 2
+        send("GET", &cluster.hosts[name].url("/healthz"), &[], b"").is_ok_and(|a| a.status == 200)
+            && status(&cluster, name)["revision"] == 2
     });
 }
 
 #[test]
-fn a_dead_host_vanishes_from_look_ups() {
-    let mut world = fleet();
-    wait_known(&world);
-    let asked = world.hosts["ent-lima-a-1"].url("/v1/entries?service=lookups&client=10.0.0.1");
-    let named = || {
-        let entries = send("GET", &asked, &[], b"").unwrap().json();
+fn a_dead_host_is_removed_from_look_ups() {
+    let mut cluster = start_cluster();
+    wait_until_all_alive(&cluster);
+    let lookup_url =
+        cluster.hosts["ent-lima-a-1"].url("/v1/entries?service=lookups&client=10.0.0.1");
+    let is_listed = || {
+        let entries = send("GET", &lookup_url, &[], b"").unwrap().json();
         entries["entries"]
             .as_array()
             .unwrap()
             .iter()
             .any(|entry| entry["host"] == "ent-lima-a-2")
     };
-    eventually("it is named", &named);
-    world.hosts.get_mut("ent-lima-a-2").unwrap().kill();
+    eventually("the host is listed", &is_listed);
+    cluster.hosts.get_mut("ent-lima-a-2").unwrap().kill();
     let start = Instant::now();
-    eventually("it vanished", || !named());
-    println!("a dead host vanished after {:?}", start.elapsed());
+    eventually("the host is no longer listed", || !is_listed());
+    println!("a dead host was removed after {:?}", start.elapsed());
 }
 
 #[test]
 fn a_host_told_to_stop_leaves_and_ends_with_zero() {
-    let mut world = fleet();
-    wait_known(&world);
-    let host = world.hosts.get_mut("ent-lima-b-1").unwrap();
+    let mut cluster = start_cluster();
+    wait_until_all_alive(&cluster);
+    let host = cluster.hosts.get_mut("ent-lima-b-1").unwrap();
     host.signal("TERM");
     assert_eq!(host.wait(), Some(0));
 }
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use catalogs::{configuration, hosts, lay, region, service, zone, Size};
+use catalogs::{configuration, hosts, next_catalog, region, service, zone, CatalogSize};
 use fleet::{Event, Fleet};
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -27,7 +27,7 @@
 use serde_json::{json, Value};
 
 /// Two zones in each of three regions, three hosts a zone, two targets with four slots.
-const PLACES: Size = Size {
+const PLACES: CatalogSize = CatalogSize {
     regions: 3,
     zones: 2,
     hosts: 3,
@@ -60,7 +60,7 @@
     fn with(change: impl FnOnce(&mut Value)) -> Self {
         let mut value = configuration(PLACES);
         change(&mut value);
-        let catalog = Arc::new(lay(&Catalog::default(), value));
+        let catalog = Arc::new(next_catalog(&Catalog::default(), value));
         let mut rig = Self {
             engine: Engine::new(&Steer::default(), 1),
             live: catalog.hosts().map(|(key, _)| key).collect(),
@@ -91,7 +91,7 @@
     fn reconfigure(&mut self, change: impl FnOnce(&mut Value)) {
         let mut value = configuration(PLACES);
         change(&mut value);
-        self.catalog = Arc::new(lay(&self.catalog, value));
+        self.catalog = Arc::new(next_catalog(&self.catalog, value));
         self.configure();
     }
 
--- a/tests/fake_platform/mod.rs
+++ b/tests/fake_platform/mod.rs
@@ -1,4 +1,4 @@
-//! A platform in memory, on an ephemeral port, whose every answer a test can spoil.
+//! An in-memory platform on an ephemeral port, with fault injection for each call.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -8,55 +8,55 @@
 
 use serde_json::{json, Value};
 
-/// What becomes of one call.
+/// The fault injected into one call.
 #[derive(Clone, Debug)]
 #[allow(dead_code)]
 pub enum Fault {
-    /// It is served as it should be.
+    /// The call is served normally.
     None,
-    /// It is not served; the answer is this status, ETag and body.
+    /// The call has no effect; the answer has this status, ETag and body.
     Answer(u16, &'static str, &'static str),
-    /// It takes effect, but its ETag is replaced.
+    /// The call takes effect, but the ETag of its answer is replaced.
     Etag(&'static str),
-    /// The connection closes before it takes effect.
+    /// The connection closes before the call takes effect.
     LoseCall,
-    /// It takes effect, and the connection closes without an answer.
+    /// The call takes effect, and the connection closes without an answer.
     LoseAnswer,
-    /// It takes effect, and no answer comes while the caller waits.
-    Silence,
-    /// A listing shows what was there at [`Platform::keep`].
+    /// The call takes effect, and the connection stays open without an answer.
+    NoAnswer,
+    /// A listing returns the objects as of [`Platform::snapshot_objects`].
     Stale,
 }
 
-/// A call as it came.
+/// A received call.
 #[allow(dead_code)]
 pub struct Call {
-    /// Who calls: what the client's URL holds after the address, if anything.
+    /// The path prefix of the client's URL, by which a test can tell clients apart.
     pub caller: String,
     pub method: String,
     pub path: String,
     pub query: String,
     pub body: Vec<u8>,
     condition: Option<u64>,
-    absent: bool,
+    must_be_absent: bool,
 }
 
 type Objects = BTreeMap<String, (u64, Value)>;
-type Plan = Arc<dyn Fn(&Call) -> Fault + Send + Sync>;
+type FaultPlan = Arc<dyn Fn(&Call) -> Fault + Send + Sync>;
 
 pub struct State {
     pub version: u64,
     pub objects: Objects,
     pub calls: Vec<String>,
-    log: Vec<(u64, String, Value)>,
-    kept: Objects,
+    events: Vec<(u64, String, Value)>,
+    snapshot: Objects,
 }
 
 #[derive(Clone)]
 pub struct Platform {
     pub url: String,
     state: Arc<Mutex<State>>,
-    plan: Arc<Mutex<Plan>>,
+    fault_plan: Arc<Mutex<FaultPlan>>,
 }
 
 #[allow(dead_code)]
@@ -69,16 +69,16 @@
                 version: 0,
                 objects: BTreeMap::new(),
                 calls: Vec::new(),
-                log: Vec::new(),
-                kept: BTreeMap::new(),
+                events: Vec::new(),
+                snapshot: BTreeMap::new(),
             })),
-            plan: Arc::new(Mutex::new(Arc::new(|_| Fault::None))),
+            fault_plan: Arc::new(Mutex::new(Arc::new(|_| Fault::None))),
         };
-        let shared = platform.clone();
+        let server = platform.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
-                let shared = shared.clone();
-                std::thread::spawn(move || shared.serve(stream.unwrap()));
+                let server = server.clone();
+                std::thread::spawn(move || server.serve(stream.unwrap()));
             }
         });
         platform
@@ -94,17 +94,17 @@
         self
     }
 
-    /// The plan is called without any lock held, so it may call the platform itself.
-    pub fn set_plan(&self, plan: impl Fn(&Call) -> Fault + Send + Sync + 'static) {
-        *self.plan.lock().unwrap() = Arc::new(plan);
+    /// Sets the function that chooses the fault of each call. It runs without any lock held, so it may call the platform.
+    pub fn set_fault_plan(&self, fault_plan: impl Fn(&Call) -> Fault + Send + Sync + 'static) {
+        *self.fault_plan.lock().unwrap() = Arc::new(fault_plan);
     }
 
-    /// One fault for the first call whose method and path match, none after it.
-    pub fn once(&self, method: &'static str, path: &'static str, fault: Fault) {
-        let left = AtomicBool::new(true);
-        self.set_plan(move |call| {
-            let is_hit = call.method == method && call.path.contains(path);
-            if is_hit && left.swap(false, Ordering::SeqCst) {
+    /// Injects one fault into the first call whose method and path match.
+    pub fn fail_once(&self, method: &'static str, path: &'static str, fault: Fault) {
+        let is_pending = AtomicBool::new(true);
+        self.set_fault_plan(move |call| {
+            let is_match = call.method == method && call.path.contains(path);
+            if is_match && is_pending.swap(false, Ordering::SeqCst) {
                 return fault.clone();
             }
             Fault::None
@@ -115,19 +115,19 @@
         self.state.lock().unwrap()
     }
 
-    /// What later [`Fault::Stale`] listings show.
-    pub fn keep(&self) {
+    /// Saves the objects that later [`Fault::Stale`] listings return.
+    pub fn snapshot_objects(&self) {
         let mut state = self.state();
-        state.kept = state.objects.clone();
+        state.snapshot = state.objects.clone();
     }
 
     fn serve(&self, stream: TcpStream) {
         stream.set_nodelay(true).unwrap();
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         let mut stream = stream;
-        while let Some(call) = read(&mut reader) {
-            let plan = self.plan.lock().unwrap().clone();
-            let fault = plan(&call);
+        while let Some(call) = read_call(&mut reader) {
+            let fault_plan = self.fault_plan.lock().unwrap().clone();
+            let fault = fault_plan(&call);
             let (status, etag, body) = match fault {
                 Fault::LoseCall => return,
                 Fault::Answer(status, etag, body) => (status, etag.to_owned(), body.to_owned()),
@@ -135,7 +135,7 @@
             };
             let etag = match fault {
                 Fault::LoseAnswer => return,
-                Fault::Silence => {
+                Fault::NoAnswer => {
                     let _ = reader.read(&mut [0]);
                     return;
                 }
@@ -154,10 +154,14 @@
 }
 
 impl State {
-    fn answer(&mut self, call: &Call, stale: bool) -> (u16, String, String) {
+    fn answer(&mut self, call: &Call, is_stale: bool) -> (u16, String, String) {
         self.calls.push(format!("{} {}", call.method, call.path));
         if call.path == "/v1/objects" {
-            let objects = if stale { &self.kept } else { &self.objects };
+            let objects = if is_stale {
+                &self.snapshot
+            } else {
+                &self.objects
+            };
             let prefix = call.query.strip_prefix("prefix=").unwrap();
             let objects: Vec<_> = objects
                 .iter()
@@ -168,10 +172,10 @@
             return (200, String::new(), body.to_string());
         }
         if call.path == "/v1/watch" {
-            let after: u64 = field(&call.query, "after").parse().unwrap();
-            let prefix = field(&call.query, "prefix");
+            let after: u64 = query_field(&call.query, "after").parse().unwrap();
+            let prefix = query_field(&call.query, "prefix");
             let events: Vec<_> = self
-                .log
+                .events
                 .iter()
                 .filter(|(version, key, _)| *version > after && key.starts_with(prefix))
                 .map(
@@ -185,18 +189,18 @@
             let body = r#"{"hosts":[{"host":"a","state":"live"},{"host":"b","state":"leaving"}]}"#;
             return (200, String::new(), body.to_owned());
         }
-        self.object(call)
+        self.answer_object(call)
     }
 
-    fn object(&mut self, call: &Call) -> (u16, String, String) {
+    fn answer_object(&mut self, call: &Call) -> (u16, String, String) {
         let key = call.path.strip_prefix("/v1/objects/").unwrap().to_owned();
         let found = self.objects.get(&key).map(|(version, _)| *version);
-        let held = match (call.absent, call.condition) {
+        let is_condition_met = match (call.must_be_absent, call.condition) {
             (true, _) => found.is_none(),
             (_, Some(version)) => found == Some(version),
             _ => true,
         };
-        match (call.method.as_str(), held) {
+        match (call.method.as_str(), is_condition_met) {
             ("GET", _) => match self.objects.get(&key) {
                 Some((version, value)) => (200, format!("\"{version}\""), value.to_string()),
                 None => (404, String::new(), String::new()),
@@ -215,21 +219,21 @@
                     self.objects
                         .insert(key.clone(), (self.version, value.clone()));
                 }
-                self.log.push((self.version, key, value));
+                self.events.push((self.version, key, value));
                 (200, format!("\"{}\"", self.version), String::new())
             }
         }
     }
 }
 
-fn field<'a>(query: &'a str, name: &str) -> &'a str {
+fn query_field<'a>(query: &'a str, name: &str) -> &'a str {
     query
         .split('&')
         .find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
         .unwrap()
 }
 
-fn read(reader: &mut impl BufRead) -> Option<Call> {
+fn read_call(reader: &mut impl BufRead) -> Option<Call> {
     let mut line = String::new();
     reader.read_line(&mut line).ok()?;
     let mut words = line.split(' ');
@@ -244,7 +248,7 @@
         query: query.to_owned(),
         body: Vec::new(),
         condition: None,
-        absent: false,
+        must_be_absent: false,
     };
     loop {
         let mut line = String::new();
@@ -255,7 +259,7 @@
         match name.to_ascii_lowercase().as_str() {
             "content-length" => call.body = vec![0; value.parse().unwrap()],
             "if-match" => call.condition = value.trim_matches('"').parse().ok(),
-            "if-none-match" => call.absent = true,
+            "if-none-match" => call.must_be_absent = true,
             _ => {}
         }
     }
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -16,10 +16,10 @@
 use rand_pcg::Pcg64;
 use serde_json::{json, Value};
 
-use super::catalogs::{configuration, lay, region, service, Size};
+use super::catalogs::{configuration, next_catalog, region, service, CatalogSize};
 
 /// Two zones in each of three regions, two hosts a zone, two targets with four slots.
-const PLACES: Size = Size {
+const PLACES: CatalogSize = CatalogSize {
     regions: 3,
     zones: 2,
     hosts: 2,
@@ -142,7 +142,7 @@
         for link in value["links"].as_object_mut().expect("links").values_mut() {
             link["requests_per_s"] = json!(LINK);
         }
-        let catalog = Arc::new(lay(&Catalog::default(), value.clone()));
+        let catalog = Arc::new(next_catalog(&Catalog::default(), value.clone()));
         let now = Instant::now();
         let node = |(key, name, zone): (HostKey, String, ZoneKey)| Node {
             key,
@@ -251,7 +251,7 @@
         let name = format!("{}-s0-t0", zone.name);
         let state = ["serving", "draining", "off"][usize::from(state) % 3];
         self.value["targets"][name]["state"] = json!(state);
-        self.catalog = Arc::new(lay(&self.catalog, self.value.clone()));
+        self.catalog = Arc::new(next_catalog(&self.catalog, self.value.clone()));
         for at in 0..self.nodes.len() {
             self.configure(at);
         }
--- a/tests/integration_tests.rs
+++ b/tests/integration_tests.rs
@@ -1,4 +1,4 @@
-//! The real binary, as an operator calls it.
+//! Runs the real binary with an operator's arguments.
 
 #![allow(clippy::unwrap_used)]
 
@@ -8,7 +8,7 @@
 
 use tiny_http::{Response, Server};
 
-/// Runs the binary with these arguments, in the folder of the broken examples.
+/// Runs the binary with these arguments in the folder of the invalid examples.
 fn ragwortfold(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_ragwortfold"))
         .args(arguments)
@@ -33,8 +33,8 @@
     String::from_utf8(output.stderr.clone()).unwrap()
 }
 
-/// Cases of broken folders: each tells the faults in its `faults.txt` and exits with 2.
-macro_rules! broken {
+/// Invalid folders: each run prints the faults in the folder's `faults.txt` and exits with 2.
+macro_rules! invalid_folders {
     ($($name:ident: $folder:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -46,14 +46,14 @@
     )*};
 }
 
-broken! {
-    check_tells_many_faults: "many-faults";
-    check_tells_syntax_errors: "syntax";
-    check_tells_capacity_that_nothing_reaches: "capacity";
+invalid_folders! {
+    check_reports_many_faults: "many-faults";
+    check_reports_syntax_errors: "syntax";
+    check_reports_unreachable_capacity: "capacity";
 }
 
 #[test]
-fn check_counts_a_right_folder() {
+fn check_summarizes_a_valid_folder() {
     let output = ragwortfold(&["config", "check", "../../examples/quispe"]);
     assert_eq!(
         stdout(&output),
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn show_says_where_values_come_from() {
+fn show_prints_the_origin_of_values() {
     let output = ragwortfold(&["config", "show", "overridden", "--origin"]);
     assert_eq!(stdout(&output), expected("overridden/shown.txt"));
     assert_eq!(output.status.code(), Some(0));
@@ -79,15 +79,15 @@
 }
 
 #[test]
-fn show_prints_a_folder_with_faults_and_tells_them() {
+fn show_prints_a_folder_with_faults_and_reports_them() {
     let output = ragwortfold(&["config", "show", "many-faults"]);
     serde_json::from_str::<serde_json::Value>(&stdout(&output)).unwrap();
     assert_eq!(stderr(&output), expected("many-faults/faults.txt"));
     assert_eq!(output.status.code(), Some(2));
 }
 
-/// Cases of arguments, the exit code, and a part of what is printed on either stream.
-macro_rules! calls {
+/// Command lines with the exit code and a part of the output on either stream.
+macro_rules! command_lines {
     ($($name:ident: [$($argument:expr),*] => $code:expr, $part:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -99,7 +99,7 @@
     )*};
 }
 
-calls! {
+command_lines! {
     no_arguments: [] => 2, "Usage: ragwortfold";
     short_help: ["-h"] => 0, "Commands:";
     long_help: ["--help"] => 0, "Operators keep a folder";
@@ -114,9 +114,9 @@
     apply_takes_one_source:
         ["config", "apply", "overridden", "--revert", "3", "--platform", "http://127.0.0.1:1"] =>
         2, "cannot be used with";
-    drain_knows_its_kinds: ["drain", "city", "lima", "--platform", "http://127.0.0.1:1"] =>
+    drain_accepts_only_known_kinds: ["drain", "city", "lima", "--platform", "http://127.0.0.1:1"] =>
         2, "possible values: target, zone, region, host";
-    status_asks_one: ["status"] => 2, "--entry <URL>";
+    status_needs_a_source: ["status"] => 2, "--entry <URL>";
     lookup_needs_an_address: ["lookup", "--entry", "127.0.0.1:1", "s", "--client", "home"] =>
         2, "invalid IP address";
     lookup_without_a_host: ["lookup", "--entry", "127.0.0.1:1", "s"] =>
@@ -130,8 +130,8 @@
     man_page: ["--man"] => 0, ".TH ragwortfold 1";
 }
 
-/// A host that gives one answer; joining it gives the request's path and query.
-fn host(status: u16, body: &'static str) -> (String, JoinHandle<String>) {
+/// Starts a host that gives one answer; joining its thread returns the request's path and query.
+fn start_host(status: u16, body: &'static str) -> (String, JoinHandle<String>) {
     let server = Server::http("127.0.0.1:0").unwrap();
     let address = server.server_addr().to_string();
     let thread = std::thread::spawn(move || {
@@ -144,55 +144,55 @@
     (address, thread)
 }
 
-/// What a host says of entry hosts.
+/// A host's answer to a look-up.
 const ENTRIES: &str = r#"{"revision":3,"ttl_ms":2000,"ticket":"ent-1.7","entries":[
     {"host":"ent-1","availability_zone":"north-a","address":"127.0.0.1:7001"},
     {"host":"entry-10","availability_zone":"north-b","address":"127.0.0.1:7010"}]}"#;
 
 #[test]
 fn lookup_prints_a_table() {
-    let (address, asked) = host(200, ENTRIES);
+    let (address, request) = start_host(200, ENTRIES);
     let call = ["lookup", "--entry", &address, "a b", "--client", "10.1.0.1"];
     let output = ragwortfold(&call);
     assert_eq!(
-        asked.join().unwrap(),
+        request.join().unwrap(),
         "/v1/entries?service=a%20b&client=10.1.0.1"
     );
-    let wanted = "revision  3\nticket    ent-1.7\nttl_ms    2000\n\nentries:\n\
+    let expected = "revision  3\nticket    ent-1.7\nttl_ms    2000\n\nentries:\n\
                   address         availability_zone  host\n\
                   127.0.0.1:7001  north-a            ent-1\n\
                   127.0.0.1:7010  north-b            entry-10\n";
-    assert_eq!(stdout(&output), wanted);
+    assert_eq!(stdout(&output), expected);
     assert_eq!(output.status.code(), Some(0));
 }
 
 #[test]
 fn lookup_passes_json_through() {
-    let (address, asked) = host(200, ENTRIES);
+    let (address, request) = start_host(200, ENTRIES);
     let output = ragwortfold(&["lookup", "--entry", &address, "lookups", "--json"]);
-    assert_eq!(asked.join().unwrap(), "/v1/entries?service=lookups");
+    assert_eq!(request.join().unwrap(), "/v1/entries?service=lookups");
     let printed: serde_json::Value = serde_json::from_str(&stdout(&output)).unwrap();
     let sent: serde_json::Value = serde_json::from_str(ENTRIES).unwrap();
     assert_eq!(printed, sent);
 }
 
 #[test]
-fn lookup_tells_a_refusal() {
-    let (address, asked) = host(404, r#"{"error":"no such service"}"#);
+fn lookup_reports_a_refusal() {
+    let (address, request) = start_host(404, r#"{"error":"no such service"}"#);
     let output = ragwortfold(&["lookup", "--entry", &address, "x"]);
-    asked.join().unwrap();
+    request.join().unwrap();
     assert!(stderr(&output).contains("status 404: {\"error\":\"no such service\"}"));
     assert_eq!(output.status.code(), Some(1));
 }
 
 #[test]
 fn status_prints_a_table() {
-    let (address, asked) = host(
+    let (address, request) = start_host(
         200,
         r#"{"host":"ent-1","queues":{"a":{"n":1},"b":{"n":22}}}"#,
     );
     let output = ragwortfold(&["status", "--entry", &address]);
-    assert_eq!(asked.join().unwrap(), "/v1/status");
-    let wanted = "host  ent-1\n\nqueues:\nname  n\na     1\nb     22\n";
-    assert_eq!(stdout(&output), wanted);
+    assert_eq!(request.join().unwrap(), "/v1/status");
+    let expected = "host  ent-1\n\nqueues:\nname  n\na     1\nb     22\n";
+    assert_eq!(stdout(&output), expected);
 }
--- a/tests/lookup.rs
+++ b/tests/lookup.rs
@@ -7,7 +7,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 
-use catalogs::{catalog, configuration, hosts, lay, region, service, zone, Size, SMALL};
+use catalogs::{
+    catalog, configuration, hosts, next_catalog, region, service, zone, CatalogSize, SMALL,
+};
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use prefix_trie::PrefixMap;
 use proptest::prelude::*;
@@ -242,7 +244,7 @@
             if let Some(zone) = $off {
                 value["availability_zones"][zone as &str]["state"] = serde_json::json!("draining");
             }
-            let catalog = lay(&Catalog::default(), value);
+            let catalog = next_catalog(&Catalog::default(), value);
             let dead: &[&str] = &$dead;
             let snapshot = snapshot(&catalog, &$shares, dead, $own);
             let wanted: &[&str] = &$wanted;
@@ -273,7 +275,7 @@
 
 #[test]
 fn blocks_spread_over_hosts_and_stay_while_their_host_lives() {
-    let size = Size {
+    let size = CatalogSize {
         regions: 1,
         zones: 1,
         hosts: 10,
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -1,24 +1,24 @@
-//! The whole path with real processes: configuration, platform, entry host, target, answer.
+//! The whole request path with real processes: configuration, platform, entry host, target, answer.
 
 #![allow(clippy::unwrap_used)]
 
 mod cluster;
 
-use cluster::{send, World};
+use cluster::{send, TestCluster};
 
-fn one_host() -> World {
-    World::new()
+fn start_one_host() -> TestCluster {
+    TestCluster::new()
         .with_zone("arequipa", "arequipa-a")
         .with_target("arequipa-a", "lookups", "look-1", 4)
         .with_target("arequipa-a", "bookings", "book-1", 4)
         .with_host("arequipa-a", "ent-1")
-        .run()
+        .start_all()
 }
 
 #[test]
-fn a_look_up_names_the_host_and_a_request_reaches_the_target() {
-    let world = one_host();
-    let host = &world.hosts["ent-1"];
+fn a_look_up_lists_the_host_and_a_request_reaches_the_target() {
+    let cluster = start_one_host();
+    let host = &cluster.hosts["ent-1"];
     let entries = send(
         "GET",
         &host.url("/v1/entries?service=lookups&client=10.0.0.1"),
@@ -41,14 +41,14 @@
     )
     .unwrap();
     assert_eq!((answer.status, &*answer.outcome), (200, "answered"));
-    let journal = world.targets["look-1"].journal();
+    let journal = cluster.targets["look-1"].journal();
     assert_eq!(journal.entries.len(), 1);
 }
 
 #[test]
-fn bodies_are_right_to_the_byte() {
-    let world = one_host();
-    let url = world.hosts["ent-1"].url("/v1/services/lookups/upload");
+fn bodies_are_forwarded_unchanged() {
+    let cluster = start_one_host();
+    let url = cluster.hosts["ent-1"].url("/v1/services/lookups/upload");
     for size in [0, 1, 1024, 1025, 70_000, 8 << 20] {
         let body: Vec<u8> = (0..size).map(|at: usize| (at % 251) as u8).collect();
         let answer = send("POST", &url, &[], &body).unwrap();
@@ -68,21 +68,21 @@
     }
 }
 
-fn two_zones() -> World {
-    World::new()
+fn start_two_zones() -> TestCluster {
+    TestCluster::new()
         .with_zone("lima", "lima-a")
         .with_zone("lima", "lima-b")
         .with_target("lima-b", "lookups", "look-1", 4)
         .with_target("lima-b", "bookings", "book-1", 4)
         .with_host("lima-a", "ent-1")
         .with_host("lima-b", "ent-2")
-        .run()
+        .start_all()
 }
 
 #[test]
 fn a_request_for_another_zone_is_relayed_to_a_host_there() {
-    let world = two_zones();
-    let url = world.hosts["ent-1"].url("/v1/services/lookups/upload");
+    let cluster = start_two_zones();
+    let url = cluster.hosts["ent-1"].url("/v1/services/lookups/upload");
     for size in [0, 1, 70_000, 9 << 20] {
         let body: Vec<u8> = (0..size).map(|at: usize| (at % 251) as u8).collect();
         let answer = send("POST", &url, &[], &body).unwrap();
@@ -101,7 +101,7 @@
     }
     let direct = send(
         "HEAD",
-        &world.hosts["ent-2"].url("/v1/services/lookups/x"),
+        &cluster.hosts["ent-2"].url("/v1/services/lookups/x"),
         &[],
         b"",
     );
@@ -113,16 +113,16 @@
 }
 
 #[test]
-fn a_keyed_request_runs_once_whichever_host_gets_it() {
-    let world = two_zones();
-    let look_up = world.hosts["ent-1"].url("/v1/entries?service=bookings&client=10.0.0.1");
+fn a_request_with_a_key_runs_once_whichever_host_receives_it() {
+    let cluster = start_two_zones();
+    let look_up = cluster.hosts["ent-1"].url("/v1/entries?service=bookings&client=10.0.0.1");
     let ticket = send("GET", &look_up, &[], b"").unwrap().json()["ticket"]
         .as_str()
         .unwrap()
         .to_owned();
     let headers = [("Idempotency-Key", "k-1"), ("Ragwortfold-Ticket", &*ticket)];
     for host in ["ent-1", "ent-1", "ent-2"] {
-        let url = world.hosts[host].url("/v1/services/bookings/reserve");
+        let url = cluster.hosts[host].url("/v1/services/bookings/reserve");
         let answer = send("POST", &url, &headers, b"pass 7").unwrap();
         assert_eq!(
             (answer.status, &*answer.outcome),
@@ -130,33 +130,33 @@
             "{host}"
         );
     }
-    assert_eq!(world.targets["book-1"].journal().entries.len(), 1);
+    assert_eq!(cluster.targets["book-1"].journal().entries.len(), 1);
 
-    let url = world.hosts["ent-1"].url("/v1/services/bookings/reserve");
+    let url = cluster.hosts["ent-1"].url("/v1/services/bookings/reserve");
     let other = send("POST", &url, &headers, b"pass 8").unwrap();
     assert_eq!((other.status, &*other.outcome), (422, "not-run"));
     let bare = send("POST", &url, &headers[..1], b"pass 7").unwrap();
     assert_eq!((bare.status, &*bare.outcome), (428, "not-run"));
-    assert_eq!(world.targets["book-1"].journal().entries.len(), 1);
+    assert_eq!(cluster.targets["book-1"].journal().entries.len(), 1);
 }
 
 #[test]
-fn a_key_whose_home_restarted_is_unknown() {
-    let mut world = two_zones();
-    let look_up = world.hosts["ent-1"].url("/v1/entries?service=bookings&client=10.0.0.1");
+fn a_key_whose_home_host_restarted_is_unknown() {
+    let mut cluster = start_two_zones();
+    let look_up = cluster.hosts["ent-1"].url("/v1/entries?service=bookings&client=10.0.0.1");
     let ticket = send("GET", &look_up, &[], b"").unwrap().json()["ticket"]
         .as_str()
         .unwrap()
         .to_owned();
     let headers = [("Idempotency-Key", "k-1"), ("Ragwortfold-Ticket", &*ticket)];
-    world.hosts.get_mut("ent-1").unwrap().kill();
-    let url = world.hosts["ent-2"].url("/v1/services/bookings/reserve");
+    cluster.hosts.get_mut("ent-1").unwrap().kill();
+    let url = cluster.hosts["ent-2"].url("/v1/services/bookings/reserve");
     let dead = send("POST", &url, &headers, b"pass 7").unwrap();
     assert_eq!((dead.status, &*dead.outcome), (502, "unknown"));
-    world.start("ent-1");
-    world.wait_ready("ent-1");
-    let url = world.hosts["ent-1"].url("/v1/services/bookings/reserve");
+    cluster.start("ent-1");
+    cluster.wait_ready("ent-1");
+    let url = cluster.hosts["ent-1"].url("/v1/services/bookings/reserve");
     let restarted = send("POST", &url, &headers, b"pass 7").unwrap();
     assert_eq!((restarted.status, &*restarted.outcome), (502, "unknown"));
-    assert!(world.targets["book-1"].journal().entries.is_empty());
+    assert!(cluster.targets["book-1"].journal().entries.is_empty());
 }
--- a/tests/property/mod.rs
+++ b/tests/property/mod.rs
@@ -5,7 +5,7 @@
 use proptest::strategy::Strategy;
 use proptest::test_runner::{Config, RngSeed, TestCaseError, TestRunner};
 
-/// Tries `cases` values of `strategy`, always the same ones for a seed.
+/// Runs `test` on `cases` values of `strategy`; a seed always gives the same values.
 pub fn run<S: Strategy>(
     seed: u64,
     cases: u32,
--- a/tests/publication.rs
+++ b/tests/publication.rs
@@ -266,7 +266,7 @@
             let platform = Platform::new();
             let mut ana = Operator::new(&platform, &[("a", "1")]);
             ana.apply("ana").unwrap();
-            platform.once("PUT", path, fault.clone());
+            platform.fail_once("PUT", path, fault.clone());
             let applied = ana.set("a", "2").apply("ana").unwrap();
             let name = format!("{fault:?} {path}");
             assert_eq!(
@@ -288,7 +288,7 @@
     ana.apply("ana").unwrap();
     let (hit, overtake) = (AtomicBool::new(true), AtomicBool::new(true));
     let shared = platform.clone();
-    platform.set_plan(move |call: &Call| {
+    platform.set_fault_plan(move |call: &Call| {
         if !call.path.ends_with("config/head") {
             return Fault::None;
         }
@@ -336,13 +336,13 @@
     let platform = Platform::new();
     let mut ana = Operator::new(&platform, &[("a", "1")]);
     ana.apply("ana").unwrap();
-    platform.set_plan(|_| Fault::LoseCall);
+    platform.set_fault_plan(|_| Fault::LoseCall);
     assert!(matches!(
         ana.set("a", "2").apply("ana"),
         Err(Error::Store(_))
     ));
     let is_lost = AtomicBool::new(false);
-    platform.set_plan(move |call| {
+    platform.set_fault_plan(move |call| {
         let is_head = call.method == "PUT" && call.path.ends_with("head");
         if is_lost.fetch_or(is_head, Ordering::SeqCst) || is_head {
             return Fault::LoseAnswer;
@@ -352,7 +352,7 @@
     let Err(Error::Unsettled { id, .. }) = ana.apply("ana") else {
         panic!("settled")
     };
-    platform.set_plan(|_| Fault::None);
+    platform.set_fault_plan(|_| Fault::None);
     let newest = ana.publication.history().unwrap().remove(0);
     assert_eq!(newest.change.id, id.as_str());
     assert_eq!(ana.apply("ana").unwrap().effect, Effect::Unchanged);
@@ -394,7 +394,7 @@
         (steps[35].change.author.as_str(), &steps[35].files[..]),
         ("ana5", &["a".into()][..])
     );
-    platform.once("PUT", "config/head", Fault::LoseAnswer);
+    platform.fail_once("PUT", "config/head", Fault::LoseAnswer);
     let applied = ana.publication.revert(3, &signed("ben"), sound).unwrap();
     assert_eq!((applied.revision, applied.effect), (41, Effect::New));
     assert_eq!(in_force(&platform), files(&[("a", "3\n"), ("b", "1\n")]));
@@ -478,16 +478,16 @@
     let platform = Platform::new();
     let mut ana = Operator::new(&platform, &[]);
     publish_many(&mut ana, 215);
-    platform.keep();
+    platform.snapshot_objects();
     ana.set("b", "b1").apply("ana").unwrap();
     ana.set("b", "x").apply("ana").unwrap();
-    platform.set_plan(|call| match call.path.as_str() {
+    platform.set_fault_plan(|call| match call.path.as_str() {
         "/v1/objects" => Fault::Stale,
         _ => Fault::None,
     });
     assert_eq!(ana.publication.collect().unwrap(), 0);
     assert_whole(&platform);
-    platform.set_plan(|_| Fault::None);
+    platform.set_fault_plan(|_| Fault::None);
     assert!(ana.publication.collect().unwrap() > 0);
     assert_whole(&platform);
 }
@@ -503,7 +503,7 @@
         let mut ana = Operator::pulled(&platform);
         let (calls, is_running) = (AtomicUsize::new(0), AtomicBool::new(false));
         let shared = platform.clone();
-        platform.set_plan(move |_: &Call| {
+        platform.set_fault_plan(move |_: &Call| {
             if is_running.swap(true, Ordering::SeqCst) {
                 return Fault::None;
             }
@@ -521,7 +521,7 @@
         });
         // Revision 10 is about to be removed, and only it refers to this text.
         ana.set("b", "b10").apply("ana").unwrap();
-        platform.set_plan(|_| Fault::None);
+        platform.set_fault_plan(|_| Fault::None);
         assert_whole(&platform);
         assert_eq!(in_force(&platform)["b"], "b10".into(), "{at} {other}");
     }
@@ -571,7 +571,7 @@
         [AtomicUsize::new(0), AtomicUsize::new(0)],
     );
     let shared = stages.clone();
-    platform.set_plan(move |call: &Call| {
+    platform.set_fault_plan(move |call: &Call| {
         let number = |n: usize| calls[n].fetch_add(1, Ordering::SeqCst);
         if call.caller == "/collector" && number(0) == first {
             shared.enter(Stage::WriterRuns);
@@ -595,7 +595,7 @@
         stages.enter(Stage::CollectorDone);
         collected.unwrap();
     });
-    platform.set_plan(|_| Fault::None);
+    platform.set_fault_plan(|_| Fault::None);
     assert_whole(&platform);
     assert_eq!(in_force(&platform)["b"], "b10".into(), "{first} {second}");
 }
@@ -698,7 +698,7 @@
     let calls = AtomicUsize::new(0);
     let lost = Arc::new(AtomicUsize::new(0));
     let counted = lost.clone();
-    platform.set_plan(move |call| {
+    platform.set_fault_plan(move |call| {
         let n = calls.fetch_add(1, Ordering::SeqCst);
         let fault = match n % 30 {
             0 | 6 | 12 | 18 | 24 if call.method == "PUT" => Fault::LoseAnswer,
@@ -722,7 +722,7 @@
         ends.into_iter().for_each(|end| end.unwrap());
         host.join().unwrap();
     });
-    platform.set_plan(|_| Fault::None);
+    platform.set_fault_plan(|_| Fault::None);
     let total = WRITERS as u64 * u64::from(CHANGES) + 1;
     assert_eq!(
         head(&platform).revision,
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -6,7 +6,7 @@
 
 use std::time::{Duration, Instant};
 
-use catalogs::{catalog, configuration, hosts, lay, region, SMALL};
+use catalogs::{catalog, configuration, hosts, next_catalog, region, SMALL};
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestRunner};
 use ragwortfold::catalog::{Catalog, HostKey};
@@ -32,7 +32,7 @@
 fn parts_of_all_senders_make_up_the_limit() {
     let mut value = configuration(SMALL);
     value["hosts"]["r1-z0-h0"]["state"] = serde_json::json!("off");
-    let catalog = lay(&Catalog::default(), value);
+    let catalog = next_catalog(&Catalog::default(), value);
     assert_eq!(outside(&catalog, region(&catalog, "r0")), 7);
     assert_eq!(inside(&catalog, region(&catalog, "r0")), 4);
     assert!((part(400.0, 0.8, 7) * 7.0 - 320.0).abs() < 1e-9);
--- a/tests/rate.rs
+++ b/tests/rate.rs
@@ -8,7 +8,7 @@
 use std::cmp::Reverse;
 use std::time::{Duration, Instant};
 
-use cluster::{send, World};
+use cluster::{send, TestCluster};
 use serde_json::json;
 use standin::rate_limit::{
     run_callers, Call, Headers, Target, LIMITED_TIME, MAX_SETTLING_TIME, MIN_ANSWERED_SHARE,
@@ -24,9 +24,9 @@
 const TARGETS_PER_ZONE: usize = 3;
 
 /// Starts zones of several hosts and targets that may announce a rate limit.
-fn start_world() -> (World, Vec<Target>) {
+fn start_world() -> (TestCluster, Vec<Target>) {
     let lookups = json!({"class": "pass-lookup", "idempotent": true, "deadline_ms": 2000});
-    let mut world = World::new()
+    let mut world = TestCluster::new()
         .without_services()
         .with_service("lookups", lookups);
     let mut targets = Vec::new();
@@ -42,10 +42,10 @@
             targets.push(target);
         }
     }
-    (world.run(), targets)
+    (world.start_all(), targets)
 }
 
-fn send_load(world: &World, time: Duration) -> Vec<Call> {
+fn send_load(world: &TestCluster, time: Duration) -> Vec<Call> {
     let hosts: Vec<_> = world.hosts.values().collect();
     run_callers(time, |number| {
         let host = hosts[number % hosts.len()];
--- a/tests/split.rs
+++ b/tests/split.rs
@@ -7,7 +7,7 @@
 
 use std::time::{Duration, Instant};
 
-use catalogs::{catalog, configuration, lay, region, service, zone, SMALL};
+use catalogs::{catalog, configuration, next_catalog, region, service, zone, SMALL};
 use property::run;
 use proptest::prelude::*;
 
@@ -105,12 +105,12 @@
 #[test]
 fn hosts_with_other_keys_choose_alike() {
     let plain = catalog(SMALL);
-    let early = lay(
+    let early = next_catalog(
         &Catalog::default(),
         serde_json::json!({"regions": {"r2": {}},
         "availability_zones": {"r2-z1": {"region": "r2"}}}),
     );
-    let other = lay(&early, configuration(SMALL));
+    let other = next_catalog(&early, configuration(SMALL));
     let shares = [("r0-z0", 0.4), ("r1-z1", 0.3), ("r2-z1", 0.3)];
     let (left, right) = (split(&plain, &shares), split(&other, &shares));
     assert_ne!(zone(&plain, "r2-z1"), zone(&other, "r2-z1"));
@@ -151,7 +151,7 @@
             if let Some((zone, state)) = $off {
                 value["availability_zones"][zone as &str]["state"] = serde_json::json!(state as &str);
             }
-            let catalog = lay(&Catalog::default(), value);
+            let catalog = next_catalog(&Catalog::default(), value);
             let (service, locality) = (service(&catalog), region(&catalog, "r0"));
             let mut view = view(&catalog, $known);
             let plan: Option<&[f64]> = $plan;
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -106,7 +106,7 @@
     let table = [
         (Fault::LoseCall, "down", "uncertain", false),
         (Fault::LoseAnswer, "down", "uncertain", true),
-        (Fault::Silence, "down", "uncertain", true),
+        (Fault::NoAnswer, "down", "uncertain", true),
         (Fault::Answer(500, "", ""), "status", "uncertain", false),
         (Fault::Answer(503, "", ""), "status", "uncertain", false),
         (Fault::Answer(429, "", ""), "status", "status", false),
@@ -132,7 +132,7 @@
         let client = client(&platform);
         client.put("a", &json!(1), Condition::Absent).unwrap();
         let spoiled = fault.clone();
-        platform.set_plan(move |_| spoiled.clone());
+        platform.set_fault_plan(move |_| spoiled.clone());
         let client = client.with_timeout(SHORT);
         assert_eq!(kind(client.get("a")), read, "{fault:?}");
         let result = client.put("a", &json!(2), Condition::Version(1));
@@ -170,18 +170,18 @@
     let body = r#"{"version":3,"events":[{"key":"a/1","version":9,"value":1},
         {"key":"b/1","version":8,"value":1},{"key":"a/1","version":9,"value":1},
         {"key":"a/1","version":5,"value":1},{"key":"a/2","version":7,"value":null}]}"#;
-    platform.set_plan(move |_| Fault::Answer(200, "", body));
+    platform.set_fault_plan(move |_| Fault::Answer(200, "", body));
     let seen = client(&platform).watch("a/", 5, Duration::ZERO).unwrap();
     let versions: Vec<_> = seen.events.iter().map(|event| event.version).collect();
     assert_eq!((versions, seen.version), (vec![7, 9], 9));
-    platform.set_plan(|_| Fault::Answer(200, "", r#"{"version":2,"events":[]}"#));
+    platform.set_fault_plan(|_| Fault::Answer(200, "", r#"{"version":2,"events":[]}"#));
     let seen = client(&platform).watch("a/", 5, Duration::ZERO).unwrap();
     assert_eq!(seen.version, 5);
 }
 
 fn malformed_names_the_key() {
     let platform = Platform::new();
-    platform.set_plan(|_| Fault::Answer(200, "\"1\"", "{]"));
+    platform.set_fault_plan(|_| Fault::Answer(200, "\"1\"", "{]"));
     let error = client(&platform).get("a/b").unwrap_err().to_string();
     assert!(error.starts_with("a/b: malformed"), "{error}");
     let error = client(&platform).list("c/").unwrap_err().to_string();
@@ -192,7 +192,7 @@
     let platform = Platform::new();
     let client = client(&platform);
     client.put("a", &json!(1), Condition::Absent).unwrap();
-    platform.once("GET", "/a", Fault::LoseCall);
+    platform.fail_once("GET", "/a", Fault::LoseCall);
     assert_eq!(kind(client.get("a")), "ok");
 }
 
@@ -225,7 +225,7 @@
 
 fn guard_stops_calling_a_dead_platform() {
     let platform = Platform::new();
-    platform.set_plan(|_| Fault::Answer(500, "", ""));
+    platform.set_fault_plan(|_| Fault::Answer(500, "", ""));
     let hour = Duration::from_secs(3600);
     let guard =
         Guard::new(client(&platform)).with_breaker(Breaker::new(3, hour, Backoff::new(hour, hour)));
@@ -233,7 +233,7 @@
     assert_eq!(kinds, ["status", "status", "status", "unsent", "unsent"]);
     let answers = [Fault::Answer(412, "", ""), Fault::Answer(200, "", "{")];
     for answer in answers {
-        platform.set_plan(move |_| answer.clone());
+        platform.set_fault_plan(move |_| answer.clone());
         let guard = Guard::new(client(&platform)).with_breaker(Breaker::new(
             1,
             hour,
@@ -281,7 +281,7 @@
     let platform = Platform::new();
     let guard = Guard::new(client(&platform).with_timeout(SHORT));
     guard.put("a", &"old", Condition::Absent).unwrap();
-    platform.once("PUT", "/a", fault);
+    platform.fail_once("PUT", "/a", fault);
     if let Some(other) = other {
         let direct = client(&platform);
         let current = direct.get("a").unwrap().unwrap().version;
@@ -312,7 +312,7 @@
         (Fault::None, None, "mine"),
         (Fault::LoseAnswer, None, "mine"),
         (Fault::LoseCall, None, "mine"),
-        (Fault::Silence, None, "mine"),
+        (Fault::NoAnswer, None, "mine"),
         (Fault::Etag("?"), None, "mine"),
         (Fault::Answer(503, "", ""), None, "mine"),
         (Fault::Answer(412, "", ""), None, "mine"),
@@ -334,13 +334,13 @@
 fn lost_answer_in_a_lasting_outage_is_unknown() {
     let platform = Platform::new();
     let guard = Guard::new(client(&platform));
-    platform.set_plan(|_| Fault::LoseAnswer);
+    platform.set_fault_plan(|_| Fault::LoseAnswer);
     let step = Duration::from_millis(1);
     let patience = &mut Patience::new(3, Backoff::new(step, step));
     let evidence = |_: &Value| Evidence::Mine;
     let outcome = settle::put(&guard, "a", &1, Condition::Absent, evidence, patience);
     assert!(matches!(outcome, Ok(Outcome::Unknown(_))), "{outcome:?}");
-    platform.set_plan(|_| Fault::Answer(412, "", ""));
+    platform.set_fault_plan(|_| Fault::Answer(412, "", ""));
     let guard = Guard::new(client(&platform));
     let outcome = settle::put(&guard, "a", &1, Condition::Absent, evidence, patience);
     assert!(
--- a/tests/target.rs
+++ b/tests/target.rs
@@ -1,8 +1,8 @@
-//! The contract with targets: a table of what a target can do wrong, each for a service whose
-//! requests may run twice and for one whose requests must not.
+//! The contract with targets: a table of target faults, each tested for a service whose requests
+//! may run twice and for one whose requests must not.
 //!
-//! A row's two targets share one script and one count of runs. A request counts as run once the
-//! target has read all of it, unless the target then says that it did not run it.
+//! The two targets of a row share one script and one count of runs. A request counts as run when the
+//! target has read all of it, unless the target then reports that it did not run it.
 
 #![allow(clippy::unwrap_used)]
 
@@ -12,31 +12,31 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, Weak};
 
-use cluster::{send, Answer, World};
+use cluster::{send, Answer, TestCluster};
 use scripted::{Act, Pair, Times};
 use serde_json::json;
 
 const ZONE: &str = "lima-a";
-/// A deadline longer than the patience of `send`: what is given up must be answered at once.
-const LONG: &str = "60000";
-const SHORT: &str = "400";
+/// A deadline longer than the time-out of `send`: a request that is given up must be answered without waiting for it.
+const LONG_DEADLINE_MS: &str = "60000";
+const SHORT_DEADLINE_MS: &str = "400";
 
-/// What a caller must be told.
+/// The answer that the caller must receive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Expect {
-    /// The target's whole answer to this very request.
+    /// The target's complete answer to this request.
     Good,
-    /// The target's answer of that status.
+    /// The target's answer with this status.
     Status(u16),
-    /// 503 with `Retry-After`, and no run.
+    /// 503 with `Retry-After`, and the request did not run.
     NotRun,
-    /// That status, and nothing said of whether it ran.
+    /// This status, with the outcome `unknown`.
     Unknown(u16),
 }
 
 use Expect::{Good, NotRun, Status, Unknown};
 
-/// One fault.
+/// A test case: one fault and the expected answers.
 #[derive(Clone, Copy)]
 struct Row {
     name: &'static str,
@@ -47,29 +47,29 @@
     deadline: &'static str,
     requests: usize,
     idempotent: Expect,
-    once: Expect,
+    non_idempotent: Expect,
 }
 
-const fn row(act: Act, times: Times, idempotent: Expect, once: Expect) -> Row {
+const fn row(act: Act, times: Times, idempotent: Expect, non_idempotent: Expect) -> Row {
     Row {
         name: "",
         act,
         times,
         method: "POST",
         body: 10,
-        deadline: LONG,
+        deadline: LONG_DEADLINE_MS,
         requests: 1,
         idempotent,
-        once,
+        non_idempotent,
     }
 }
 
-const fn always(act: Act, idempotent: Expect, once: Expect) -> Row {
-    row(act, Times::Always, idempotent, once)
+const fn always(act: Act, idempotent: Expect, non_idempotent: Expect) -> Row {
+    row(act, Times::Always, idempotent, non_idempotent)
 }
 
-const fn first(act: Act, idempotent: Expect, once: Expect) -> Row {
-    row(act, Times::First, idempotent, once)
+const fn first(act: Act, idempotent: Expect, non_idempotent: Expect) -> Row {
+    row(act, Times::First, idempotent, non_idempotent)
 }
 
 impl Row {
@@ -85,7 +85,7 @@
     }
 
     const fn short(mut self) -> Self {
-        self.deadline = SHORT;
+        self.deadline = SHORT_DEADLINE_MS;
         self
     }
 
@@ -95,26 +95,26 @@
     }
 }
 
-/// One entry host and the targets of all rows; it ends with the last test that uses it.
-struct Bench {
-    world: World,
+/// One entry host and the targets of all rows. It is stopped after the last test that uses it.
+struct Fixture {
+    cluster: TestCluster,
     pairs: BTreeMap<String, Pair>,
 }
 
-fn bench() -> Arc<Bench> {
-    static BENCH: Mutex<Weak<Bench>> = Mutex::new(Weak::new());
-    let mut kept = BENCH.lock().unwrap_or_else(|poison| poison.into_inner());
-    if let Some(bench) = kept.upgrade() {
-        return bench;
+fn shared_fixture() -> Arc<Fixture> {
+    static FIXTURE: Mutex<Weak<Fixture>> = Mutex::new(Weak::new());
+    let mut cached = FIXTURE.lock().unwrap_or_else(|poison| poison.into_inner());
+    if let Some(fixture) = cached.upgrade() {
+        return fixture;
     }
-    let bench = Arc::new(Bench::new());
-    *kept = Arc::downgrade(&bench);
-    bench
+    let fixture = Arc::new(Fixture::new());
+    *cached = Arc::downgrade(&fixture);
+    fixture
 }
 
-impl Bench {
+impl Fixture {
     fn new() -> Self {
-        let mut world = World::new()
+        let mut cluster = TestCluster::new()
             .without_services()
             .with_zone("lima", ZONE)
             .with_host(ZONE, "ent-1");
@@ -124,16 +124,16 @@
                 let service = service(row, idempotent);
                 let pair = Pair::new(row.act, row.times);
                 let record = json!({"class": "c", "idempotent": idempotent, "deadline_ms": 5000});
-                world = world.with_service(&service, record);
+                cluster = cluster.with_service(&service, record);
                 for (index, address) in pair.addresses.iter().enumerate() {
                     let name = format!("{service}-{index}");
-                    world = world.with_target_at(ZONE, &service, &name, *address);
+                    cluster = cluster.with_target_at(ZONE, &service, &name, *address);
                 }
                 pairs.insert(service, pair);
             }
         }
         Self {
-            world: world.run(),
+            cluster: cluster.start_all(),
             pairs,
         }
     }
@@ -146,11 +146,11 @@
 
 fn check(name: &str) {
     let row = ROWS.iter().find(|row| row.name == name).unwrap();
-    let bench = bench();
-    for (idempotent, expect) in [(true, row.idempotent), (false, row.once)] {
+    let fixture = shared_fixture();
+    for (idempotent, expect) in [(true, row.idempotent), (false, row.non_idempotent)] {
         let service = service(row, idempotent);
-        let pair = &bench.pairs[&service];
-        let url = bench.world.hosts["ent-1"].url(&format!("/v1/services/{service}/x"));
+        let pair = &fixture.pairs[&service];
+        let url = fixture.cluster.hosts["ent-1"].url(&format!("/v1/services/{service}/x"));
         for number in 0..row.requests {
             let call = format!("{service}-{number}");
             let body = vec![b'b'; row.body];
@@ -173,12 +173,12 @@
         NotRun => (503, "not-run"),
         Unknown(status) => (status, "unknown"),
     };
-    let told = (answer.status, &*answer.outcome);
-    assert_eq!(told, (status, outcome), "{call}: {}", answer.text());
-    let whole = scripted::body(call);
+    let received = (answer.status, &*answer.outcome);
+    assert_eq!(received, (status, outcome), "{call}: {}", answer.text());
+    let expected = scripted::body(call);
     match expect {
         Good if row.method == "HEAD" => assert!(answer.body.is_empty(), "{call}"),
-        Good => assert_eq!(answer.text(), whole, "{call}"),
+        Good => assert_eq!(answer.text(), expected, "{call}"),
         NotRun => {
             let wait = answer.headers.get("retry-after").map(|text| text.parse());
             assert!(matches!(wait, Some(Ok(1u64..))), "{call}: {answer:?}");
@@ -198,12 +198,12 @@
     }
     match expect {
         Good => assert!(runs >= 1, "{call} did not run"),
-        NotRun => assert_eq!(runs, 0, "{call} was told not to have run"),
+        NotRun => assert_eq!(runs, 0, "{call} was reported as not run"),
         Status(_) | Unknown(_) => {}
     }
 }
 
-/// Names each row of the table and makes it a test.
+/// Defines the table and one test for each row.
 macro_rules! cases {
     ($($name:ident: $row:expr;)*) => {
         const ROWS: &[Row] = &[$(Row { name: stringify!($name), ..$row }),*];
@@ -292,31 +292,31 @@
     closed_between_requests: always(Act::CloseAfterAnswer, Good, Good).requests(4);
     closed_at_second_request: always(Act::CloseAtSecond, Good, Good).requests(4);
     lost_at_second_request: always(Act::LoseAtSecond, Good, Good).requests(4);
-    // The test below this table makes this row's requests.
+    // The requests of this row are sent by a separate test below.
     lost_at_second_request_and_gone: always(Act::GoneAtSecond, Good, Good).requests(0);
     answered_twice: always(Act::Twice(0), Good, Good).requests(4);
     answered_twice_late: always(Act::Twice(30), Good, Good).requests(4);
     answer_before_its_request: always(Act::Early, Good, Good).requests(4);
 }
 
-/// A late answer is dropped: those that ask after it get their own.
+/// A late answer is dropped: later requests get their own answers.
 #[test]
-fn a_late_answer_is_never_taken_for_another() {
-    let bench = bench();
+fn a_late_answer_is_never_returned_for_another_request() {
+    let fixture = shared_fixture();
     for idempotent in [true, false] {
         let kind = if idempotent { "idempotent" } else { "once" };
-        let url = bench.world.hosts["ent-1"].url(&format!("/v1/services/slow-{kind}/x"));
+        let url = fixture.cluster.hosts["ent-1"].url(&format!("/v1/services/slow-{kind}/x"));
         for number in 0..5 {
             let call = format!("late-{kind}-{number}");
-            // The slow targets take 300 ms: the even ones are given up, the odd ones are not.
-            let given_up = number % 2 == 0;
-            let deadline = if given_up { "100" } else { LONG };
+            // The slow targets take 300 ms: even requests time out, odd ones do not.
+            let is_given_up = number % 2 == 0;
+            let deadline = if is_given_up { "100" } else { LONG_DEADLINE_MS };
             let headers = [
                 ("Standin-Call", &*call),
                 ("Ragwortfold-Deadline-Ms", deadline),
             ];
             let answer = send("POST", &url, &headers, b"body").unwrap();
-            if given_up {
+            if is_given_up {
                 assert_eq!(
                     (answer.status, &*answer.outcome),
                     (504, "unknown"),
@@ -334,22 +334,25 @@
     }
 }
 
-/// A pooled connection breaks after the request ran, and a new one is refused: that proves nothing.
+/// If a pooled connection breaks after the request ran and a new one is refused, the request must not be reported as not run.
 #[test]
-fn a_refused_second_copy_is_no_proof_that_the_first_did_not_run() {
-    let bench = bench();
+fn a_refused_second_copy_does_not_prove_that_the_first_did_not_run() {
+    let fixture = shared_fixture();
     let service = "lost-at-second-request-and-gone-idempotent";
-    let url = bench.world.hosts["ent-1"].url(&format!("/v1/services/{service}/x"));
+    let url = fixture.cluster.hosts["ent-1"].url(&format!("/v1/services/{service}/x"));
     let mut lost = 0;
     for number in 0..8 {
         let call = format!("gone-{number}");
-        let headers = [("Standin-Call", &*call), ("Ragwortfold-Deadline-Ms", LONG)];
+        let headers = [
+            ("Standin-Call", &*call),
+            ("Ragwortfold-Deadline-Ms", LONG_DEADLINE_MS),
+        ];
         let answer = send("POST", &url, &headers, b"body").unwrap();
-        let runs = bench.pairs[service].runs(&call);
+        let runs = fixture.pairs[service].runs(&call);
         match &*answer.outcome {
             "answered" => assert_eq!(answer.text(), scripted::body(&call)),
             "unknown" => lost += 1,
-            _ => assert_eq!(runs, 0, "{call} was told not to have run"),
+            _ => assert_eq!(runs, 0, "{call} was reported as not run"),
         }
     }
     assert!(lost > 0, "no request was lost");
