--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -61,7 +61,7 @@
     body_broken_off: AtomicBool,
     timing: Mutex<Timing>,
     key_run: Mutex<Option<dedupe::Run>>,
-    /// The last error answer of a target, sent if no further attempt succeeds.
+    /// The error answer of an unavailable target, sent if no further attempt succeeds.
     fallback: Mutex<Option<Reply>>,
 }
 
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -421,7 +421,7 @@
         };
         for (zone, status) in agent.zone_statuses() {
             let standing = match to_standing(status) {
-                // Zones often fail together: traffic must not move to a zone that is no longer heard from.
+                // Zones often fail together: no traffic moves to a zone that is not heard from, since it may be lost next.
                 Standing::Alive if !agent.is_heard(zone) => Standing::Unknown,
                 standing => standing,
             };
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -43,7 +43,7 @@
 
 /// Maximum number of requests that wait for a verdict at the same time.
 const MAX_WAITING_REQUESTS: usize = 8192;
-/// Events handled before due timers are run.
+/// Maximum number of events handled before due timers are run.
 const MAX_EVENTS_PER_BATCH: usize = 64;
 /// Longest time between two ticks of the engine.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
--- a/src/entry/front.rs
+++ b/src/entry/front.rs
@@ -28,7 +28,7 @@
 
 /// `Retry-After` for requests that this host refuses because it is full, starting or leaving.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Requests with larger bodies go to the pool for large bodies, in bytes.
+/// Largest body, in bytes, that the pool for small bodies receives.
 const MAX_SMALL_BODY_BYTES: u64 = 16 << 10;
 
 /// Number of threads that answer refused requests whose body is still being received.
--- a/src/entry/idempotency.rs
+++ b/src/entry/idempotency.rs
@@ -26,6 +26,7 @@
     }
 }
 
+/// Returns the answer to store for later copies; none if its body is not buffered or it exceeds [`MAX_ANSWER`].
 fn to_stored_answer(reply: &Reply) -> Option<Arc<Answer>> {
     let reply::Body::Whole(body) = &reply.body else {
         return None;
@@ -76,6 +77,7 @@
     call.run(shared);
 }
 
+/// Starts the run of the key, joins one in progress, or replies with the stored result of an earlier run.
 fn begin_run(
     shared: &Arc<Shared>,
     context: RequestContext,
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -51,7 +51,7 @@
 /// Called with each request.
 pub(crate) type Handler = Arc<dyn Fn(Request) + Send + Sync>;
 /// Called when the library's server was rebuilt.
-pub(crate) type Rebuilt = Box<dyn Fn() + Send + Sync>;
+pub(crate) type RebuildHandler = Box<dyn Fn() + Send + Sync>;
 
 /// A listening server.
 pub(crate) struct Server {
@@ -64,8 +64,8 @@
     threads: usize,
     idle_timeout: Duration,
     handler: Handler,
-    rebuilt: Rebuilt,
-    /// Set when the newest server is replaced.
+    on_rebuild: RebuildHandler,
+    /// The flag of the newest server, set when that server is replaced.
     replaced: Mutex<Arc<AtomicBool>>,
     stop: AtomicBool,
     turns: Arc<Turns>,
@@ -95,7 +95,7 @@
         threads: usize,
         idle_timeout: Duration,
         handler: Handler,
-        rebuilt: Rebuilt,
+        on_rebuild: RebuildHandler,
     ) -> io::Result<Self> {
         let address = listener.local_addr()?;
         let (ready, queued) = unbounded();
@@ -105,7 +105,7 @@
             threads,
             idle_timeout,
             handler,
-            rebuilt,
+            on_rebuild,
             replaced: Mutex::default(),
             stop: AtomicBool::new(false),
             turns: Turns::new(ready),
@@ -144,7 +144,7 @@
         let server = tiny_http::Server::from_listener(listener, None).map_err(io::Error::other)?;
         let server = Arc::new(Mutex::new(server));
         let replaced = Arc::new(AtomicBool::new(false));
-        *inner.newest() = replaced.clone();
+        *inner.replaced_flag() = replaced.clone();
         for index in 0..inner.threads {
             let receiver = RequestReceiver {
                 inner: inner.clone(),
@@ -159,7 +159,7 @@
         Ok(())
     }
 
-    fn newest(&self) -> MutexGuard<'_, Arc<AtomicBool>> {
+    fn replaced_flag(&self) -> MutexGuard<'_, Arc<AtomicBool>> {
         self.replaced.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -168,7 +168,7 @@
             thread::sleep(REBUILD_PAUSE);
             match Self::serve(inner) {
                 Ok(()) => {
-                    (inner.rebuilt)();
+                    (inner.on_rebuild)();
                     return;
                 }
                 Err(error) => spdlog::warn!("http: cannot build the server anew: {error}"),
@@ -217,7 +217,7 @@
             }
             if unanswered >= MAX_UNANSWERED_PROBES {
                 unanswered = 0;
-                inner.newest().store(true, Ordering::Relaxed);
+                inner.replaced_flag().store(true, Ordering::Relaxed);
                 Self::rebuild(inner);
             }
             next_probe = Instant::now() + interval;
