--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -1,7 +1,7 @@
 //! What one decision costs: splits, client blocks, look-ups, budgets and quotas, over sizes.
 
-#[path = "../tests/places/mod.rs"]
-mod places;
+#[path = "../tests/catalogs/mod.rs"]
+mod catalogs;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hint::black_box;
@@ -9,9 +9,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use catalogs::{configuration, CatalogSize};
 use criterion::{criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion};
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
-use places::{configuration, Size};
 use prefix_trie::PrefixMap;
 use ragwortfold::border::configuration::{Client, Configuration};
 use ragwortfold::border::settings::Steer;
@@ -29,7 +29,7 @@
 use rand_pcg::Pcg64;
 
 /// 688 hosts in 16 zones of 4 regions, 144 sites, 54 targets a zone.
-const LARGE: Size = Size {
+const LARGE: CatalogSize = CatalogSize {
     regions: 4,
     zones: 4,
     hosts: 43,
@@ -102,7 +102,7 @@
 }
 
 fn choose(criterion: &mut Criterion) {
-    let catalog = places::catalog(LARGE);
+    let catalog = catalogs::catalog(LARGE);
     let mut group = criterion.benchmark_group("split");
     for count in [2, 4, 16] {
         let zones = catalog.zones().take(count).zip(1..);
@@ -129,7 +129,7 @@
 }
 
 fn tables(criterion: &mut Criterion) {
-    let catalog = places::catalog(LARGE);
+    let catalog = catalogs::catalog(LARGE);
     let mut group = criterion.benchmark_group("table");
     for (family, count) in [4, 6]
         .into_iter()
@@ -164,7 +164,7 @@
 
 /// The library's trie, to compare with.
 fn tries(criterion: &mut Criterion) {
-    let catalog = places::catalog(LARGE);
+    let catalog = catalogs::catalog(LARGE);
     let mut group = criterion.benchmark_group("prefix_trie");
     for family in [4, 6] {
         let count = BLOCKS[2];
@@ -288,8 +288,8 @@
 }
 
 /// An engine of one host that knows all zones, and what tells it of them.
-fn engine(size: Size, now: Instant) -> (Engine, Arc<Catalog>, View) {
-    let catalog = Arc::new(places::catalog(size));
+fn engine(size: CatalogSize, now: Instant) -> (Engine, Arc<Catalog>, View) {
+    let catalog = Arc::new(catalogs::catalog(size));
     let mut view = View::default();
     let mut free = BTreeMap::new();
     for (zone, _) in catalog.zones() {
@@ -344,13 +344,13 @@
 }
 
 fn whole(criterion: &mut Criterion) {
-    let sizes = |of: &str| -> Vec<(usize, Size)> {
+    let sizes = |of: &str| -> Vec<(usize, CatalogSize)> {
         let all = match of {
-            "sites" => [1, 3, 9].map(|services| Size { services, ..LARGE }),
-            "targets" => [2, 6, 50].map(|targets| Size { targets, ..LARGE }),
-            _ => [3, 12, 43].map(|hosts| Size { hosts, ..LARGE }),
+            "sites" => [1, 3, 9].map(|services| CatalogSize { services, ..LARGE }),
+            "targets" => [2, 6, 50].map(|targets| CatalogSize { targets, ..LARGE }),
+            _ => [3, 12, 43].map(|hosts| CatalogSize { hosts, ..LARGE }),
         };
-        let count = |size: Size| match of {
+        let count = |size: CatalogSize| match of {
             "sites" => size.services * size.regions * size.zones,
             "targets" => size.services * size.targets,
             _ => size.hosts * size.regions * size.zones,
--- /dev/null
+++ b/src/entry/background.rs
@@ -0,0 +1,75 @@
+//! Background tasks that must not delay other threads: hedges and cancellations.
+//!
+//! A small pool of threads runs them from a bounded queue. A task is dropped if the queue is full: its
+//! hedge is then not sent, and a request that should be cancelled runs to its end.
+
+use std::net::SocketAddr;
+use std::sync::{Arc, Weak};
+use std::thread;
+use std::time::Duration;
+
+use crossbeam_channel::{bounded, Receiver, Sender};
+
+use super::call::Call;
+use super::core::Event;
+use super::{Error, Shared};
+use crate::steer::group;
+
+/// Threads of the pool.
+const THREADS: usize = 16;
+/// Maximum number of queued tasks.
+const BACKLOG: usize = 256;
+/// Time limit of the call that cancels a request at a target.
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// A task for the pool.
+pub(crate) enum BackgroundTask {
+    /// Send the hedge of a request to the target that was granted.
+    Hedge(Arc<Call>, group::Grant),
+    /// Cancel a request at a target.
+    Cancel(SocketAddr, String),
+    /// End a request that the host that relayed it has cancelled.
+    Abandon(Arc<Call>),
+}
+
+/// The sending end of the task queue.
+pub(crate) type TaskSender = Sender<BackgroundTask>;
+
+/// Creates the task queue.
+pub(crate) fn task_queue() -> (TaskSender, Receiver<BackgroundTask>) {
+    bounded(BACKLOG)
+}
+
+/// Starts the threads. They end when all senders of the queue are dropped.
+pub(crate) fn start(shared: &Arc<Shared>, work: &Receiver<BackgroundTask>) -> Result<(), Error> {
+    for index in 0..THREADS {
+        let shared = Arc::downgrade(shared);
+        let work = work.clone();
+        thread::Builder::new()
+            .name(format!("later-{index}"))
+            .spawn(move || run(&shared, &work))?;
+    }
+    Ok(())
+}
+
+fn run(shared: &Weak<Shared>, work: &Receiver<BackgroundTask>) {
+    for task in work {
+        let Some(shared) = shared.upgrade() else {
+            return;
+        };
+        match task {
+            BackgroundTask::Hedge(call, grant) => call.run_hedge(&shared, grant),
+            BackgroundTask::Cancel(address, id) => {
+                shared.targets.cancel(address, &id, CANCEL_TIMEOUT)
+            }
+            BackgroundTask::Abandon(call) => call.abandon(&shared),
+        }
+    }
+}
+
+/// Returns the grant of a dropped hedge to the core.
+pub(crate) fn return_grant(core: &super::core::Handle, task: BackgroundTask) {
+    if let BackgroundTask::Hedge(_, grant) = task {
+        core.send(Event::TargetFinished(grant, group::Report::unused()));
+    }
+}
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -16,10 +16,10 @@
 use rand_pcg::Pcg64;
 use serde_json::{json, Value};
 
-use super::places::{configuration, lay, region, service, Size};
+use super::catalogs::{configuration, next_catalog, region, service, CatalogSize};
 
 /// Two zones in each of three regions, two hosts in each zone, two targets with four slots each.
-const TOPOLOGY: Size = Size {
+const TOPOLOGY: CatalogSize = CatalogSize {
     regions: 3,
     zones: 2,
     hosts: 2,
@@ -142,7 +142,7 @@
         for link in config["links"].as_object_mut().expect("links").values_mut() {
             link["requests_per_s"] = json!(LINK_RATE);
         }
-        let catalog = Arc::new(lay(&Catalog::default(), config.clone()));
+        let catalog = Arc::new(next_catalog(&Catalog::default(), config.clone()));
         let now = Instant::now();
         let node = |(key, name, zone): (HostKey, String, ZoneKey)| Node {
             key,
@@ -251,7 +251,7 @@
         let name = format!("{}-s0-t0", zone.name);
         let state = ["serving", "draining", "off"][usize::from(state) % 3];
         self.config["targets"][name]["state"] = json!(state);
-        self.catalog = Arc::new(lay(&self.catalog, self.config.clone()));
+        self.catalog = Arc::new(next_catalog(&self.catalog, self.config.clone()));
         for at in 0..self.nodes.len() {
             self.configure(at);
         }
--- a/tests/lookup.rs
+++ b/tests/lookup.rs
@@ -2,13 +2,15 @@
 
 #![allow(clippy::unwrap_used)]
 
-mod places;
+mod catalogs;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 
+use catalogs::{
+    catalog, configuration, hosts, next_catalog, region, service, zone, CatalogSize, SMALL,
+};
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
-use places::{catalog, configuration, hosts, lay, region, service, zone, Size, SMALL};
 use prefix_trie::PrefixMap;
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestRunner};
@@ -245,7 +247,7 @@
             if let Some(zone) = $off {
                 value["availability_zones"][zone as &str]["state"] = serde_json::json!("draining");
             }
-            let catalog = lay(&Catalog::default(), value);
+            let catalog = next_catalog(&Catalog::default(), value);
             let down: &[&str] = &$down;
             let snapshot = snapshot(&catalog, &$shares, down, $own);
             let expected: &[&str] = &$expected;
@@ -276,7 +278,7 @@
 
 #[test]
 fn blocks_spread_over_hosts_and_keep_a_live_host() {
-    let size = Size {
+    let size = CatalogSize {
         regions: 1,
         zones: 1,
         hosts: 10,
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -2,11 +2,11 @@
 
 #![allow(clippy::unwrap_used)]
 
-mod places;
+mod catalogs;
 
 use std::time::{Duration, Instant};
 
-use places::{catalog, configuration, hosts, lay, region, SMALL};
+use catalogs::{catalog, configuration, hosts, next_catalog, region, SMALL};
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestRunner};
 use ragwortfold::catalog::{Catalog, HostKey};
@@ -33,7 +33,7 @@
 fn parts_of_all_senders_make_up_the_limit() {
     let mut value = configuration(SMALL);
     value["hosts"]["r1-z0-h0"]["state"] = serde_json::json!("off");
-    let catalog = lay(&Catalog::default(), value);
+    let catalog = next_catalog(&Catalog::default(), value);
     assert_eq!(hosts_outside(&catalog, region(&catalog, "r0")), 7);
     assert_eq!(hosts_inside(&catalog, region(&catalog, "r0")), 4);
     assert!((static_part(400.0, 0.8, 7) * 7.0 - 320.0).abs() < 1e-9);
