--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -205,9 +205,9 @@
     }
     Failure::new(match error {
         StreamError::NotSent => FailurePoint::FrameNotSent,
-        StreamError::Cut => FailurePoint::ConnectionClosed(Stage::AnswerBody),
+        StreamError::Truncated => FailurePoint::ConnectionClosed(Stage::AnswerBody),
         StreamError::Deadline | StreamError::Timeout => FailurePoint::Timeout(stage),
-        StreamError::Length { .. } => FailurePoint::WrongLength(stage),
+        StreamError::WrongLength { .. } => FailurePoint::WrongLength(stage),
         _ => FailurePoint::ConnectionClosed(stage),
     })
 }
@@ -269,7 +269,7 @@
                     Ok(0) => break,
                     Ok(count) => incoming.write_body(&piece[..count])?,
                     // Dropping the stream within the reply tells the other host that it was cut.
-                    Err(_) => return Err(StreamError::Cut),
+                    Err(_) => return Err(StreamError::Truncated),
                 }
             }
         }
--- a/src/peer/auth.rs
+++ b/src/peer/auth.rs
@@ -1,9 +1,9 @@
-//! The mutual challenge and response that opens a link.
+//! The mutual challenge-response authentication that opens a link.
 //!
 //! Both sides send a hello with a fresh nonce. The dialling side then sends its proof, and the
-//! accepting side answers with its own only if that one is right. A proof is the HMAC-SHA256, under the
-//! shared secret, of the direction and of both hello frames byte for byte, so it binds both nonces,
-//! names, incarnations, zones and versions; recorded handshakes are worthless.
+//! accepting side answers with its own only if the first is valid. A proof is the HMAC-SHA256, under the
+//! shared secret, of the sending side and of both hello frames byte for byte. It thus covers both nonces,
+//! names, incarnations, zones and versions, so a recorded handshake cannot be replayed.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -11,17 +11,17 @@
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 
-/// The protocol version spoken here.
+/// The protocol version that this host sends in its hello.
 pub const VERSION: u32 = 1;
 /// The oldest protocol version that is accepted.
 pub const OLDEST_VERSION: u32 = 1;
 /// Length of a nonce in bytes.
 pub const NONCE_BYTES: usize = 32;
 
-/// Keeps proofs apart from any other use of the secret.
-const CONTEXT: &[u8] = b"ragwortfold peer link";
+/// Domain separator: no other use of the secret yields a valid proof.
+const PROOF_CONTEXT: &[u8] = b"ragwortfold peer link";
 
-/// Which side a proof is of.
+/// A side of the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
     /// The side that connected.
@@ -39,7 +39,7 @@
     }
 }
 
-/// Both hello frames of a handshake, as they were sent.
+/// Both hello frames of a handshake as they were sent, and the shared secret.
 #[derive(Clone, Debug)]
 pub struct Transcript {
     secret: Arc<str>,
@@ -48,7 +48,7 @@
 }
 
 impl Transcript {
-    /// The transcript of a handshake under a secret.
+    /// Creates a transcript from the encoded hello frames of both sides.
     pub fn new(secret: Arc<str>, dialling: &[u8], accepting: &[u8]) -> Transcript {
         Transcript {
             secret,
@@ -57,13 +57,13 @@
         }
     }
 
-    /// The proof of a side, in hexadecimal.
+    /// Computes the proof of a side, in hexadecimal.
     pub fn proof(&self, side: Side) -> Option<String> {
         let mac = self.mac(side)?.finalize().into_bytes();
         Some(hex(&mac))
     }
 
-    /// Whether a proof is that of a side, in constant time.
+    /// Whether `proof` is the valid proof of a side. Compares in constant time.
     pub fn is_proven(&self, side: Side, proof: &str) -> bool {
         let Some(given) = unhex(proof) else {
             return false;
@@ -74,7 +74,7 @@
 
     fn mac(&self, side: Side) -> Option<Hmac<Sha256>> {
         let mut mac = Hmac::<Sha256>::new_from_slice(self.secret.as_bytes()).ok()?;
-        for field in [CONTEXT, side.label(), &self.dialling, &self.accepting] {
+        for field in [PROOF_CONTEXT, side.label(), &self.dialling, &self.accepting] {
             mac.update(&(field.len() as u64).to_be_bytes());
             mac.update(field);
         }
@@ -82,7 +82,7 @@
     }
 }
 
-/// Bytes in hexadecimal.
+/// Encodes bytes in lower-case hexadecimal.
 pub fn hex(bytes: &[u8]) -> String {
     let mut text = String::with_capacity(2 * bytes.len());
     for byte in bytes {
--- a/src/peer/book.rs
+++ b/src/peer/book.rs
@@ -1,4 +1,4 @@
-//! Who is linked and who shall be.
+//! The table of known hosts: their addresses, links and connection state.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,31 +8,36 @@
 use tokio::sync::Notify;
 
 use super::auth::Side;
-use super::error::Reason;
+use super::error::LinkEndReason;
 use super::link::Link;
 
-/// The hosts that a mesh knows of.
+/// The hosts known to a mesh.
 #[derive(Default)]
-pub(super) struct Book {
-    pub(super) kept: BTreeMap<Arc<str>, SocketAddr>,
+pub(super) struct PeerTable {
+    /// Addresses of the hosts with which a link is always maintained.
+    pub(super) persistent: BTreeMap<Arc<str>, SocketAddr>,
+    /// Addresses of the hosts that may be linked on demand.
     pub(super) directory: BTreeMap<Arc<str>, SocketAddr>,
     pub(super) peers: BTreeMap<Arc<str>, Peer>,
-    pub(super) closing: bool,
+    pub(super) is_closing: bool,
 }
 
-/// One other host.
+/// The links with another host and the state of its connection attempts.
 #[derive(Default)]
 pub(super) struct Peer {
     pub(super) links: Vec<Arc<Link>>,
-    pub(super) keeper: Option<Arc<Notify>>,
+    /// Wakes the task that maintains the link; none while no such task runs.
+    pub(super) maintainer: Option<Arc<Notify>>,
+    /// Until when a request waits for a link with a host that has none permanently.
     pub(super) wanted_until: Option<Instant>,
-    pub(super) failures: u64,
+    pub(super) connect_failures: u64,
+    /// When the next connection attempt may start.
     pub(super) retry_at: Option<Instant>,
 }
 
-impl Book {
+impl PeerTable {
     pub(super) fn address(&self, host: &str) -> Option<SocketAddr> {
-        self.kept
+        self.persistent
             .get(host)
             .or_else(|| self.directory.get(host))
             .copied()
@@ -42,12 +47,12 @@
         self.peers.values().flat_map(|peer| peer.links.iter())
     }
 
-    /// Forgets a host that nothing is known of any more.
-    pub(super) fn forget(&mut self, host: &Arc<str>) {
+    /// Removes a host that has no link, no task and no address.
+    pub(super) fn remove_if_unused(&mut self, host: &Arc<str>) {
         let is_done = self
             .peers
             .get(host)
-            .is_some_and(|peer| peer.links.is_empty() && peer.keeper.is_none());
+            .is_some_and(|peer| peer.links.is_empty() && peer.maintainer.is_none());
         if is_done && self.address(host).is_none() {
             self.peers.remove(host);
         }
@@ -55,50 +60,50 @@
 }
 
 impl Peer {
-    /// The link for new streams: both sides choose that of the first dialler by name.
-    pub(super) fn open_link(&self) -> Option<&Arc<Link>> {
+    /// The link for new streams. Both sides choose the one whose dialling host has the smallest name.
+    pub(super) fn preferred_link(&self) -> Option<&Arc<Link>> {
         self.links
             .iter()
             .filter(|link| link.is_open())
             .min_by_key(|link| link.dialler())
     }
 
-    /// The link for control messages, also one that only finishes its streams.
-    pub(super) fn any_link(&self) -> Option<Arc<Link>> {
-        self.open_link().or(self.links.last()).cloned()
+    /// The link for control messages; a draining one if there is no other.
+    pub(super) fn control_link(&self) -> Option<Arc<Link>> {
+        self.preferred_link().or(self.links.last()).cloned()
     }
 
-    /// Whether the last try to connect failed and the next one is still to come.
+    /// Whether the pause after a failed connection attempt still runs.
     pub(super) fn is_backing_off(&self) -> bool {
         self.retry_at.is_some_and(|retry| Instant::now() < retry)
     }
 
-    pub(super) fn notify_keeper(&self) {
-        if let Some(keeper) = &self.keeper {
-            keeper.notify_one();
+    pub(super) fn notify_maintainer(&self) {
+        if let Some(maintainer) = &self.maintainer {
+            maintainer.notify_one();
         }
     }
 
-    /// Adds a link. One that the same side made earlier was given up by it.
-    pub(super) fn add(&mut self, link: &Arc<Link>) {
+    /// Adds a link. Aborts earlier links dialled by the same side, which has abandoned them.
+    pub(super) fn add_link(&mut self, link: &Arc<Link>) {
         let earlier = self.links.iter().filter(|old| old.side == link.side);
         for old in earlier.filter(|old| old.is_open()) {
-            old.kill(Reason::Replaced);
+            old.abort(LinkEndReason::Replaced);
         }
         self.links.push(link.clone());
-        self.part();
+        self.close_surplus_links();
     }
 
-    /// Closes a superfluous link if it was made from here: only its maker does, and only once the
-    /// other side is known to use the better one.
-    pub(super) fn part(&self) {
-        let Some(best) = self.open_link().filter(|best| best.is_confirmed()) else {
+    /// Drains surplus links that this host dialled. Only the dialling side closes a surplus link, and
+    /// only once the other side is known to use the preferred one.
+    pub(super) fn close_surplus_links(&self) {
+        let Some(best) = self.preferred_link().filter(|best| best.is_confirmed()) else {
             return;
         };
         let surplus = |link: &&Arc<Link>| link.is_open() && !Arc::ptr_eq(link, best);
         for link in self.links.iter().filter(surplus) {
             if link.side == Side::Dialling {
-                link.say_goodbye("surplus");
+                link.start_draining("surplus");
             }
         }
     }
--- a/src/peer/channel.rs
+++ b/src/peer/channel.rs
@@ -1,4 +1,4 @@
-//! The state of one stream at one end, shared by the thread that uses it and by the link's task.
+//! The state of one end of a stream, shared by the thread that uses it and the link's task.
 
 mod body;
 
@@ -12,71 +12,71 @@
 use super::frame::{Credit, Frame};
 use super::lock;
 use super::stream::Reply;
-use body::{Receiving, Sending};
+use body::{IncomingBody, OutgoingBody};
 
-/// Bytes of a body that may wait for the link's task; a writer blocks above it.
-const SEND_BUFFER: usize = 64 << 10;
+/// Bytes of a body that may be buffered for the link's task. A writer blocks while the buffer is full.
+const SEND_BUFFER_BYTES: usize = 64 << 10;
 
-/// Which end of a stream this is.
+/// The role of this end in a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum End {
-    /// The end that opened it.
+pub(crate) enum Role {
+    /// This end opened the stream and sends the request.
     Caller,
-    /// The end that replies.
+    /// This end replies.
     Server,
 }
 
-/// Which queue a stream waits in.
+/// The queue in which a stream waits for its next turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Size {
-    /// Little was sent on it so far.
+pub(crate) enum SendQueue {
+    /// For streams on which few bytes were sent so far.
     Small,
-    /// A large body.
+    /// For streams with large bodies.
     Bulk,
 }
 
-/// What the link's task takes from a stream.
-pub(crate) struct Taken {
+/// A frame that the link's task takes from a stream.
+pub(crate) struct TakenFrame {
     /// The encoded frame.
     pub(crate) bytes: Bytes,
-    /// Whether and where the stream waits for its next turn.
-    pub(crate) again: Option<Size>,
-    /// Whether this is the open frame.
-    pub(crate) opens: bool,
-    /// Whether the stream has ended at this end.
-    pub(crate) ended: bool,
+    /// The queue for the stream's next turn, if it has more to send.
+    pub(crate) requeue: Option<SendQueue>,
+    /// Whether this frame opens the stream.
+    pub(crate) is_open_frame: bool,
+    /// Whether the reply is complete with this frame.
+    pub(crate) is_last: bool,
 }
 
-/// What a stream wants of the link after a call.
+/// Whether the link must queue a stream after a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Wish {
-    /// Nothing.
+pub(crate) enum TurnRequest {
+    /// The stream has nothing to send or is queued already.
     None,
-    /// A place in a queue.
-    Turn(Size),
+    /// The stream must be put into this queue.
+    Turn(SendQueue),
 }
 
-/// A frame that the peer may not send.
+/// The peer sent a frame that the stream's state does not permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Violation;
 
-/// What a frame meant for its stream.
+/// The state of a stream after a frame was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Arrival {
-    /// More may come.
-    More,
-    /// The stream has ended.
-    End,
-    /// The body's length is wrong: the stream has failed.
-    Wrong,
+pub(crate) enum Received {
+    /// The frame was accepted; more frames may follow.
+    Accepted,
+    /// The reply is complete, so the stream has ended.
+    Complete,
+    /// The body does not have its declared length, so the stream has failed.
+    WrongLength,
 }
 
-/// A place among the streams of one side of a link, held until the stream's memory is free.
+/// Counts one stream towards the limit of a link's side, until the stream's memory is freed.
 #[derive(Debug)]
 pub(crate) struct Permit(Arc<AtomicUsize>);
 
 impl Permit {
-    /// Takes a place if fewer than `limit` are taken.
+    /// Returns a permit if fewer than `limit` are in use.
     pub(crate) fn take(count: &Arc<AtomicUsize>, limit: usize) -> Option<Permit> {
         count
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |taken| {
@@ -93,16 +93,16 @@
     }
 }
 
-/// Bytes that the windows of all streams may take beyond their first size.
+/// Bytes by which the windows of all streams together may exceed their initial sizes.
 #[derive(Debug)]
-pub(crate) struct Pool(AtomicUsize);
+pub(crate) struct WindowPool(AtomicUsize);
 
-impl Pool {
-    pub(crate) fn new(bytes: usize) -> Pool {
-        Pool(AtomicUsize::new(bytes))
+impl WindowPool {
+    pub(crate) fn new(bytes: usize) -> WindowPool {
+        WindowPool(AtomicUsize::new(bytes))
     }
 
-    fn take(&self, bytes: usize) -> bool {
+    fn reserve(&self, bytes: usize) -> bool {
         self.0
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |free| {
                 free.checked_sub(bytes)
@@ -110,77 +110,78 @@
             .is_ok()
     }
 
-    fn give(&self, bytes: usize) {
+    fn release(&self, bytes: usize) {
         self.0.fetch_add(bytes, Ordering::Relaxed);
     }
 }
 
-/// Window sizes of the streams of a link.
+/// Flow control windows of the streams of a link, in bytes.
 #[derive(Clone, Debug)]
-pub(crate) struct Windows {
-    /// What the peer may send on a stream at first.
-    pub(crate) first: usize,
-    /// What it may send ahead once the stream is read from.
+pub(crate) struct WindowSizes {
+    /// What the peer may send on a stream before it is read from.
+    pub(crate) initial: usize,
+    /// What the peer may send ahead of the reader, once the stream is read from and the pool has room.
     pub(crate) full: usize,
-    /// What this end may send on a stream at first.
-    pub(crate) peer: u64,
-    /// Where the difference is taken from.
-    pub(crate) pool: Arc<Pool>,
+    /// What this end may send on a stream before the peer grants credit.
+    pub(crate) peer_initial: u64,
+    /// The pool that the difference between `full` and `initial` is reserved from.
+    pub(crate) pool: Arc<WindowPool>,
 }
 
-/// How much of what this end sends was handed over by its user.
+/// How much of its message (head and body) this end's user has queued so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Progress {
-    /// Not even a head.
-    None,
-    /// A head, and perhaps a part of the body.
-    Begun,
-    /// All of it.
-    Whole,
+pub(crate) enum SendProgress {
+    /// Nothing.
+    NotStarted,
+    /// The head, and perhaps a part of the body.
+    Started,
+    /// All of it, or the stream failed.
+    Complete,
 }
 
-type Hook = Box<dyn FnOnce() + Send>;
+type FailureHook = Box<dyn FnOnce() + Send>;
 
-/// One end of one stream.
+/// One end of a stream.
 pub(crate) struct Channel {
     /// The stream's number; 0 until its open frame is taken.
     number: AtomicU64,
-    pub(crate) end: End,
+    pub(crate) role: Role,
     _permit: Permit,
-    windows: Windows,
+    windows: WindowSizes,
     state: Mutex<State>,
     wake: Condvar,
 }
 
 struct State {
-    sending: Sending,
-    receiving: Receiving,
+    sending: OutgoingBody,
+    receiving: IncomingBody,
     reply: Option<Reply>,
     failure: Option<StreamError>,
-    queued: bool,
-    hook: Option<Hook>,
+    /// Whether the stream waits in a queue of the link.
+    is_queued: bool,
+    failure_hook: Option<FailureHook>,
 }
 
 impl Channel {
-    pub(crate) fn new(number: u64, end: End, permit: Permit, windows: Windows) -> Channel {
+    pub(crate) fn new(number: u64, role: Role, permit: Permit, windows: WindowSizes) -> Channel {
         let state = State {
-            sending: Sending {
-                credit: windows.peer,
-                ..Sending::default()
+            sending: OutgoingBody {
+                credit: windows.peer_initial,
+                ..OutgoingBody::default()
             },
-            receiving: Receiving {
-                granted: windows.first as u64,
-                window: windows.first,
-                ..Receiving::default()
+            receiving: IncomingBody {
+                granted_bytes: windows.initial as u64,
+                window: windows.initial,
+                ..IncomingBody::default()
             },
             reply: None,
             failure: None,
-            queued: false,
-            hook: None,
+            is_queued: false,
+            failure_hook: None,
         };
         Channel {
             number: AtomicU64::new(number),
-            end,
+            role,
             _permit: permit,
             windows,
             state: Mutex::new(state),
@@ -193,91 +194,95 @@
         self.number.load(Ordering::Acquire)
     }
 
-    /// Sets the open frame.
-    pub(crate) fn start(&self, open: Bytes, length: Option<u64>) -> Wish {
+    /// Queues the open frame.
+    pub(crate) fn queue_open(&self, open: Bytes, length: Option<u64>) -> TurnRequest {
         let mut state = lock(&self.state);
-        state.sending.first = Some(open);
-        state.sending.declared = length;
-        state.wish()
+        state.sending.first_frame = Some(open);
+        state.sending.declared_length = length;
+        state.request_turn()
     }
 
-    /// States the length of the body that is to come in.
-    pub(crate) fn expect(&self, length: Option<u64>) {
-        lock(&self.state).receiving.declared = length;
+    /// Sets the declared length of the incoming body.
+    pub(crate) fn set_expected_length(&self, length: Option<u64>) {
+        lock(&self.state).receiving.declared_length = length;
     }
 
     /// Queues the head of a reply.
-    pub(crate) fn put_head(&self, head: Bytes, length: Option<u64>) -> Result<Wish, StreamError> {
+    pub(crate) fn queue_head(
+        &self,
+        head: Bytes,
+        length: Option<u64>,
+    ) -> Result<TurnRequest, StreamError> {
         let mut state = lock(&self.state);
-        state.check()?;
-        if state.sending.begun || state.sending.first.is_some() {
-            return Err(StreamError::Order);
+        state.check_not_failed()?;
+        if state.sending.is_begun || state.sending.first_frame.is_some() {
+            return Err(StreamError::InvalidState);
         }
-        state.sending.first = Some(head);
-        state.sending.declared = length;
-        Ok(state.wish())
+        state.sending.first_frame = Some(head);
+        state.sending.declared_length = length;
+        Ok(state.request_turn())
     }
 
     /// Queues a frame that ends the stream in place of a reply.
-    pub(crate) fn put_last(&self, last: Bytes) -> Result<Wish, StreamError> {
+    pub(crate) fn queue_final_frame(&self, last: Bytes) -> Result<TurnRequest, StreamError> {
         let mut state = lock(&self.state);
-        state.check()?;
-        if state.sending.begun || state.sending.first.is_some() {
-            return Err(StreamError::Order);
+        state.check_not_failed()?;
+        if state.sending.is_begun || state.sending.first_frame.is_some() {
+            return Err(StreamError::InvalidState);
         }
-        state.sending.first = Some(last);
-        state.sending.only = true;
-        Ok(state.wish())
+        state.sending.first_frame = Some(last);
+        state.sending.is_only_frame = true;
+        Ok(state.request_turn())
     }
 
-    /// Takes bytes of the body; waits while too many are queued.
-    pub(crate) fn write(
+    /// Queues bytes of the body. Blocks while the send buffer is full.
+    pub(crate) fn write_body(
         &self,
         mut bytes: &[u8],
         deadline: Instant,
-        wish: impl Fn(Wish),
+        request_turn: impl Fn(TurnRequest),
     ) -> Result<(), StreamError> {
         while !bytes.is_empty() {
             let mut state = lock(&self.state);
             loop {
                 state.check_writable()?;
-                if state.sending.buffer.len() < SEND_BUFFER {
+                if state.sending.buffer.len() < SEND_BUFFER_BYTES {
                     break;
                 }
                 state = self.wait(state, deadline)?;
             }
-            let room = SEND_BUFFER - state.sending.buffer.len();
-            let (now, later) = bytes.split_at(room.min(bytes.len()));
-            state.sending.accept(now)?;
-            bytes = later;
-            let wanted = state.wish();
+            let room = SEND_BUFFER_BYTES - state.sending.buffer.len();
+            let (accepted, rest) = bytes.split_at(room.min(bytes.len()));
+            state.sending.push_bytes(accepted)?;
+            bytes = rest;
+            let turn_request = state.request_turn();
             drop(state);
-            wish(wanted);
+            request_turn(turn_request);
         }
         Ok(())
     }
 
     /// Marks the body as complete.
-    pub(crate) fn finish(&self) -> Result<Wish, StreamError> {
+    pub(crate) fn finish_body(&self) -> Result<TurnRequest, StreamError> {
         let mut state = lock(&self.state);
         match state.check_writable() {
-            Err(StreamError::Stopped) => return Ok(Wish::None),
+            Err(StreamError::Stopped) => return Ok(TurnRequest::None),
             checked => checked?,
         }
         let sending = &mut state.sending;
-        if let Some(declared) = sending.declared {
-            if sending.accepted != declared {
-                return Err(StreamError::Length {
+        if let Some(declared) = sending.declared_length {
+            if sending.accepted_bytes != declared {
+                return Err(StreamError::WrongLength {
                     declared,
-                    actual: sending.accepted,
+                    actual: sending.accepted_bytes,
                 });
             }
         }
-        sending.finished = true;
-        Ok(state.wish())
+        sending.is_finished = true;
+        Ok(state.request_turn())
     }
 
-    /// Waits for the reply's head.
+    /// Waits for the start of the reply: its head or the frame that replaces it.
     pub(crate) fn read_reply(&self, until: Instant) -> Result<Reply, StreamError> {
         let mut state = lock(&self.state);
         loop {
@@ -291,8 +296,8 @@
         }
     }
 
-    /// Reads from the body; 0 at its end. Returns the credit to grant, if any.
-    pub(crate) fn read(
+    /// Reads from the body. Returns the number of bytes, 0 at its end, and a credit frame to send, if any.
+    pub(crate) fn read_body(
         &self,
         buffer: &mut [u8],
         until: Instant,
@@ -300,18 +305,18 @@
         let mut state = lock(&self.state);
         loop {
             if state.receiving.buffered > 0 || buffer.is_empty() {
-                let count = state.receiving.take(buffer);
-                let credit = self.replenish(&mut state.receiving);
+                let count = state.receiving.read_into(buffer);
+                let credit = self.replenish_credit(&mut state.receiving);
                 return Ok((count, credit));
             }
-            if state.receiving.ended {
+            if state.receiving.is_ended {
                 return Ok((0, None));
             }
             if matches!(
                 state.reply,
                 Some(Reply::Refused { .. } | Reply::Unknown { .. })
             ) {
-                return Err(StreamError::Order);
+                return Err(StreamError::InvalidState);
             }
             if let Some(failure) = &state.failure {
                 return Err(failure.clone());
@@ -320,32 +325,33 @@
         }
     }
 
-    /// Grants credit once a good part of the window is free.
-    fn replenish(&self, receiving: &mut Receiving) -> Option<Frame> {
-        if receiving.ended || receiving.is_covered() {
+    /// Grants credit once at least a quarter of the window is free. The first grant enlarges the window if
+    /// the body may need it and the pool has room.
+    fn replenish_credit(&self, receiving: &mut IncomingBody) -> Option<Frame> {
+        if receiving.is_ended || receiving.is_covered() {
             return None;
         }
-        let extra = self.windows.full.saturating_sub(self.windows.first);
-        let is_first = receiving.window == self.windows.first;
-        if is_first && receiving.is_long() && extra > 0 && self.windows.pool.take(extra) {
+        let extra = self.windows.full.saturating_sub(self.windows.initial);
+        let is_first = receiving.window == self.windows.initial;
+        if is_first && receiving.is_long() && extra > 0 && self.windows.pool.reserve(extra) {
             receiving.window += extra;
         }
-        let used = receiving.granted + receiving.buffered as u64;
+        let used = receiving.granted_bytes + receiving.buffered as u64;
         let bytes = (receiving.window as u64).saturating_sub(used);
         if bytes < receiving.window as u64 / 4 {
             return None;
         }
-        receiving.granted += bytes;
+        receiving.granted_bytes += bytes;
         Some(Frame::Credit(Credit {
             stream: self.number(),
             bytes,
         }))
     }
 
-    /// Gives the stream up at this end. None if it had ended already.
+    /// Abandons the stream at this end. None if it had ended already.
     pub(crate) fn abandon(&self, failure: StreamError) -> Option<Dispatch> {
         let state = lock(&self.state);
-        if state.failure.is_some() || state.is_over(self.end) {
+        if state.failure.is_some() || state.is_complete(self.role) {
             return None;
         }
         let dispatch = state.dispatch();
@@ -358,16 +364,16 @@
         lock(&self.state).dispatch()
     }
 
-    /// How much of what this end sends was handed over.
-    pub(crate) fn progress(&self) -> Progress {
+    /// How much of its message this end's user has queued so far.
+    pub(crate) fn progress(&self) -> SendProgress {
         let state = lock(&self.state);
         let sending = &state.sending;
-        if sending.finished || sending.only || state.failure.is_some() {
-            return Progress::Whole;
+        if sending.is_finished || sending.is_only_frame || state.failure.is_some() {
+            return SendProgress::Complete;
         }
-        match sending.begun || sending.first.is_some() {
-            true => Progress::Begun,
-            false => Progress::None,
+        match sending.is_begun || sending.first_frame.is_some() {
+            true => SendProgress::Started,
+            false => SendProgress::NotStarted,
         }
     }
 
@@ -376,109 +382,111 @@
         lock(&self.state).failure.is_some()
     }
 
-    /// Calls a hook when the stream fails; at once if it has.
-    pub(crate) fn on_failure(&self, hook: Hook) {
+    /// Calls a hook when the stream fails; at once if it has failed already.
+    pub(crate) fn on_failure(&self, hook: FailureHook) {
         let mut state = lock(&self.state);
         if state.failure.is_none() {
-            state.hook = Some(hook);
+            state.failure_hook = Some(hook);
             return;
         }
         drop(state);
         hook();
     }
 
-    /// Takes the next frame to send, for the link's task. `next` is the number for a new stream.
-    pub(crate) fn take(&self, next: u64) -> Option<Taken> {
+    /// Takes the next frame to send, for the link's task. `next` becomes the number of a stream that has
+    /// none yet.
+    pub(crate) fn take_frame(&self, next: u64) -> Option<TakenFrame> {
         let mut state = lock(&self.state);
-        let opens = self.number() == 0;
-        let bytes = state.sending.next(self.number());
-        let again = state.again();
+        let is_open_frame = self.number() == 0;
+        let bytes = state.sending.next_frame(self.number());
+        let requeue = state.requeue();
         let Some(bytes) = bytes else {
-            debug_assert!(again.is_none());
+            debug_assert!(requeue.is_none());
             return None;
         };
-        if opens {
+        if is_open_frame {
             self.number.store(next, Ordering::Release);
         }
-        let ended = self.end == End::Server && state.sending.ended;
-        if state.sending.buffer.len() < SEND_BUFFER {
+        let is_last = self.role == Role::Server && state.sending.is_ended;
+        if state.sending.buffer.len() < SEND_BUFFER_BYTES {
             self.wake.notify_all();
         }
-        Some(Taken {
+        Some(TakenFrame {
             bytes,
-            again,
-            opens,
-            ended,
+            requeue,
+            is_open_frame,
+            is_last,
         })
     }
 
-    /// The peer granted credit.
-    pub(crate) fn on_credit(&self, bytes: u64) -> Wish {
+    /// Adds credit granted by the peer.
+    pub(crate) fn on_credit(&self, bytes: u64) -> TurnRequest {
         let mut state = lock(&self.state);
         state.sending.credit = state.sending.credit.saturating_add(bytes);
-        state.wish()
+        state.request_turn()
     }
 
-    /// Bytes of the body came in.
-    pub(crate) fn on_data(&self, bytes: Bytes, is_end: bool) -> Result<Arrival, Violation> {
+    /// Adds received bytes of the body.
+    pub(crate) fn on_data(&self, bytes: Bytes, is_end: bool) -> Result<Received, Violation> {
         let mut state = lock(&self.state);
-        let is_early = self.end == End::Caller && !matches!(state.reply, Some(Reply::Head { .. }));
+        let is_early =
+            self.role == Role::Caller && !matches!(state.reply, Some(Reply::Head { .. }));
         let receiving = &mut state.receiving;
-        if is_early || receiving.ended || bytes.len() as u64 > receiving.granted {
+        if is_early || receiving.is_ended || bytes.len() as u64 > receiving.granted_bytes {
             return Err(Violation);
         }
-        receiving.accept(bytes);
-        receiving.ended = is_end;
-        if let Some(error) = receiving.wrong_length() {
-            receiving.ended = false;
+        receiving.push_bytes(bytes);
+        receiving.is_ended = is_end;
+        if let Some(error) = receiving.length_error() {
+            receiving.is_ended = false;
             self.fail(state, error);
-            return Ok(Arrival::Wrong);
+            return Ok(Received::WrongLength);
         }
-        Ok(self.arrival(&mut state))
+        Ok(self.finish_receive(&mut state))
     }
 
-    /// A reply came in.
-    pub(crate) fn on_reply(&self, reply: Reply) -> Result<Arrival, Violation> {
+    /// Stores a received reply.
+    pub(crate) fn on_reply(&self, reply: Reply) -> Result<Received, Violation> {
         let mut state = lock(&self.state);
         if state.reply.is_some() {
             return Err(Violation);
         }
         if let Reply::Head { length, .. } = &reply {
-            state.receiving.declared = *length;
+            state.receiving.declared_length = *length;
         }
         state.reply = Some(reply);
-        Ok(self.arrival(&mut state))
+        Ok(self.finish_receive(&mut state))
     }
 
-    /// The other end gave the stream up, or the link ended.
-    pub(crate) fn on_cut(&self) {
+    /// Fails the stream, unless it is complete: the other end abandoned it or the link ended.
+    pub(crate) fn on_interrupted(&self) {
         let state = lock(&self.state);
-        if state.is_over(self.end) {
+        if state.is_complete(self.role) {
             return;
         }
-        let failure = match (self.end, &state.reply, state.dispatch()) {
-            (End::Server, ..) => StreamError::Cancelled,
-            (End::Caller, Some(_), _) => StreamError::Cut,
-            (End::Caller, None, Dispatch::Sent) => StreamError::Uncertain,
-            (End::Caller, None, Dispatch::NotSent) => StreamError::NotSent,
+        let failure = match (self.role, &state.reply, state.dispatch()) {
+            (Role::Server, ..) => StreamError::Cancelled,
+            (Role::Caller, Some(_), _) => StreamError::Truncated,
+            (Role::Caller, None, Dispatch::Sent) => StreamError::Uncertain,
+            (Role::Caller, None, Dispatch::NotSent) => StreamError::NotSent,
         };
         self.fail(state, failure);
     }
 
-    /// Tells the stream's user of an arrival. After a whole reply the rest of the request is dropped.
-    fn arrival(&self, state: &mut State) -> Arrival {
+    /// Wakes the stream's user. Discards the rest of the request if the reply is complete.
+    fn finish_receive(&self, state: &mut State) -> Received {
         self.wake.notify_all();
-        if self.end == End::Server || !state.is_reply_over() {
-            return Arrival::More;
+        if self.role == Role::Server || !state.is_reply_complete() {
+            return Received::Accepted;
         }
-        state.sending.stop();
-        Arrival::End
+        state.sending.discard();
+        Received::Complete
     }
 
     fn fail(&self, mut state: MutexGuard<'_, State>, failure: StreamError) {
-        state.sending.stop();
+        state.sending.discard();
         state.failure.get_or_insert(failure);
-        let hook = state.hook.take();
+        let hook = state.failure_hook.take();
         self.wake.notify_all();
         drop(state);
         if let Some(hook) = hook {
@@ -506,12 +514,12 @@
 impl Drop for Channel {
     fn drop(&mut self) {
         let window = lock(&self.state).receiving.window;
-        self.windows.pool.give(window - self.windows.first);
+        self.windows.pool.release(window - self.windows.initial);
     }
 }
 
 impl State {
-    fn check(&self) -> Result<(), StreamError> {
+    fn check_not_failed(&self) -> Result<(), StreamError> {
         match &self.failure {
             Some(failure) => Err(failure.clone()),
             None => Ok(()),
@@ -519,54 +527,54 @@
     }
 
     fn check_writable(&self) -> Result<(), StreamError> {
-        if self.is_reply_over() {
+        if self.is_reply_complete() {
             return Err(StreamError::Stopped);
         }
-        self.check()?;
-        if self.sending.finished || self.sending.only {
-            return Err(StreamError::Order);
+        self.check_not_failed()?;
+        if self.sending.is_finished || self.sending.is_only_frame {
+            return Err(StreamError::InvalidState);
         }
-        if !self.sending.begun && self.sending.first.is_none() {
-            return Err(StreamError::Order);
+        if !self.sending.is_begun && self.sending.first_frame.is_none() {
+            return Err(StreamError::InvalidState);
         }
         Ok(())
     }
 
-    /// Whether the whole reply is here.
-    fn is_reply_over(&self) -> bool {
+    /// Whether the whole reply was received.
+    fn is_reply_complete(&self) -> bool {
         match &self.reply {
             None => false,
-            Some(Reply::Head { .. }) => self.receiving.ended,
+            Some(Reply::Head { .. }) => self.receiving.is_ended,
             Some(_) => true,
         }
     }
 
-    fn is_over(&self, end: End) -> bool {
-        match end {
-            End::Caller => self.is_reply_over(),
-            End::Server => self.sending.ended,
+    fn is_complete(&self, role: Role) -> bool {
+        match role {
+            Role::Caller => self.is_reply_complete(),
+            Role::Server => self.sending.is_ended,
         }
     }
 
     fn dispatch(&self) -> Dispatch {
-        match self.sending.begun {
+        match self.sending.is_begun {
             true => Dispatch::Sent,
             false => Dispatch::NotSent,
         }
     }
 
-    /// Asks for a turn if there is something to send and none was asked for.
-    fn wish(&mut self) -> Wish {
-        if self.queued || !self.sending.is_ready() {
-            return Wish::None;
+    /// Requests a turn if there is something to send and the stream is not queued yet.
+    fn request_turn(&mut self) -> TurnRequest {
+        if self.is_queued || !self.sending.is_ready() {
+            return TurnRequest::None;
         }
-        self.queued = true;
-        Wish::Turn(self.sending.size())
+        self.is_queued = true;
+        TurnRequest::Turn(self.sending.send_queue())
     }
 
-    /// Whether to wait for another turn after this one.
-    fn again(&mut self) -> Option<Size> {
-        self.queued = self.sending.is_ready();
-        self.queued.then(|| self.sending.size())
+    /// The queue for another turn, if there is more to send.
+    fn requeue(&mut self) -> Option<SendQueue> {
+        self.is_queued = self.sending.is_ready();
+        self.is_queued.then(|| self.sending.send_queue())
     }
 }
--- a/src/peer/config.rs
+++ b/src/peer/config.rs
@@ -1,4 +1,4 @@
-//! What a mesh is told when it is made.
+//! The configuration of a mesh.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -13,7 +13,7 @@
     Bound(TcpListener),
 }
 
-/// Identity, limits and times of a mesh.
+/// Identity, limits and timeouts of a mesh.
 #[derive(Debug)]
 pub struct Config {
     /// The host's own name.
@@ -24,37 +24,39 @@
     pub zone: Arc<str>,
     /// The secret that all entry hosts share.
     pub secret: Arc<str>,
-    /// Where links are accepted.
+    /// The address or socket at which links are accepted.
     pub listen: Listen,
-    /// Threads of the runtime.
-    pub threads: usize,
-    /// Time to open a TCP connection.
-    pub connect: Duration,
-    /// Time for the whole handshake, upgrade included.
-    pub handshake: Duration,
-    /// Silence after which a link is given up. A side that has nothing to send sends a sign of life
-    /// after a third of it.
-    pub silence: Duration,
-    /// Time without streams or control messages after which a link that is not kept is closed.
-    pub idle: Duration,
-    /// Shortest and longest mean pause between two tries to connect.
+    /// Threads of the asynchronous runtime.
+    pub worker_threads: usize,
+    /// Time limit for opening a TCP connection.
+    pub connect_timeout: Duration,
+    /// Time limit for the whole handshake, including the WebSocket upgrade.
+    pub handshake_timeout: Duration,
+    /// Time without any received message after which a link ends. A side that has nothing to send sends a
+    /// pong after a third of it.
+    pub silence_timeout: Duration,
+    /// Time without streams or control messages after which a link that is not maintained permanently is
+    /// closed.
+    pub idle_timeout: Duration,
+    /// Shortest and longest mean pause between two connection attempts.
     pub backoff: (Duration, Duration),
     /// Connections that may be in their handshake at once.
-    pub pending: usize,
+    pub max_pending_handshakes: usize,
     /// Largest frame accepted, in bytes; it bounds the headers of a request or reply.
-    pub frame: usize,
+    pub max_frame_bytes: usize,
     /// Largest control message accepted, in bytes.
-    pub message: usize,
-    /// Bytes of control messages that may wait on a link.
-    pub backlog: usize,
+    pub max_message_bytes: usize,
+    /// Bytes of control messages that may be queued on a link.
+    pub max_backlog_bytes: usize,
     /// Streams that a peer may have open on one link.
-    pub streams: usize,
+    pub max_streams: usize,
     /// Bytes that a peer may send on a stream before anything is read from it.
-    pub window: usize,
-    /// Bytes that a peer may send ahead of the reader, once it reads and `buffer` has room.
+    pub initial_window: usize,
+    /// Bytes that a peer may send ahead of the reader, once the stream is read from and
+    /// `window_pool_bytes` has room.
     pub full_window: usize,
-    /// Bytes by which the windows of all streams together may exceed `window` each.
-    pub buffer: usize,
+    /// Bytes by which the windows of all streams together may exceed `initial_window` per stream.
+    pub window_pool_bytes: usize,
 }
 
 impl Config {
@@ -72,20 +74,20 @@
             zone: zone.into(),
             secret: secret.into(),
             listen,
-            threads: 2,
-            connect: Duration::from_millis(1000),
-            handshake: Duration::from_millis(2000),
-            silence: Duration::from_millis(1500),
-            idle: Duration::from_secs(30),
+            worker_threads: 2,
+            connect_timeout: Duration::from_millis(1000),
+            handshake_timeout: Duration::from_millis(2000),
+            silence_timeout: Duration::from_millis(1500),
+            idle_timeout: Duration::from_secs(30),
             backoff: (Duration::from_millis(100), Duration::from_secs(2)),
-            pending: 64,
-            frame: 64 << 10,
-            message: 4 << 20,
-            backlog: 16 << 20,
-            streams: 512,
-            window: 64 << 10,
+            max_pending_handshakes: 64,
+            max_frame_bytes: 64 << 10,
+            max_message_bytes: 4 << 20,
+            max_backlog_bytes: 16 << 20,
+            max_streams: 512,
+            initial_window: 64 << 10,
             full_window: 256 << 10,
-            buffer: 32 << 20,
+            window_pool_bytes: 32 << 20,
         }
     }
 }
--- a/src/peer/connect.rs
+++ b/src/peer/connect.rs
@@ -1,4 +1,4 @@
-//! Connecting, accepting and the handshake.
+//! Dialling and accepting links, and their handshake.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,79 +10,79 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::Semaphore;
 use tokio_tungstenite::tungstenite::protocol::WebSocketConfig;
-use tokio_tungstenite::tungstenite::{self, Message as Packet};
+use tokio_tungstenite::tungstenite::{self, Message as WsMessage};
 
 use super::auth::{self, Side, Transcript};
 use super::config::Listen;
-use super::count::Count;
+use super::count::Counter;
 use super::frame::{self, Decoded, Frame, Hello};
 use super::link::{self, Link, Socket};
 use super::mesh::Core;
 
-/// Unsent bytes that the system keeps for a socket; what is in there goes before later control frames.
-const UNSENT: u32 = 32 << 10;
+/// Bound on unsent bytes in a socket's kernel buffer. Later control frames queue behind these bytes.
+const MAX_UNSENT_BYTES: u32 = 32 << 10;
 
-/// Read and write buffer of a link.
-const BUFFER: usize = 32 << 10;
+/// Size of a link's read buffer, and of its write buffer.
+const WEBSOCKET_BUFFER_BYTES: usize = 32 << 10;
 
-/// Pause after `accept` failed, e.g. for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Pause after `accept` failed, e.g. because no file descriptor was free.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// A handshake did not lead to a link.
+/// Why a connection did not become a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub(crate) enum Failure {
+pub(crate) enum ConnectError {
     #[error("connection refused or lost")]
     Connection,
-    #[error("no answer in time")]
-    Slow,
-    #[error("not the frames expected")]
-    Handshake,
-    #[error("protocol version not spoken")]
-    Version,
-    #[error("another host")]
-    Host,
+    #[error("connection or handshake timed out")]
+    Timeout,
+    #[error("unexpected frame in the handshake")]
+    UnexpectedFrame,
+    #[error("unsupported protocol version")]
+    UnsupportedVersion,
+    #[error("wrong host name in the hello")]
+    WrongHost,
     #[error("wrong proof")]
-    Proof,
-    #[error("an older incarnation")]
-    Incarnation,
+    WrongProof,
+    #[error("a later incarnation of the host is linked")]
+    OutdatedIncarnation,
     #[error("the mesh is closing")]
     Closing,
 }
 
-impl Failure {
+impl ConnectError {
     fn count(self, core: &Core) {
-        self.counter(core).one();
+        self.counter(core).increment();
     }
 
-    fn counter(self, core: &Core) -> &Count {
-        let tally = &core.tally;
+    fn counter(self, core: &Core) -> &Counter {
+        let counters = &core.counters;
         match self {
-            Failure::Connection => &tally.connect_failed,
-            Failure::Slow => &tally.refused_slow,
-            Failure::Handshake => &tally.refused_handshake,
-            Failure::Version => &tally.refused_version,
-            Failure::Host => &tally.refused_host,
-            Failure::Proof => &tally.refused_proof,
-            Failure::Incarnation => &tally.refused_incarnation,
-            Failure::Closing => &tally.refused_closing,
+            ConnectError::Connection => &counters.connect_failed,
+            ConnectError::Timeout => &counters.refused_slow,
+            ConnectError::UnexpectedFrame => &counters.refused_handshake,
+            ConnectError::UnsupportedVersion => &counters.refused_version,
+            ConnectError::WrongHost => &counters.refused_host,
+            ConnectError::WrongProof => &counters.refused_proof,
+            ConnectError::OutdatedIncarnation => &counters.refused_incarnation,
+            ConnectError::Closing => &counters.refused_closing,
         }
     }
 }
 
-/// Accepts connections until the mesh closes.
-pub(crate) async fn accept_all(core: Arc<Core>, listener: TcpListener) {
-    let pending = Arc::new(Semaphore::new(core.config.pending));
+/// Accepts connections and starts a task for each, until the runtime stops.
+pub(crate) async fn accept_links(core: Arc<Core>, listener: TcpListener) {
+    let pending = Arc::new(Semaphore::new(core.config.max_pending_handshakes));
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
                 spdlog::warn!("peer: cannot accept: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 continue;
             }
         };
         let Ok(permit) = pending.clone().try_acquire_owned() else {
-            core.tally.refused_pending.one();
+            core.counters.refused_pending.increment();
             continue;
         };
         let core = core.clone();
@@ -90,7 +90,7 @@
             let accepted = accept(&core, stream).await;
             drop(permit);
             match accepted {
-                Ok((link, socket)) => serve(&core, &link, socket).await,
+                Ok((link, socket)) => run_link(&core, &link, socket).await,
                 Err(failure) => {
                     failure.count(&core);
                     spdlog::debug!("peer: refused a connection: {failure}");
@@ -100,21 +100,21 @@
     }
 }
 
-/// Connects to a host and starts the link's task.
+/// Connects to a host and starts the task that runs the link.
 pub(crate) async fn dial(
     core: &Arc<Core>,
     host: &Arc<str>,
     address: SocketAddr,
-) -> Result<(), Failure> {
+) -> Result<(), ConnectError> {
     let dialled = connect(core, host, address).await;
     let (link, socket) = dialled.inspect_err(|failure| failure.count(core))?;
     let core = core.clone();
-    tokio::spawn(async move { serve(&core, &link, socket).await });
+    tokio::spawn(async move { run_link(&core, &link, socket).await });
     Ok(())
 }
 
-/// Carries a link until it ends.
-async fn serve(core: &Arc<Core>, link: &Arc<Link>, socket: Socket) {
+/// Runs a link until it ends.
+async fn run_link(core: &Arc<Core>, link: &Arc<Link>, socket: Socket) {
     let reason = link.run(socket).await;
     core.on_ended(link, reason);
 }
@@ -123,20 +123,24 @@
     core: &Arc<Core>,
     host: &Arc<str>,
     address: SocketAddr,
-) -> Result<(Arc<Link>, Socket), Failure> {
-    let opening = open(&core.config.listen, address);
-    let connecting = tokio::time::timeout(core.config.connect, opening);
+) -> Result<(Arc<Link>, Socket), ConnectError> {
+    let opening = open_tcp(&core.config.listen, address);
+    let connecting = tokio::time::timeout(core.config.connect_timeout, opening);
     let stream = connecting
         .await
-        .map_err(|_| Failure::Slow)?
-        .map_err(|_| Failure::Connection)?;
-    let handshake = tokio::time::timeout(core.config.handshake, greet(core, host, stream));
-    let (link, socket) = handshake.await.map_err(|_| Failure::Slow)??;
-    register(core, link, socket)
+        .map_err(|_| ConnectError::Timeout)?
+        .map_err(|_| ConnectError::Connection)?;
+    let handshake = tokio::time::timeout(
+        core.config.handshake_timeout,
+        handshake_as_dialler(core, host, stream),
+    );
+    let (link, socket) = handshake.await.map_err(|_| ConnectError::Timeout)??;
+    register_link(core, link, socket)
 }
 
-/// Opens a connection, from the IP address that links are accepted at if that is a single one.
-async fn open(listen: &Listen, address: SocketAddr) -> std::io::Result<TcpStream> {
+/// Opens a TCP connection. Binds it to the listening IP address if that is a specific one of the same
+/// IP version as the target's.
+async fn open_tcp(listen: &Listen, address: SocketAddr) -> std::io::Result<TcpStream> {
     let Listen::Address(own) = listen else {
         return TcpStream::connect(address).await;
     };
@@ -151,76 +155,90 @@
     socket.connect(address).await
 }
 
-async fn accept(core: &Arc<Core>, stream: TcpStream) -> Result<(Arc<Link>, Socket), Failure> {
-    let handshake = tokio::time::timeout(core.config.handshake, answer(core, stream));
-    let (link, socket) = handshake.await.map_err(|_| Failure::Slow)??;
-    register(core, link, socket)
+async fn accept(core: &Arc<Core>, stream: TcpStream) -> Result<(Arc<Link>, Socket), ConnectError> {
+    let handshake = tokio::time::timeout(
+        core.config.handshake_timeout,
+        handshake_as_acceptor(core, stream),
+    );
+    let (link, socket) = handshake.await.map_err(|_| ConnectError::Timeout)??;
+    register_link(core, link, socket)
 }
 
-fn register(core: &Arc<Core>, link: Link, socket: Socket) -> Result<(Arc<Link>, Socket), Failure> {
+fn register_link(
+    core: &Arc<Core>,
+    link: Link,
+    socket: Socket,
+) -> Result<(Arc<Link>, Socket), ConnectError> {
     let link = Arc::new(link);
     core.on_linked(&link)?;
     Ok((link, socket))
 }
 
-/// The dialling side of the handshake.
-async fn greet(
+/// Performs the dialling side of the handshake.
+async fn handshake_as_dialler(
     core: &Arc<Core>,
     host: &Arc<str>,
     stream: TcpStream,
-) -> Result<(Link, Socket), Failure> {
-    tune(&stream).map_err(|_| Failure::Connection)?;
+) -> Result<(Link, Socket), ConnectError> {
+    set_socket_options(&stream).map_err(|_| ConnectError::Connection)?;
     let upgrade = tokio_tungstenite::client_async_with_config(
         "ws://peer.invalid/",
         stream,
-        Some(limits(core)),
+        Some(websocket_config(core)),
     );
-    let (mut socket, _) = upgrade.await.map_err(|error| refused(core, &error))?;
-    let own = hello(core, Some(host));
-    send(&mut socket, own.clone()).await?;
-    let (theirs, hello) = receive_hello(core, &mut socket).await?;
+    let (mut socket, _) = upgrade
+        .await
+        .map_err(|error| classify_error(core, &error))?;
+    let own_bytes = encode_hello(core, Some(host));
+    send_bytes(&mut socket, own_bytes.clone()).await?;
+    let (peer_bytes, hello) = receive_hello(core, &mut socket).await?;
     if hello.host != **host {
-        return Err(Failure::Host);
+        return Err(ConnectError::WrongHost);
     }
-    let transcript = Transcript::new(core.config.secret.clone(), &own, &theirs);
+    let transcript = Transcript::new(core.config.secret.clone(), &own_bytes, &peer_bytes);
     send_proof(&mut socket, &transcript, Side::Dialling).await?;
-    check_proof(core, &mut socket, &transcript, Side::Accepting).await?;
-    receive_welcome(core, &mut socket).await?;
+    verify_proof(core, &mut socket, &transcript, Side::Accepting).await?;
+    receive_first_pong(core, &mut socket).await?;
     Ok((Link::new(core.clone(), Side::Dialling, &hello), socket))
 }
 
-/// The accepting side of the handshake.
-async fn answer(core: &Arc<Core>, stream: TcpStream) -> Result<(Link, Socket), Failure> {
-    tune(&stream).map_err(|_| Failure::Connection)?;
-    let upgrade = tokio_tungstenite::accept_async_with_config(stream, Some(limits(core)));
-    let mut socket = upgrade.await.map_err(|error| refused(core, &error))?;
-    let (theirs, hello) = receive_hello(core, &mut socket).await?;
+/// Performs the accepting side of the handshake.
+async fn handshake_as_acceptor(
+    core: &Arc<Core>,
+    stream: TcpStream,
+) -> Result<(Link, Socket), ConnectError> {
+    set_socket_options(&stream).map_err(|_| ConnectError::Connection)?;
+    let upgrade = tokio_tungstenite::accept_async_with_config(stream, Some(websocket_config(core)));
+    let mut socket = upgrade
+        .await
+        .map_err(|error| classify_error(core, &error))?;
+    let (peer_bytes, hello) = receive_hello(core, &mut socket).await?;
     let is_for_us = hello.to.as_deref() == Some(&*core.config.host);
     if !is_for_us || hello.host == *core.config.host {
-        return Err(Failure::Host);
+        return Err(ConnectError::WrongHost);
     }
-    let own = self::hello(core, None);
-    send(&mut socket, own.clone()).await?;
-    let transcript = Transcript::new(core.config.secret.clone(), &theirs, &own);
-    check_proof(core, &mut socket, &transcript, Side::Dialling).await?;
+    let own_bytes = self::encode_hello(core, None);
+    send_bytes(&mut socket, own_bytes.clone()).await?;
+    let transcript = Transcript::new(core.config.secret.clone(), &peer_bytes, &own_bytes);
+    verify_proof(core, &mut socket, &transcript, Side::Dialling).await?;
     send_proof(&mut socket, &transcript, Side::Accepting).await?;
     Ok((Link::new(core.clone(), Side::Accepting, &hello), socket))
 }
 
-fn tune(stream: &TcpStream) -> std::io::Result<()> {
+fn set_socket_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
-    SockRef::from(stream).set_tcp_notsent_lowat(UNSENT)
+    SockRef::from(stream).set_tcp_notsent_lowat(MAX_UNSENT_BYTES)
 }
 
-fn limits(core: &Core) -> WebSocketConfig {
+fn websocket_config(core: &Core) -> WebSocketConfig {
     WebSocketConfig::default()
-        .read_buffer_size(BUFFER)
-        .write_buffer_size(BUFFER)
-        .max_message_size(Some(core.config.frame))
-        .max_frame_size(Some(core.config.frame))
+        .read_buffer_size(WEBSOCKET_BUFFER_BYTES)
+        .write_buffer_size(WEBSOCKET_BUFFER_BYTES)
+        .max_message_size(Some(core.config.max_frame_bytes))
+        .max_frame_size(Some(core.config.max_frame_bytes))
 }
 
-fn hello(core: &Core, to: Option<&Arc<str>>) -> Bytes {
+fn encode_hello(core: &Core, to: Option<&Arc<str>>) -> Bytes {
     let config = &core.config;
     frame::encode(&Frame::Hello(Hello {
         version: auth::VERSION,
@@ -229,99 +247,99 @@
         zone: config.zone.to_string(),
         to: to.map(|host| host.to_string()),
         nonce: auth::hex(&rand::random::<[u8; auth::NONCE_BYTES]>()),
-        window: config.window as u64,
-        frame: config.frame as u64,
+        window: config.initial_window as u64,
+        frame: config.max_frame_bytes as u64,
     }))
 }
 
-async fn send(socket: &mut Socket, bytes: Bytes) -> Result<(), Failure> {
+async fn send_bytes(socket: &mut Socket, bytes: Bytes) -> Result<(), ConnectError> {
     socket
-        .send(Packet::Binary(bytes))
+        .send(WsMessage::Binary(bytes))
         .await
-        .map_err(|_| Failure::Connection)
+        .map_err(|_| ConnectError::Connection)
 }
 
 async fn send_proof(
     socket: &mut Socket,
     transcript: &Transcript,
     side: Side,
-) -> Result<(), Failure> {
-    let mac = transcript.proof(side).ok_or(Failure::Proof)?;
-    send(socket, frame::encode(&Frame::Proof(frame::Proof { mac }))).await
+) -> Result<(), ConnectError> {
+    let mac = transcript.proof(side).ok_or(ConnectError::WrongProof)?;
+    send_bytes(socket, frame::encode(&Frame::Proof(frame::Proof { mac }))).await
 }
 
-/// The next binary message.
-async fn receive(core: &Core, socket: &mut Socket) -> Result<Bytes, Failure> {
+/// Receives the next binary message.
+async fn receive_bytes(core: &Core, socket: &mut Socket) -> Result<Bytes, ConnectError> {
     loop {
         match socket.next().await {
-            Some(Ok(Packet::Binary(bytes))) => return Ok(bytes),
-            Some(Ok(Packet::Ping(_) | Packet::Pong(_))) => {}
-            Some(Ok(Packet::Close(_))) | None => return Err(Failure::Connection),
-            Some(Ok(_)) => return Err(Failure::Handshake),
-            Some(Err(error)) => return Err(refused(core, &error)),
+            Some(Ok(WsMessage::Binary(bytes))) => return Ok(bytes),
+            Some(Ok(WsMessage::Ping(_) | WsMessage::Pong(_))) => {}
+            Some(Ok(WsMessage::Close(_))) | None => return Err(ConnectError::Connection),
+            Some(Ok(_)) => return Err(ConnectError::UnexpectedFrame),
+            Some(Err(error)) => return Err(classify_error(core, &error)),
         }
     }
 }
 
-async fn receive_hello(core: &Core, socket: &mut Socket) -> Result<(Bytes, Hello), Failure> {
-    let bytes = receive(core, socket).await?;
+async fn receive_hello(core: &Core, socket: &mut Socket) -> Result<(Bytes, Hello), ConnectError> {
+    let bytes = receive_bytes(core, socket).await?;
     let Ok(Decoded::Known(Frame::Hello(hello), _)) = frame::decode(&bytes) else {
-        return Err(Failure::Handshake);
+        return Err(ConnectError::UnexpectedFrame);
     };
     if hello.version < auth::OLDEST_VERSION {
-        return Err(Failure::Version);
+        return Err(ConnectError::UnsupportedVersion);
     }
     if hello.nonce.len() != 2 * auth::NONCE_BYTES {
-        return Err(Failure::Handshake);
+        return Err(ConnectError::UnexpectedFrame);
     }
     Ok((bytes, hello))
 }
 
-/// Waits for the first sign of life: until then the other side may still refuse the link, as it does
-/// while it closes.
-async fn receive_welcome(core: &Core, socket: &mut Socket) -> Result<(), Failure> {
+/// Waits for the first pong. Until then the other side may still refuse the link, e.g. because its mesh
+/// is closing.
+async fn receive_first_pong(core: &Core, socket: &mut Socket) -> Result<(), ConnectError> {
     match socket.next().await {
-        Some(Ok(Packet::Pong(_))) => Ok(()),
-        Some(Ok(Packet::Close(_))) | None => Err(Failure::Connection),
-        Some(Ok(_)) => Err(Failure::Handshake),
-        Some(Err(error)) => Err(refused(core, &error)),
+        Some(Ok(WsMessage::Pong(_))) => Ok(()),
+        Some(Ok(WsMessage::Close(_))) | None => Err(ConnectError::Connection),
+        Some(Ok(_)) => Err(ConnectError::UnexpectedFrame),
+        Some(Err(error)) => Err(classify_error(core, &error)),
     }
 }
 
-async fn check_proof(
+async fn verify_proof(
     core: &Core,
     socket: &mut Socket,
     transcript: &Transcript,
     side: Side,
-) -> Result<(), Failure> {
-    let bytes = receive(core, socket).await?;
+) -> Result<(), ConnectError> {
+    let bytes = receive_bytes(core, socket).await?;
     let Ok(Decoded::Known(Frame::Proof(proof), _)) = frame::decode(&bytes) else {
-        return Err(Failure::Handshake);
+        return Err(ConnectError::UnexpectedFrame);
     };
     match transcript.is_proven(side, &proof.mac) {
         true => Ok(()),
-        false => Err(Failure::Proof),
+        false => Err(ConnectError::WrongProof),
     }
 }
 
-/// How an error of the connection counts before it is authenticated.
-fn refused(core: &Core, error: &tungstenite::Error) -> Failure {
+/// Classifies and counts an error of a connection that is not authenticated yet.
+fn classify_error(core: &Core, error: &tungstenite::Error) -> ConnectError {
     match error {
         tungstenite::Error::Io(_)
         | tungstenite::Error::ConnectionClosed
         | tungstenite::Error::Protocol(
             tungstenite::error::ProtocolError::HandshakeIncomplete
             | tungstenite::error::ProtocolError::ResetWithoutClosingHandshake,
-        ) => Failure::Connection,
+        ) => ConnectError::Connection,
         error => {
-            link::count_broken(core, error);
-            Failure::Handshake
+            link::count_error(core, error);
+            ConnectError::UnexpectedFrame
         }
     }
 }
 
-/// Keeps a link with a host while one is wanted.
-pub(crate) async fn keep(core: Arc<Core>, host: Arc<str>) {
+/// Maintains a link with a host for as long as one is needed.
+pub(crate) async fn maintain_link(core: Arc<Core>, host: Arc<str>) {
     let (shortest, longest) = core.config.backoff;
     let mut backoff = shortest;
     loop {
@@ -329,7 +347,7 @@
             Step::Stop => return,
             Step::Wait(changed) => {
                 changed.notified().await;
-                core.spread(&host).await;
+                core.delay_reconnect(&host).await;
             }
             Step::Dial(address) => match dial(&core, &host, address).await {
                 Ok(()) => backoff = shortest,
@@ -345,17 +363,17 @@
     }
 }
 
-/// What the keeper of a link does next.
+/// The next step of the task that maintains a link.
 pub(crate) enum Step {
-    /// Nobody wants the link any more.
+    /// The link is no longer needed.
     Stop,
-    /// There is a link: wait for a change.
+    /// A link is open: wait for a change of its state.
     Wait(Arc<tokio::sync::Notify>),
-    /// Connect.
+    /// Connect to this address.
     Dial(SocketAddr),
 }
 
-/// A random time from a half to one and a half of the given one.
+/// A random duration from a half to one and a half of `mean`.
 pub(crate) fn jitter(mean: Duration) -> Duration {
     mean.mul_f64(0.5 + rand::random::<f64>())
 }
--- a/src/peer/count.rs
+++ b/src/peer/count.rs
@@ -1,65 +1,65 @@
-//! Counters of what a mesh accepted, refused and lost.
+//! Counters of a mesh: links, handshakes, streams, messages and errors.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Makes [`Counters`] and the atomics behind it from one list.
+/// Defines [`Counters`] and [`AtomicCounters`] from one list of names.
 macro_rules! counters {
     ($($(#[doc = $doc:literal])+ $name:ident,)+) => {
-        /// Counts since the mesh was made.
+        /// The counter values of a mesh since its creation.
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
         pub struct Counters {
             $($(#[doc = $doc])+ pub $name: u64,)+
         }
 
         impl Counters {
-            /// Names and values.
+            /// Iterates over the names and values.
             pub fn iter(&self) -> impl Iterator<Item = (&'static str, u64)> {
                 [$((stringify!($name), self.$name)),+].into_iter()
             }
         }
 
-        /// The counters while they are in use.
+        /// The live counters of a mesh.
         #[derive(Debug, Default)]
-        pub(crate) struct Tally {
-            $(pub(crate) $name: Count,)+
+        pub(crate) struct AtomicCounters {
+            $(pub(crate) $name: Counter,)+
         }
 
-        impl Tally {
-            pub(crate) fn counters(&self) -> Counters {
+        impl AtomicCounters {
+            pub(crate) fn snapshot(&self) -> Counters {
                 Counters { $($name: self.$name.0.load(Ordering::Relaxed),)+ }
             }
         }
     };
 }
 
-/// One counter.
+/// A counter that may be incremented from any thread.
 #[derive(Debug, Default)]
-pub(crate) struct Count(AtomicU64);
+pub(crate) struct Counter(AtomicU64);
 
-impl Count {
+impl Counter {
     pub(crate) fn add(&self, count: u64) {
         self.0.fetch_add(count, Ordering::Relaxed);
     }
 
-    pub(crate) fn one(&self) {
+    pub(crate) fn increment(&self) {
         self.add(1);
     }
 }
 
 counters! {
-    /// Links that were authenticated, both directions.
+    /// Links that were authenticated, in either direction.
     links,
-    /// Tries to connect that failed.
+    /// Connection attempts that failed.
     connect_failed,
     /// Connections closed at once because too many were in their handshake.
     refused_pending,
-    /// Handshakes that were not WebSocket or not the frames expected.
+    /// Handshakes that were not WebSocket or had unexpected frames.
     refused_handshake,
-    /// Handshakes that took too long.
+    /// Handshakes that timed out.
     refused_slow,
-    /// Handshakes with a protocol version that is not spoken here.
+    /// Handshakes with an unsupported protocol version.
     refused_version,
-    /// Handshakes of or for another host than expected.
+    /// Handshakes from or for another host than expected.
     refused_host,
     /// Handshakes with a wrong proof: another secret, or a replay.
     refused_proof,
@@ -71,15 +71,15 @@
     oversize,
     /// Frames that could not be decoded.
     malformed,
-    /// Frames and messages of a kind that is not known here; they are ignored.
+    /// Frames and messages of an unknown kind; they are ignored.
     unknown_kind,
     /// Frames for a stream that was never opened.
     unknown_stream,
-    /// Frames that a peer may not send: out of turn, or beyond its credit.
+    /// Frames that violate the protocol: out of order, or beyond the credit granted.
     violation,
     /// Frames for streams that had ended.
     late,
-    /// Links that were silent too long.
+    /// Links that ended because nothing was received within the silence timeout.
     silent,
     /// Links lost by an error of the connection.
     lost,
@@ -89,15 +89,15 @@
     streams_in,
     /// Streams refused because the peer had too many.
     streams_refused,
-    /// Bodies whose length was not the declared one.
+    /// Bodies that did not have their declared length.
     wrong_length,
-    /// Control messages not sent because too many were waiting.
+    /// Control messages not sent because too many bytes were queued.
     messages_dropped,
     /// Control messages sent.
     messages_out,
     /// Control messages received.
     messages_in,
-    /// Bytes of control messages and signs of life sent, with WebSocket headers, without TCP/IP.
+    /// Bytes of control messages and pongs sent, with WebSocket headers, without TCP/IP headers.
     control_bytes_out,
     /// Bytes of frames received.
     bytes_in,
--- a/src/peer/error.rs
+++ b/src/peer/error.rs
@@ -1,15 +1,15 @@
-//! What can go wrong on links and streams.
+//! Errors of links and streams.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A mesh could not be made.
+/// A mesh could not be created.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The runtime could not be started.
     #[error("peer: cannot start the runtime: {0}")]
     Runtime(std::io::Error),
-    /// The listening socket could not be had.
+    /// The listening socket could not be opened.
     #[error("peer: cannot listen: {0}")]
     Listen(std::io::Error),
 }
@@ -17,21 +17,21 @@
 /// A stream could not be opened. In every case the request did not run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OpenError {
-    /// The host's address is not known.
-    #[error("no address of {0}")]
-    Host(Arc<str>),
+    /// The host's address is unknown.
+    #[error("the address of {0} is unknown")]
+    UnknownHost(Arc<str>),
     /// The host could not be connected to.
     #[error("{0} is unreachable")]
     Unreachable(Arc<str>),
-    /// No link came up in time.
-    #[error("no link to {0} in time")]
+    /// No link was established in time.
+    #[error("no link with {0} was established in time")]
     Timeout(Arc<str>),
-    /// The request's head does not fit a frame.
-    #[error("a head of {0} bytes does not fit a frame")]
+    /// The request's head exceeds the largest frame that the peer accepts.
+    #[error("the request head of {0} bytes exceeds the frame limit of the peer")]
     Oversize(usize),
-    /// The link carries as many streams as it may.
-    #[error("too many streams")]
-    Streams,
+    /// The link has reached its limit of open streams.
+    #[error("the link has reached its limit of open streams")]
+    StreamLimit,
     /// The mesh is closing.
     #[error("the mesh is closing")]
     Closing,
@@ -40,82 +40,83 @@
 /// A control message could not be sent.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SendError {
-    /// There is no link.
-    #[error("no link to {0}")]
-    Unlinked(Arc<str>),
-    /// Too many bytes wait already.
-    #[error("too many messages wait for {0}")]
-    Full(Arc<str>),
-    /// The message is larger than peers accept.
-    #[error("a message of {0} bytes is too large")]
+    /// The host is not linked.
+    #[error("no link with {0}")]
+    NotLinked(Arc<str>),
+    /// Too many bytes of messages are queued already.
+    #[error("too many bytes of messages are queued for {0}")]
+    BacklogFull(Arc<str>),
+    /// The message exceeds the size limit.
+    #[error("the message of {0} bytes exceeds the size limit")]
     Oversize(usize),
 }
 
 /// Whether a request may have reached the other host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Dispatch {
-    /// No byte of it was given to the connection: it did not run.
+    /// No byte of it was passed to the connection, so it did not run.
     NotSent,
-    /// It was given to the connection: it may have run.
+    /// It was passed to the connection, so it may have run.
     Sent,
 }
 
 /// A stream failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StreamError {
-    /// The link ended before the request was given to it: the request did not run.
-    #[error("not sent")]
+    /// The link ended before the request was sent, so the request did not run.
+    #[error("the request was not sent")]
     NotSent,
-    /// The link ended, or the other host gave up, before the reply began: the request may have run.
+    /// The link ended, or the other host abandoned the stream, before the reply started. The request may
+    /// have run.
     #[error("no reply, and the request may have run")]
     Uncertain,
-    /// The link ended, or the other host gave up, within the reply.
-    #[error("the reply was cut")]
-    Cut,
-    /// The caller gave the request up.
-    #[error("cancelled")]
+    /// The link ended, or the other host abandoned the stream, within the reply.
+    #[error("the reply was truncated")]
+    Truncated,
+    /// The caller cancelled the request, or the link to the caller ended.
+    #[error("the request was cancelled")]
     Cancelled,
-    /// The time given to this step passed; the stream is still open.
+    /// The timeout of this call expired; the stream is still open.
     #[error("timed out")]
     Timeout,
     /// The request's deadline passed; the stream is cancelled.
     #[error("the deadline passed")]
     Deadline,
-    /// A body is not as long as was declared; the stream is given up.
-    #[error("{actual} bytes of a body of {declared}")]
-    Length {
-        /// The length declared.
+    /// A body does not have its declared length; the stream is abandoned.
+    #[error("the body has {actual} bytes instead of the declared {declared}")]
+    WrongLength {
+        /// The declared length in bytes.
         declared: u64,
-        /// The length seen so far.
+        /// The bytes of the body so far.
         actual: u64,
     },
-    /// The reply is complete, so the rest of the request's body is not wanted.
-    #[error("the rest of the body is not wanted")]
+    /// The reply is complete, so the rest of the request's body is not sent.
+    #[error("the reply is complete, the rest of the request body is not sent")]
     Stopped,
-    /// The reply's head does not fit a frame.
-    #[error("a head of {0} bytes does not fit a frame")]
+    /// The reply's head exceeds the largest frame that the peer accepts.
+    #[error("the reply head of {0} bytes exceeds the frame limit of the peer")]
     Oversize(usize),
-    /// The calls on the stream came in a wrong order.
-    #[error("the stream is not in a state for this")]
-    Order,
+    /// The stream's state does not permit this call, e.g. a second head.
+    #[error("the state of the stream does not permit this call")]
+    InvalidState,
 }
 
 /// Why a host is no longer linked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum LinkEndReason {
     /// Either side closed the link in an orderly way.
     Goodbye,
-    /// Nothing was heard for too long.
+    /// Nothing was received within the silence timeout.
     Silent,
     /// The connection failed or was closed without a goodbye.
     Lost,
-    /// The peer sent what it may not send.
+    /// The peer violated the protocol.
     Fault,
-    /// A later link or incarnation took its place.
+    /// A later link or incarnation replaced it.
     Replaced,
     /// The mesh was closed.
     Closed,
 }
 
-/// How long a caller should wait when a peer refuses a stream for want of room.
-pub(crate) const ROOM_RETRY: Duration = Duration::from_millis(1000);
+/// Retry delay sent with the refusal of a stream beyond the limit of open streams.
+pub(crate) const STREAM_LIMIT_RETRY_AFTER: Duration = Duration::from_millis(1000);
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -1,4 +1,4 @@
-//! Frames as bytes.
+//! Encoding and decoding of frames.
 //!
 //! The types are generated from `schema/frame.json`. JSON Schema has no byte strings, so the bytes of a
 //! body are not a field: they follow the frame as a second CBOR item in the same message.
@@ -11,41 +11,42 @@
 pub use crate::border::frame::*;
 
 /// Most bytes of a body, or of a large control message, in one frame.
-pub const CHUNK: usize = 16 << 10;
+pub const MAX_CHUNK_BYTES: usize = 16 << 10;
 
-/// Room for the encoding of a frame around the bytes it carries.
-const OVERHEAD: usize = 64;
+/// Initial buffer capacity, in bytes, for the encoding of a frame without the bytes that follow it.
+const FRAME_OVERHEAD_BYTES: usize = 64;
 
-/// What a message held.
+/// A decoded frame or control message.
 #[derive(Clone, Debug)]
 pub enum Decoded<T> {
     /// A frame and the bytes that follow it.
     Known(T, Bytes),
-    /// Well-formed, but of a kind that is not known here.
+    /// Well-formed, but of a kind that this version does not support.
     Unknown,
 }
 
-/// A message that holds no frame.
+/// The bytes are not a valid frame or control message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("malformed frame")]
 pub struct Malformed;
 
 /// Encodes a frame or a control message.
 pub fn encode<T: Serialize>(item: &T) -> Bytes {
-    let mut buffer = Vec::with_capacity(OVERHEAD);
+    let mut buffer = Vec::with_capacity(FRAME_OVERHEAD_BYTES);
     write(item, &mut buffer);
     buffer.into()
 }
 
 /// Encodes a frame that is followed by bytes.
 pub fn encode_with(frame: &Frame, bytes: &Bytes) -> Bytes {
-    let mut buffer = Vec::with_capacity(OVERHEAD + bytes.len());
+    let mut buffer = Vec::with_capacity(FRAME_OVERHEAD_BYTES + bytes.len());
     write(frame, &mut buffer);
     write(bytes, &mut buffer);
     buffer.into()
 }
 
-/// Writing to memory does not fail, and the generated types hold nothing that CBOR cannot.
+/// Appends an item as CBOR. Cannot fail: writes to memory succeed, and CBOR can represent all of the
+/// generated types.
 fn write<T: Serialize>(item: &T, buffer: &mut Vec<u8>) {
     let written = ciborium::into_writer(item, buffer);
     debug_assert!(written.is_ok());
@@ -70,7 +71,7 @@
     Ok(Decoded::Known(frame, bytes))
 }
 
-/// Decodes a control message that came in parts.
+/// Decodes a control message that was received in parts.
 pub fn decode_message(bytes: &[u8]) -> Result<Decoded<Message>, Malformed> {
     match ciborium::from_reader::<Message, _>(bytes) {
         Ok(message) => Ok(Decoded::Known(message, Bytes::new())),
@@ -78,14 +79,14 @@
     }
 }
 
-/// Tells a frame of unknown kind, which a newer version may send, from garbage.
+/// Distinguishes a frame of unknown kind, which a newer version may send, from a malformed one.
 fn classify(bytes: &[u8]) -> Result<Decoded<Frame>, Malformed> {
     let value: ciborium::Value = ciborium::from_reader(bytes).map_err(|_| Malformed)?;
-    let (kind, content) = tagged(&value).ok_or(Malformed)?;
+    let (kind, content) = single_entry(&value).ok_or(Malformed)?;
     if is_unknown::<Frame>(kind) {
         return Ok(Decoded::Unknown);
     }
-    match tagged(content) {
+    match single_entry(content) {
         Some((inner, _)) if kind == "message" && is_unknown::<Message>(inner) => {
             Ok(Decoded::Unknown)
         }
@@ -93,17 +94,17 @@
     }
 }
 
-/// The same for a control message.
+/// Distinguishes a control message of unknown kind from a malformed one.
 fn classify_message(bytes: &[u8]) -> Result<Decoded<Message>, Malformed> {
     let value: ciborium::Value = ciborium::from_reader(bytes).map_err(|_| Malformed)?;
-    match tagged(&value) {
+    match single_entry(&value) {
         Some((kind, _)) if is_unknown::<Message>(kind) => Ok(Decoded::Unknown),
         _ => Err(Malformed),
     }
 }
 
-/// The only key of a map and its value.
-fn tagged(value: &ciborium::Value) -> Option<(&str, &ciborium::Value)> {
+/// The key and value of a map with a single entry, which is how an enum is encoded.
+fn single_entry(value: &ciborium::Value) -> Option<(&str, &ciborium::Value)> {
     match value.as_map()?.as_slice() {
         [(key, content)] => Some((key.as_text()?, content)),
         _ => None,
@@ -111,26 +112,26 @@
 }
 
 fn is_unknown<'de, T: Deserialize<'de>>(kind: &'de str) -> bool {
-    let name: StrDeserializer<'de, Probe> = kind.into_deserializer();
-    matches!(T::deserialize(name), Err(Probe::Unknown))
+    let name: StrDeserializer<'de, KindError> = kind.into_deserializer();
+    matches!(T::deserialize(name), Err(KindError::Unknown))
 }
 
-/// Why a bare kind does not make an enum: it never does, but only an unknown one is
-/// reported as such.
+/// The error of deserializing an enum from the name of a kind alone. That always fails, but only an
+/// unknown kind yields [`KindError::Unknown`].
 #[derive(Debug, thiserror::Error)]
-enum Probe {
+enum KindError {
     #[error("unknown kind")]
     Unknown,
     #[error("known kind")]
     Known,
 }
 
-impl serde::de::Error for Probe {
-    fn custom<T: std::fmt::Display>(_: T) -> Probe {
-        Probe::Known
+impl serde::de::Error for KindError {
+    fn custom<T: std::fmt::Display>(_: T) -> KindError {
+        KindError::Known
     }
 
-    fn unknown_variant(_: &str, _: &'static [&'static str]) -> Probe {
-        Probe::Unknown
+    fn unknown_variant(_: &str, _: &'static [&'static str]) -> KindError {
+        KindError::Unknown
     }
 }
--- a/src/peer/mesh.rs
+++ b/src/peer/mesh.rs
@@ -1,4 +1,4 @@
-//! The links of one host, and what comes over them.
+//! The mesh: all links of one host, and the events that they cause.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -8,105 +8,106 @@
 use tokio::runtime::{Builder, Handle, Runtime};
 use tokio::sync::Notify;
 
-use super::book::{Book, Peer};
-use super::channel::Pool;
+use super::book::{Peer, PeerTable};
+use super::channel::WindowPool;
 use super::config::{Config, Listen};
-use super::connect::{self, Failure, Step};
-use super::count::{Counters, Tally};
-use super::error::{Error, OpenError, Reason, SendError};
-use super::frame::{self, Frame, Message, CHUNK};
+use super::connect::{self, ConnectError, Step};
+use super::count::{AtomicCounters, Counters};
+use super::error::{Error, LinkEndReason, OpenError, SendError};
+use super::frame::{self, Frame, Message, MAX_CHUNK_BYTES};
 use super::link::Link;
 use super::lock;
 use super::stream::{Incoming, Open, Stream};
 
-/// Time for the links' tasks to end when a mesh is dropped.
-const SHUTDOWN: Duration = Duration::from_secs(1);
+/// Time limit for the link tasks to end when a mesh is dropped.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a mesh reports. It does so on its own threads, which must not be blocked.
+/// An event that a mesh passes to its handler. The handler runs on threads of the mesh and must not
+/// block.
 pub enum Event {
-    /// A host is linked.
+    /// The first link with a host was established.
     Up {
-        /// The host.
+        /// The name of the host.
         host: Arc<str>,
         /// Its incarnation.
         incarnation: u64,
         /// Its availability zone.
         zone: Arc<str>,
     },
-    /// A host is no longer linked.
+    /// The last link with a host ended.
     Down {
-        /// The host.
+        /// The name of the host.
         host: Arc<str>,
         /// The incarnation that was linked.
         incarnation: u64,
-        /// Why.
-        reason: Reason,
+        /// Why the link ended.
+        reason: LinkEndReason,
     },
-    /// A control message came in.
+    /// A control message was received.
     Control {
-        /// Its sender.
+        /// The name of the sender.
         host: Arc<str>,
         /// The sender's incarnation.
         incarnation: u64,
-        /// What it says.
+        /// The decoded message.
         message: Message,
     },
-    /// A host relays a request.
+    /// Another host relays a request to this one.
     Open(Incoming),
 }
 
-type Events = Box<dyn Fn(Event) + Send + Sync>;
+type EventHandler = Box<dyn Fn(Event) + Send + Sync>;
 
-/// The links of one host.
+/// The links of one host with other hosts.
 pub struct Mesh {
     core: Arc<Core>,
     address: SocketAddr,
     runtime: Option<Runtime>,
 }
 
-/// What the mesh, its tasks and its streams share.
+/// State shared by the mesh, its tasks and its streams.
 pub(crate) struct Core {
     pub(crate) config: Config,
-    pub(crate) tally: Tally,
-    pub(crate) events: Events,
-    pub(crate) pool: Arc<Pool>,
+    pub(crate) counters: AtomicCounters,
+    pub(crate) event_handler: EventHandler,
+    pub(crate) pool: Arc<WindowPool>,
     handle: Handle,
-    book: Mutex<Book>,
+    table: Mutex<PeerTable>,
     changed: Condvar,
-    reports: Mutex<VecDeque<Event>>,
-    reporting: Mutex<()>,
+    pending_events: Mutex<VecDeque<Event>>,
+    delivery: Mutex<()>,
 }
 
 impl Mesh {
-    /// Listens, and reports what happens to `events`.
+    /// Starts to accept links and passes every event to `on_event`.
     pub fn new(
         mut config: Config,
-        events: impl Fn(Event) + Send + Sync + 'static,
+        on_event: impl Fn(Event) + Send + Sync + 'static,
     ) -> Result<Mesh, Error> {
         let listener = listen(&mut config).map_err(Error::Listen)?;
         let address = listener.local_addr().map_err(Error::Listen)?;
         let runtime = Builder::new_multi_thread()
-            .worker_threads(config.threads)
+            .worker_threads(config.worker_threads)
             .thread_name("peer")
             .enable_all()
             .build()
             .map_err(Error::Runtime)?;
         let core = Arc::new(Core {
-            pool: Arc::new(Pool::new(config.buffer)),
+            pool: Arc::new(WindowPool::new(config.window_pool_bytes)),
             config,
-            tally: Tally::default(),
-            events: Box::new(events),
+            counters: AtomicCounters::default(),
+            event_handler: Box::new(on_event),
             handle: runtime.handle().clone(),
-            book: Mutex::default(),
+            table: Mutex::default(),
             changed: Condvar::new(),
-            reports: Mutex::default(),
-            reporting: Mutex::default(),
+            pending_events: Mutex::default(),
+            delivery: Mutex::default(),
         });
         let listener = {
             let _context = runtime.enter();
             tokio::net::TcpListener::from_std(listener).map_err(Error::Listen)?
         };
-        runtime.spawn(connect::accept_all(core.clone(), listener));
+        runtime.spawn(connect::accept_links(core.clone(), listener));
         Ok(Mesh {
             core,
             address,
@@ -114,31 +115,31 @@
         })
     }
 
-    /// Where links are accepted.
+    /// The address at which links are accepted.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets the hosts to keep links with. Links with others are closed once they are idle.
+    /// Sets the hosts with which links are maintained. Links with all other hosts are closed once idle.
     pub fn set_peers(&self, mut peers: BTreeMap<Arc<str>, SocketAddr>) {
         peers.remove(&self.core.config.host);
-        let mut book = lock(&self.core.book);
+        let mut table = lock(&self.core.table);
         let added: Vec<Arc<str>> = peers.keys().cloned().collect();
-        book.kept = peers;
+        table.persistent = peers;
         for host in added {
-            self.core.want(&mut book, &host);
+            self.core.ensure_maintainer(&mut table, &host);
         }
-        self.core.notify_keepers(&book);
+        self.core.notify_maintainers(&table);
     }
 
     /// Sets the addresses of hosts that [`Mesh::open`] may link on demand.
     pub fn set_directory(&self, hosts: BTreeMap<Arc<str>, SocketAddr>) {
-        lock(&self.core.book).directory = hosts;
+        lock(&self.core.table).directory = hosts;
     }
 
-    /// The hosts that are linked, with their incarnations.
+    /// The names and incarnations of the linked hosts.
     pub fn linked(&self) -> BTreeMap<Arc<str>, u64> {
-        lock(&self.core.book)
+        lock(&self.core.table)
             .peers
             .iter()
             .filter_map(|(host, peer)| Some((host.clone(), peer.links.first()?.incarnation)))
@@ -147,32 +148,32 @@
 
     /// Sends a control message over the link with a host.
     pub fn send(&self, host: &str, message: &Message) -> Result<(), SendError> {
-        let packet = Packet::new(message, self.core.config.message)?;
-        self.core.send(host, &packet)
+        let encoded = EncodedMessage::new(message, self.core.config.max_message_bytes)?;
+        self.core.send(host, &encoded)
     }
 
-    /// Sends a control message to many hosts; it is encoded once. Returns to how many.
+    /// Encodes a control message once and queues it for several hosts. Returns for how many it was queued.
     pub fn broadcast<'a>(
         &self,
         hosts: impl IntoIterator<Item = &'a str>,
         message: &Message,
     ) -> Result<usize, SendError> {
-        let packet = Packet::new(message, self.core.config.message)?;
+        let encoded = EncodedMessage::new(message, self.core.config.max_message_bytes)?;
         let sent = hosts
             .into_iter()
-            .filter(|host| self.core.send(host, &packet).is_ok())
+            .filter(|host| self.core.send(host, &encoded).is_ok())
             .count();
         Ok(sent)
     }
 
-    /// Opens a stream that relays a request; links the host within `timeout` if need be.
+    /// Opens a stream that relays a request. Without a link, waits up to `timeout` for one.
     ///
-    /// It returns once the request is queued. The stream's own errors tell whether it was sent.
+    /// Returns once the request is queued. The errors of the stream state whether it was sent.
     pub fn open(&self, host: &str, open: &Open, timeout: Duration) -> Result<Stream, OpenError> {
         let start = Instant::now();
         let until = start + timeout.min(open.deadline);
         loop {
-            let link = self.core.link(host, until)?;
+            let link = self.core.acquire_link(host, until)?;
             let left = open.deadline.saturating_sub(start.elapsed());
             if let Some(opened) = link.open(open, left) {
                 return opened;
@@ -180,100 +181,104 @@
         }
     }
 
-    /// What was counted so far.
+    /// The current values of the counters.
     pub fn counters(&self) -> Counters {
-        self.core.tally.counters()
+        self.core.counters.snapshot()
     }
 
-    /// Says goodbye on all links, lets streams finish for the given time, then ends them.
-    pub fn close(mut self, within: Duration) {
-        let until = Instant::now() + within;
-        let mut book = lock(&self.core.book);
-        book.closing = true;
-        for link in book.links() {
-            link.say_goodbye("close");
+    /// Sends a goodbye on all links, waits up to `timeout` for the open streams, then ends the links.
+    pub fn close(mut self, timeout: Duration) {
+        let until = Instant::now() + timeout;
+        let mut table = lock(&self.core.table);
+        table.is_closing = true;
+        for link in table.links() {
+            link.start_draining("close");
         }
-        while book.links().next().is_some() && Instant::now() < until {
+        while table.links().next().is_some() && Instant::now() < until {
             let left = until.saturating_duration_since(Instant::now());
-            book = self.core.wait(book, left);
+            table = self.core.wait_for_change(table, left);
         }
-        drop(book);
-        self.shut();
+        drop(table);
+        self.shut_down();
     }
 
-    /// Ends the links, so that every stream gets its end, then the runtime.
-    fn shut(&mut self) {
+    /// Aborts the links, which fails their streams, then stops the runtime.
+    fn shut_down(&mut self) {
         let Some(runtime) = self.runtime.take() else {
             return;
         };
-        let until = Instant::now() + SHUTDOWN;
-        let mut book = lock(&self.core.book);
-        book.closing = true;
-        for link in book.links() {
-            link.kill(Reason::Closed);
+        let until = Instant::now() + SHUTDOWN_TIMEOUT;
+        let mut table = lock(&self.core.table);
+        table.is_closing = true;
+        for link in table.links() {
+            link.abort(LinkEndReason::Closed);
         }
         self.core.changed.notify_all();
-        while book.links().next().is_some() && Instant::now() < until {
+        while table.links().next().is_some() && Instant::now() < until {
             let left = until.saturating_duration_since(Instant::now());
-            book = self.core.wait(book, left);
+            table = self.core.wait_for_change(table, left);
         }
-        drop(book);
+        drop(table);
         runtime.shutdown_background();
     }
 }
 
 impl Drop for Mesh {
     fn drop(&mut self) {
-        self.shut();
+        self.shut_down();
     }
 }
 
-/// A control message, encoded.
-struct Packet {
+/// An encoded control message.
+struct EncodedMessage {
     message: bytes::Bytes,
-    whole: bytes::Bytes,
+    /// The frame that carries the whole message; empty if the message is split into parts.
+    single_frame: bytes::Bytes,
 }
 
-impl Packet {
-    fn new(message: &Message, limit: usize) -> Result<Packet, SendError> {
+impl EncodedMessage {
+    fn new(message: &Message, limit: usize) -> Result<EncodedMessage, SendError> {
         let bytes = frame::encode(message);
         if bytes.len() > limit {
             return Err(SendError::Oversize(bytes.len()));
         }
-        let whole = match bytes.len() <= CHUNK {
+        let single_frame = match bytes.len() <= MAX_CHUNK_BYTES {
             true => frame::encode(&Frame::Message(message.clone())),
             false => bytes::Bytes::new(),
         };
-        Ok(Packet {
+        Ok(EncodedMessage {
             message: bytes,
-            whole,
+            single_frame,
         })
     }
 }
 
 impl Core {
-    /// Whether a link with a host shall be kept.
-    pub(crate) fn is_kept(&self, host: &str) -> bool {
-        lock(&self.book).kept.contains_key(host)
+    /// Whether a link with a host is maintained also while it is idle.
+    pub(crate) fn is_persistent(&self, host: &str) -> bool {
+        lock(&self.table).persistent.contains_key(host)
     }
 
-    /// An open link with a host, made if need be.
-    fn link(self: &Arc<Core>, host: &str, until: Instant) -> Result<Arc<Link>, OpenError> {
-        let mut book = lock(&self.book);
-        let failures = book.peers.get(host).map_or(0, |peer| peer.failures);
+    /// Returns a link that takes new streams; without one, waits until `until` for the connection.
+    fn acquire_link(self: &Arc<Core>, host: &str, until: Instant) -> Result<Arc<Link>, OpenError> {
+        let mut table = lock(&self.table);
+        let connect_failures = table
+            .peers
+            .get(host)
+            .map_or(0, |peer| peer.connect_failures);
         loop {
-            if book.closing {
+            if table.is_closing {
                 return Err(OpenError::Closing);
             }
-            if let Some(link) = book.peers.get(host).and_then(Peer::open_link) {
+            if let Some(link) = table.peers.get(host).and_then(Peer::preferred_link) {
                 return Ok(link.clone());
             }
             let name: Arc<str> = host.into();
-            if book.address(host).is_none() {
-                return Err(OpenError::Host(name));
+            if table.address(host).is_none() {
+                return Err(OpenError::UnknownHost(name));
             }
-            let peer = book.peers.entry(name.clone()).or_default();
-            if peer.failures > failures || peer.is_backing_off() {
+            let peer = table.peers.entry(name.clone()).or_default();
+            if peer.connect_failures > connect_failures || peer.is_backing_off() {
                 return Err(OpenError::Unreachable(name));
             }
             let left = until.saturating_duration_since(Instant::now());
@@ -281,70 +286,75 @@
                 return Err(OpenError::Timeout(name));
             }
             peer.wanted_until = peer.wanted_until.max(Some(until));
-            self.want(&mut book, &name);
-            book = self.wait(book, left);
+            self.ensure_maintainer(&mut table, &name);
+            table = self.wait_for_change(table, left);
         }
     }
 
-    fn wait<'a>(&self, book: MutexGuard<'a, Book>, left: Duration) -> MutexGuard<'a, Book> {
-        let (book, _) = self
+    fn wait_for_change<'a>(
+        &self,
+        table: MutexGuard<'a, PeerTable>,
+        left: Duration,
+    ) -> MutexGuard<'a, PeerTable> {
+        let (table, _) = self
             .changed
-            .wait_timeout(book, left)
+            .wait_timeout(table, left)
             .unwrap_or_else(PoisonError::into_inner);
-        book
+        table
     }
 
-    /// Sees to it that a host has a keeper, and wakes it.
-    fn want(self: &Arc<Core>, book: &mut Book, host: &Arc<str>) {
-        let peer = book.peers.entry(host.clone()).or_default();
-        if let Some(keeper) = &peer.keeper {
-            keeper.notify_one();
+    /// Starts the task that maintains the link with a host, or wakes it if it runs already.
+    fn ensure_maintainer(self: &Arc<Core>, table: &mut PeerTable, host: &Arc<str>) {
+        let peer = table.peers.entry(host.clone()).or_default();
+        if let Some(maintainer) = &peer.maintainer {
+            maintainer.notify_one();
             return;
         }
-        peer.keeper = Some(Arc::new(Notify::new()));
-        let keeping = connect::keep(self.clone(), host.clone());
-        self.handle.spawn(keeping);
+        peer.maintainer = Some(Arc::new(Notify::new()));
+        let maintaining = connect::maintain_link(self.clone(), host.clone());
+        self.handle.spawn(maintaining);
     }
 
-    fn notify_keepers(&self, book: &Book) {
-        for peer in book.peers.values() {
-            if let Some(keeper) = &peer.keeper {
-                keeper.notify_one();
+    fn notify_maintainers(&self, table: &PeerTable) {
+        for peer in table.peers.values() {
+            if let Some(maintainer) = &peer.maintainer {
+                maintainer.notify_one();
             }
         }
     }
 
-    /// What the keeper of a host does next.
+    /// The next step of the task that maintains the link with a host.
     pub(crate) fn next_step(&self, host: &Arc<str>) -> Step {
-        let mut book = lock(&self.book);
-        let address = book.address(host);
-        let is_kept = book.kept.contains_key(host) && !book.closing;
-        let is_closing = book.closing;
-        let Some(peer) = book.peers.get_mut(host) else {
+        let mut table = lock(&self.table);
+        let address = table.address(host);
+        let is_persistent = table.persistent.contains_key(host) && !table.is_closing;
+        let is_closing = table.is_closing;
+        let Some(peer) = table.peers.get_mut(host) else {
             return Step::Stop;
         };
-        let is_wanted = is_kept
+        let is_wanted = is_persistent
             || peer
                 .wanted_until
                 .is_some_and(|until| Instant::now() < until);
         let (Some(address), true, false) = (address, is_wanted, is_closing) else {
-            peer.keeper = None;
-            book.forget(host);
+            peer.maintainer = None;
+            table.remove_if_unused(host);
             return Step::Stop;
         };
-        match (peer.open_link(), &peer.keeper) {
+        match (peer.preferred_link(), &peer.maintainer) {
             (Some(_), Some(changed)) => Step::Wait(changed.clone()),
             _ => Step::Dial(address),
         }
     }
 
-    /// Pauses before a lost link is made again, so that both sides seldom do so at once.
-    pub(crate) async fn spread(&self, host: &Arc<str>) {
+    /// Delays a reconnect, so that the two hosts seldom dial each other at the same time. The host with
+    /// the greater name waits longer; a link that a request waits for is dialled without delay.
+    pub(crate) async fn delay_reconnect(&self, host: &Arc<str>) {
         let (pause, is_demanded) = {
-            let book = lock(&self.book);
-            let peer = book.peers.get(host);
+            let table = lock(&self.table);
+            let peer = table.peers.get(host);
             let demand = peer.and_then(|peer| peer.wanted_until);
-            let pause = match peer.is_some_and(|peer| peer.open_link().is_some()) {
+            let pause = match peer.is_some_and(|peer| peer.preferred_link().is_some()) {
                 true => Duration::ZERO,
                 false => connect::jitter(self.config.backoff.0 / 2),
             };
@@ -353,128 +363,132 @@
         if is_demanded {
             return;
         }
-        let own_turn = match *self.config.host < **host {
+        let extra_pause = match *self.config.host < **host {
             true => Duration::ZERO,
             false => self.config.backoff.0.min(pause * 2),
         };
-        tokio::time::sleep(pause + own_turn).await;
+        tokio::time::sleep(pause + extra_pause).await;
     }
 
-    /// A try to connect failed; there is no other for a while.
+    /// Records a failed connection attempt and the pause before the next one.
     pub(crate) fn on_dial_failed(&self, host: &Arc<str>, pause: Duration) {
-        let mut book = lock(&self.book);
-        if let Some(peer) = book.peers.get_mut(host) {
-            peer.failures += 1;
+        let mut table = lock(&self.table);
+        if let Some(peer) = table.peers.get_mut(host) {
+            peer.connect_failures += 1;
             peer.retry_at = Some(Instant::now() + pause);
         }
         self.changed.notify_all();
     }
 
-    /// A link is authenticated.
-    pub(crate) fn on_linked(&self, link: &Arc<Link>) -> Result<(), Failure> {
-        let mut book = lock(&self.book);
-        if book.closing {
-            return Err(Failure::Closing);
+    /// Adds an authenticated link. Replaces links with older incarnations of the host.
+    pub(crate) fn on_linked(&self, link: &Arc<Link>) -> Result<(), ConnectError> {
+        let mut table = lock(&self.table);
+        if table.is_closing {
+            return Err(ConnectError::Closing);
         }
-        let peer = book.peers.entry(link.host.clone()).or_default();
+        let peer = table.peers.entry(link.host.clone()).or_default();
         let current = peer.links.first().map(|first| first.incarnation);
         if current.is_some_and(|current| current > link.incarnation) {
-            return Err(Failure::Incarnation);
+            return Err(ConnectError::OutdatedIncarnation);
         }
-        self.tally.links.one();
-        let mut reports = lock(&self.reports);
+        self.counters.links.increment();
+        let mut pending_events = lock(&self.pending_events);
         if let Some(current) = current.filter(|&current| current < link.incarnation) {
             for old in peer.links.drain(..) {
-                old.kill(Reason::Replaced);
+                old.abort(LinkEndReason::Replaced);
             }
-            reports.push_back(Event::Down {
+            pending_events.push_back(Event::Down {
                 host: link.host.clone(),
                 incarnation: current,
-                reason: Reason::Replaced,
+                reason: LinkEndReason::Replaced,
             });
         }
         if peer.links.is_empty() {
-            reports.push_back(Event::Up {
+            pending_events.push_back(Event::Up {
                 host: link.host.clone(),
                 incarnation: link.incarnation,
                 zone: link.zone.clone(),
             });
         }
-        drop(reports);
-        peer.add(link);
+        drop(pending_events);
+        peer.add_link(link);
         peer.retry_at = None;
-        peer.notify_keeper();
+        peer.notify_maintainer();
         self.changed.notify_all();
-        drop(book);
-        self.report();
+        drop(table);
+        self.deliver_events();
         Ok(())
     }
 
-    /// The other side is known to use a link.
+    /// Closes surplus links once the other side is known to use the preferred one.
     pub(crate) fn on_confirmed(&self, host: &Arc<str>) {
-        if let Some(peer) = lock(&self.book).peers.get(host) {
-            peer.part();
+        if let Some(peer) = lock(&self.table).peers.get(host) {
+            peer.close_surplus_links();
         }
     }
 
-    /// The other side opens no more streams on a link.
+    /// Wakes the maintaining task when the other side opens no more streams on a link.
     pub(crate) fn on_draining(&self, host: &Arc<str>) {
-        if let Some(peer) = lock(&self.book).peers.get(host) {
-            peer.notify_keeper();
+        if let Some(peer) = lock(&self.table).peers.get(host) {
+            peer.notify_maintainer();
         }
     }
 
-    /// A link has ended.
-    pub(crate) fn on_ended(&self, link: &Arc<Link>, reason: Reason) {
-        let mut book = lock(&self.book);
-        let Some(peer) = book.peers.get_mut(&link.host) else {
+    /// Removes a link that has ended.
+    pub(crate) fn on_ended(&self, link: &Arc<Link>, reason: LinkEndReason) {
+        let mut table = lock(&self.table);
+        let Some(peer) = table.peers.get_mut(&link.host) else {
             return;
         };
         let count = peer.links.len();
         peer.links.retain(|other| !Arc::ptr_eq(other, link));
         if peer.links.len() < count && peer.links.is_empty() {
-            lock(&self.reports).push_back(Event::Down {
+            lock(&self.pending_events).push_back(Event::Down {
                 host: link.host.clone(),
                 incarnation: link.incarnation,
                 reason,
             });
         }
-        peer.notify_keeper();
-        book.forget(&link.host);
+        peer.notify_maintainer();
+        table.remove_if_unused(&link.host);
         self.changed.notify_all();
-        drop(book);
-        self.report();
+        drop(table);
+        self.deliver_events();
     }
 
-    /// Hands out reports in the order of what they tell.
-    fn report(&self) {
-        let _turn = lock(&self.reporting);
+    /// Passes the pending events to the handler, in the order in which they occurred.
+    fn deliver_events(&self) {
+        let _turn = lock(&self.delivery);
         loop {
-            let Some(event) = lock(&self.reports).pop_front() else {
+            let Some(event) = lock(&self.pending_events).pop_front() else {
                 return;
             };
-            (self.events)(event);
+            (self.event_handler)(event);
         }
     }
 
-    fn send(&self, host: &str, packet: &Packet) -> Result<(), SendError> {
-        let link = lock(&self.book).peers.get(host).and_then(Peer::any_link);
-        let link = link.ok_or_else(|| SendError::Unlinked(host.into()))?;
-        if !link.send(&packet.message, &packet.whole) {
-            self.tally.messages_dropped.one();
-            return Err(SendError::Full(host.into()));
+    fn send(&self, host: &str, encoded: &EncodedMessage) -> Result<(), SendError> {
+        let link = lock(&self.table)
+            .peers
+            .get(host)
+            .and_then(Peer::control_link);
+        let link = link.ok_or_else(|| SendError::NotLinked(host.into()))?;
+        if !link.send(&encoded.message, &encoded.single_frame) {
+            self.counters.messages_dropped.increment();
+            return Err(SendError::BacklogFull(host.into()));
         }
-        self.tally.messages_out.one();
-        let bytes = packet.whole.len().max(packet.message.len()) + link.header();
-        self.tally.control_bytes_out.add(bytes as u64);
+        self.counters.messages_out.increment();
+        let bytes =
+            encoded.single_frame.len().max(encoded.message.len()) + link.small_header_bytes();
+        self.counters.control_bytes_out.add(bytes as u64);
         Ok(())
     }
 }
 
 /// Binds the listening socket.
 fn listen(config: &mut Config) -> std::io::Result<std::net::TcpListener> {
-    let any = Listen::Address(SocketAddr::from(([127, 0, 0, 1], 0)));
-    let listener = match std::mem::replace(&mut config.listen, any) {
+    let placeholder = Listen::Address(SocketAddr::from(([127, 0, 0, 1], 0)));
+    let listener = match std::mem::replace(&mut config.listen, placeholder) {
         Listen::Address(address) => std::net::TcpListener::bind(address)?,
         Listen::Bound(listener) => listener,
     };
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,14 +1,13 @@
 //! Links between entry hosts: WebSocket connections that carry CBOR frames.
 //!
-//! A [`mesh::Mesh`] keeps one link with each host it is told of, and carries two things over it:
-//! typed control messages, and relayed requests as multiplexed streams. Frames are described by
-//! `schema/frame.json`.
+//! A [`mesh::Mesh`] maintains one link with each configured host. A link carries typed control messages
+//! and relayed requests, the latter as multiplexed streams. `schema/frame.json` defines the frames.
 //!
-//! Both sides prove that they know the shared secret (see [`auth`]). What follows the handshake is
-//! neither encrypted nor protected against change on the way: links run over plain TCP, between
-//! hosts of one operator, on networks that the operator trusts. Connections that are not yet
-//! authenticated are bounded in number and time; whoever can hold that many open keeps others from
-//! connecting to the host, though not the host from connecting to them.
+//! Both sides prove that they have the shared secret (see [`auth`]). Frames after the handshake are
+//! neither encrypted nor integrity-protected: links run over plain TCP, between hosts of one operator,
+//! on networks that the operator trusts. Connections that are not yet authenticated are bounded in
+//! number and time. An attacker who keeps that many open blocks further incoming connections, but not
+//! outgoing ones.
 
 pub mod auth;
 pub mod config;
@@ -26,7 +25,7 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex, also after a thread panicked while it held it.
+/// Locks a mutex and ignores poisoning.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/src/peer/outbox.rs
+++ b/src/peer/outbox.rs
@@ -1,4 +1,4 @@
-//! What waits to be written to a link, and in which order: control, then small streams, then bulk.
+//! The send queues of a link, in order of priority: control frames, small streams, bulk.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -6,34 +6,35 @@
 
 use bytes::Bytes;
 
-use super::channel::{Channel, End, Size};
-use super::frame::{self, Frame, Part, CHUNK};
+use super::channel::{Channel, Role, SendQueue};
+use super::frame::{self, Frame, Part, MAX_CHUNK_BYTES};
 
-/// Turns of small streams after which bulk gets one, so that it is never starved.
-const SMALL_PER_BULK: u32 = 8;
+/// Turns of small streams after which bulk gets one, so that bulk never starves.
+const SMALL_TURNS_PER_BULK_TURN: u32 = 8;
 
-/// What is to be written next.
-pub(crate) enum Next {
+/// The next item to write to a link.
+pub(crate) enum OutboxItem {
     /// An encoded frame.
     Frame(Bytes),
-    /// A frame of a stream.
+    /// A stream, whose next frame is to be written.
     Stream(Arc<Channel>),
 }
 
-/// A place in the round of bulk.
-enum Turn {
+/// An item of the bulk queue, which is served round robin.
+enum BulkItem {
     Stream(Arc<Channel>),
+    /// The next part of the first large message.
     Message,
 }
 
-/// Whether the link takes new work.
+/// Whether a link accepts new streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Phase {
-    /// Yes.
+    /// New streams are accepted.
     Open,
-    /// It only finishes the streams that are open.
+    /// No new streams are accepted; the open ones are finished.
     Draining,
-    /// It has ended.
+    /// The link has ended.
     Closed,
 }
 
@@ -41,49 +42,49 @@
 pub(crate) struct Outbox {
     control: VecDeque<Bytes>,
     small: VecDeque<Arc<Channel>>,
-    bulk: VecDeque<Turn>,
-    messages: VecDeque<Bytes>,
+    bulk: VecDeque<BulkItem>,
+    large_messages: VecDeque<Bytes>,
     goodbye: Option<Bytes>,
-    waiting: usize,
-    backlog: usize,
+    queued_bytes: usize,
+    max_queued_bytes: usize,
     small_turns: u32,
     phase: Phase,
-    used: Instant,
+    last_used: Instant,
 }
 
 impl Outbox {
-    /// An empty outbox that holds at most `backlog` bytes of control messages.
-    pub(crate) fn new(backlog: usize, now: Instant) -> Outbox {
+    /// An empty outbox that holds at most `max_queued_bytes` bytes of control messages.
+    pub(crate) fn new(max_queued_bytes: usize, now: Instant) -> Outbox {
         Outbox {
             control: VecDeque::new(),
             small: VecDeque::new(),
             bulk: VecDeque::new(),
-            messages: VecDeque::new(),
+            large_messages: VecDeque::new(),
             goodbye: None,
-            waiting: 0,
-            backlog,
+            queued_bytes: 0,
+            max_queued_bytes,
             small_turns: 0,
             phase: Phase::Open,
-            used: now,
+            last_used: now,
         }
     }
 
-    /// Whether new work is taken.
+    /// Whether the link accepts new streams.
     pub(crate) fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// When work was last put in.
-    pub(crate) fn used(&self) -> Instant {
-        self.used
+    /// When the link was last used.
+    pub(crate) fn last_used(&self) -> Instant {
+        self.last_used
     }
 
-    /// Notes that the link is in use.
-    pub(crate) fn touch(&mut self, now: Instant) {
-        self.used = now;
+    /// Records that the link is in use, which restarts its idle timeout.
+    pub(crate) fn record_use(&mut self, now: Instant) {
+        self.last_used = now;
     }
 
-    /// Whether nothing waits.
+    /// Whether all queues are empty.
     pub(crate) fn is_empty(&self) -> bool {
         self.control.is_empty()
             && self.small.is_empty()
@@ -91,38 +92,40 @@
             && self.goodbye.is_none()
     }
 
-    /// Queues a frame of the link itself. False when a peer that asks for many does not take them.
+    /// Queues a control frame. False if more than twice `max_queued_bytes` are queued, as when a peer
+    /// causes many such frames and does not read them.
     pub(crate) fn push_frame(&mut self, frame: &Frame) -> bool {
         if self.phase != Phase::Closed {
-            self.put_control(frame::encode(frame));
+            self.queue_control(frame::encode(frame));
         }
-        self.waiting <= 2 * self.backlog
+        self.queued_bytes <= 2 * self.max_queued_bytes
     }
 
-    /// Queues an encoded message. `whole` is the frame that holds all of it; a message that does
-    /// not fit one goes in parts, as bulk.
-    pub(crate) fn push_message(&mut self, message: &Bytes, whole: &Bytes) -> bool {
-        if self.phase == Phase::Closed || self.waiting + message.len() > self.backlog {
+    /// Queues an encoded message. `single_frame` is the frame that holds all of it; a message too large
+    /// for one frame is sent in parts, as bulk. False if the queue is full or the link has ended.
+    pub(crate) fn push_message(&mut self, message: &Bytes, single_frame: &Bytes) -> bool {
+        if self.phase == Phase::Closed || self.queued_bytes + message.len() > self.max_queued_bytes
+        {
             return false;
         }
-        if message.len() <= CHUNK {
-            self.put_control(whole.clone());
+        if message.len() <= MAX_CHUNK_BYTES {
+            self.queue_control(single_frame.clone());
             return true;
         }
-        self.waiting += message.len();
-        if self.messages.is_empty() {
-            self.bulk.push_back(Turn::Message);
+        self.queued_bytes += message.len();
+        if self.large_messages.is_empty() {
+            self.bulk.push_back(BulkItem::Message);
         }
-        self.messages.push_back(message.clone());
+        self.large_messages.push_back(message.clone());
         true
     }
 
-    fn put_control(&mut self, frame: Bytes) {
-        self.waiting += frame.len();
+    fn queue_control(&mut self, frame: Bytes) {
+        self.queued_bytes += frame.len();
         self.control.push_back(frame);
     }
 
-    /// Queues a new stream; refused unless the link takes new work.
+    /// Queues a new stream. False if the link accepts no new streams.
     pub(crate) fn push_open(&mut self, channel: Arc<Channel>) -> bool {
         if self.phase != Phase::Open {
             return false;
@@ -132,56 +135,56 @@
     }
 
     /// Queues a stream that has something to send.
-    pub(crate) fn push_stream(&mut self, channel: Arc<Channel>, size: Size) {
+    pub(crate) fn push_stream(&mut self, channel: Arc<Channel>, queue: SendQueue) {
         if self.phase == Phase::Closed {
             return;
         }
-        match size {
-            Size::Small => self.small.push_back(channel),
-            Size::Bulk => self.bulk.push_back(Turn::Stream(channel)),
+        match queue {
+            SendQueue::Small => self.small.push_back(channel),
+            SendQueue::Bulk => self.bulk.push_back(BulkItem::Stream(channel)),
         }
     }
 
-    /// Takes what is to be written next.
-    pub(crate) fn next(&mut self) -> Option<Next> {
+    /// Removes and returns the next item to write.
+    pub(crate) fn pop_next(&mut self) -> Option<OutboxItem> {
         if let Some(frame) = self.control.pop_front() {
-            self.waiting -= frame.len();
-            return Some(Next::Frame(frame));
+            self.queued_bytes -= frame.len();
+            return Some(OutboxItem::Frame(frame));
         }
         if self.goodbye.is_some() && !self.small.iter().any(is_unsent) {
-            return self.goodbye.take().map(Next::Frame);
+            return self.goodbye.take().map(OutboxItem::Frame);
         }
-        let is_bulk_due = self.small_turns >= SMALL_PER_BULK && !self.bulk.is_empty();
+        let is_bulk_due = self.small_turns >= SMALL_TURNS_PER_BULK_TURN && !self.bulk.is_empty();
         if !is_bulk_due {
             if let Some(channel) = self.small.pop_front() {
                 self.small_turns += 1;
-                return Some(Next::Stream(channel));
+                return Some(OutboxItem::Stream(channel));
             }
         }
         self.small_turns = 0;
         match self.bulk.pop_front()? {
-            Turn::Stream(channel) => Some(Next::Stream(channel)),
-            Turn::Message => self.next_part().map(Next::Frame),
+            BulkItem::Stream(channel) => Some(OutboxItem::Stream(channel)),
+            BulkItem::Message => self.next_part().map(OutboxItem::Frame),
         }
     }
 
-    /// Takes the next part of the first message, and another turn if there is more.
+    /// Takes the next part of the first large message. Queues another turn if more is left.
     fn next_part(&mut self) -> Option<Bytes> {
-        let message = self.messages.front_mut()?;
-        let bytes = message.split_to(message.len().min(CHUNK));
+        let message = self.large_messages.front_mut()?;
+        let bytes = message.split_to(message.len().min(MAX_CHUNK_BYTES));
         let end = message.is_empty();
-        self.waiting -= bytes.len();
+        self.queued_bytes -= bytes.len();
         if end {
-            self.messages.pop_front();
+            self.large_messages.pop_front();
         }
-        if !self.messages.is_empty() {
-            self.bulk.push_back(Turn::Message);
+        if !self.large_messages.is_empty() {
+            self.bulk.push_back(BulkItem::Message);
         }
         Some(frame::encode_with(&Frame::Part(Part { end }), &bytes))
     }
 
-    /// Takes no more new streams. The goodbye is written after the open frames that wait.
-    pub(crate) fn drain(&mut self, goodbye: &Frame) {
+    /// Accepts no more new streams. The goodbye is written after the open frames that are queued.
+    pub(crate) fn start_draining(&mut self, goodbye: &Frame) {
         if self.phase != Phase::Open {
             return;
         }
@@ -189,18 +192,18 @@
         self.goodbye = Some(frame::encode(goodbye));
     }
 
-    /// Takes nothing more. Returns the streams that wait.
+    /// Closes the queues and drops their frames. Returns the queued streams.
     pub(crate) fn close(&mut self) -> Vec<Arc<Channel>> {
         self.phase = Phase::Closed;
         self.control.clear();
-        self.messages.clear();
+        self.large_messages.clear();
         self.goodbye = None;
-        self.waiting = 0;
+        self.queued_bytes = 0;
         let bulk = std::mem::take(&mut self.bulk)
             .into_iter()
             .filter_map(|turn| match turn {
-                Turn::Stream(channel) => Some(channel),
-                Turn::Message => None,
+                BulkItem::Stream(channel) => Some(channel),
+                BulkItem::Message => None,
             });
         let small = std::mem::take(&mut self.small);
         small.into_iter().chain(bulk).collect()
@@ -209,5 +212,5 @@
 
 /// Whether a stream's open frame is still to be written.
 fn is_unsent(channel: &Arc<Channel>) -> bool {
-    channel.end == End::Caller && channel.number() == 0 && !channel.is_failed()
+    channel.role == Role::Caller && channel.number() == 0 && !channel.is_failed()
 }
--- a/src/peer/stream.rs
+++ b/src/peer/stream.rs
@@ -1,9 +1,9 @@
-//! Relayed requests, for threads that may block.
+//! Blocking API of relayed requests.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::channel::{Channel, Progress};
+use super::channel::{Channel, SendProgress};
 use super::error::{Dispatch, StreamError};
 use super::frame::{self, Frame};
 use super::link::Link;
@@ -22,13 +22,13 @@
     pub class: Arc<str>,
     /// The HTTP method.
     pub method: Arc<str>,
-    /// Path and query as the target gets them.
+    /// Path and query, sent to the target unchanged.
     pub path: Arc<str>,
     /// The headers to pass on.
     pub headers: Vec<Header>,
     /// Length of the body, if known.
     pub length: Option<u64>,
-    /// Time left.
+    /// Time left until the request's deadline.
     pub deadline: Duration,
     /// Rank in a full queue, 0 (dropped first) to 9.
     pub priority: u8,
@@ -43,7 +43,7 @@
 }
 
 impl Open {
-    /// A request without headers, body or caller, of middle priority.
+    /// A request of middle priority, without headers, body or caller attributes.
     pub fn new(
         request: impl Into<Arc<str>>,
         service: impl Into<Arc<str>>,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The same with a body; of unknown length if none is given.
+    /// Adds a body; none stands for an unknown length.
     pub fn with_length(mut self, length: Option<u64>) -> Open {
         self.length = length;
         self
@@ -112,7 +112,7 @@
     }
 }
 
-/// How the other host replied.
+/// The reply of the other host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// A target answered; the body follows.
@@ -126,14 +126,14 @@
     },
     /// The request did not run.
     Refused {
-        /// Why, as a short word.
+        /// The reason, as a short keyword.
         reason: Arc<str>,
-        /// When to come back.
+        /// After which time the caller may retry.
         retry_after: Duration,
     },
-    /// Whether the request ran is unknown.
+    /// The request may have run.
     Unknown {
-        /// Why, as a short word.
+        /// The reason, as a short keyword.
         reason: Arc<str>,
     },
 }
@@ -161,16 +161,16 @@
     }
 }
 
-/// What both ends of a stream share.
-struct Handle {
+/// The operations that both ends of a stream have in common.
+struct StreamHandle {
     link: Arc<Link>,
     channel: Arc<Channel>,
     deadline: Instant,
 }
 
-impl Handle {
-    fn new(link: Arc<Link>, channel: Arc<Channel>, left: Duration) -> Handle {
-        Handle {
+impl StreamHandle {
+    fn new(link: Arc<Link>, channel: Arc<Channel>, left: Duration) -> StreamHandle {
+        StreamHandle {
             link,
             channel,
             deadline: Instant::now() + left,
@@ -178,33 +178,34 @@
     }
 
     fn write(&self, bytes: &[u8]) -> Result<(), StreamError> {
-        let grant = |wish| self.link.grant(&self.channel, wish);
-        let written = self.channel.write(bytes, self.deadline, grant);
-        self.settle(written)
+        let schedule = |turn_request| self.link.schedule_stream(&self.channel, turn_request);
+        let written = self.channel.write_body(bytes, self.deadline, schedule);
+        self.abandon_on_error(written)
     }
 
     fn finish(&self) -> Result<(), StreamError> {
-        let wish = self.settle(self.channel.finish())?;
-        self.link.grant(&self.channel, wish);
+        let turn_request = self.abandon_on_error(self.channel.finish_body())?;
+        self.link.schedule_stream(&self.channel, turn_request);
         Ok(())
     }
 
     fn read(&self, buffer: &mut [u8]) -> Result<usize, StreamError> {
-        let (count, credit) = self.settle(self.channel.read(buffer, self.deadline))?;
+        let (count, credit) =
+            self.abandon_on_error(self.channel.read_body(buffer, self.deadline))?;
         if let Some(frame) = credit {
-            self.link.push(&frame);
+            self.link.queue_frame(&frame);
         }
         Ok(count)
     }
 
-    /// Gives the stream up when its deadline has passed or a body has the wrong length.
-    fn settle<T>(&self, result: Result<T, StreamError>) -> Result<T, StreamError> {
+    /// Abandons the stream if its deadline has passed or a body has the wrong length.
+    fn abandon_on_error<T>(&self, result: Result<T, StreamError>) -> Result<T, StreamError> {
         match result {
             Err(StreamError::Timeout) if Instant::now() >= self.deadline => {
                 self.link.abandon(&self.channel, StreamError::Deadline);
                 Err(StreamError::Deadline)
             }
-            Err(error @ StreamError::Length { .. }) => {
+            Err(error @ StreamError::WrongLength { .. }) => {
                 self.link.abandon(&self.channel, error.clone());
                 Err(error)
             }
@@ -217,17 +218,17 @@
 ///
 /// Every call ends at the request's deadline at the latest, with [`StreamError::Deadline`].
 pub struct Stream {
-    handle: Handle,
+    handle: StreamHandle,
 }
 
 impl Stream {
     pub(crate) fn new(link: Arc<Link>, channel: Arc<Channel>, left: Duration) -> Stream {
         Stream {
-            handle: Handle::new(link, channel, left),
+            handle: StreamHandle::new(link, channel, left),
         }
     }
 
-    /// The host that the request was given to.
+    /// The name of the host that the request is relayed to.
     pub fn host(&self) -> &Arc<str> {
         &self.handle.link.host
     }
@@ -242,14 +243,14 @@
         self.handle.channel.dispatch()
     }
 
-    /// Sends a part of the body; blocks while the other host does not take more.
+    /// Sends a part of the body. Blocks while the send buffer is full.
     ///
-    /// [`StreamError::Stopped`] tells that the reply is complete already.
+    /// Fails with [`StreamError::Stopped`] if the reply is complete already.
     pub fn write_body(&mut self, bytes: &[u8]) -> Result<(), StreamError> {
         self.handle.write(bytes)
     }
 
-    /// Marks the body as complete. Needed also when it is empty.
+    /// Marks the body as complete. Required also for an empty body.
     pub fn finish_body(&mut self) -> Result<(), StreamError> {
         self.handle.finish()
     }
@@ -257,15 +258,16 @@
     /// Waits for the start of the reply.
     pub fn read_head(&mut self, timeout: Duration) -> Result<Reply, StreamError> {
         let until = self.handle.deadline.min(Instant::now() + timeout);
-        self.handle.settle(self.handle.channel.read_reply(until))
+        self.handle
+            .abandon_on_error(self.handle.channel.read_reply(until))
     }
 
-    /// Reads from the body of the reply; 0 at its end.
+    /// Reads from the body of the reply. Returns 0 at its end.
     pub fn read_body(&mut self, buffer: &mut [u8]) -> Result<usize, StreamError> {
         self.handle.read(buffer)
     }
 
-    /// Gives the request up. Tells whether it may have reached the other host.
+    /// Cancels the request. Returns whether it may have reached the other host.
     pub fn cancel(&mut self) -> Dispatch {
         let handle = &self.handle;
         handle.link.abandon(&handle.channel, StreamError::Cancelled)
@@ -280,23 +282,23 @@
 
 /// The replying end of a relayed request.
 ///
-/// Dropping it without a reply tells the caller that the outcome is unknown; dropping it within a
-/// reply tells that the reply was cut.
+/// If it is dropped before the reply, the caller receives [`Reply::Unknown`]; if it is dropped within the
+/// reply, the caller receives [`StreamError::Truncated`].
 pub struct Incoming {
     /// The request.
     pub open: Open,
-    handle: Handle,
+    handle: StreamHandle,
 }
 
 impl Incoming {
     pub(crate) fn new(link: Arc<Link>, channel: Arc<Channel>, open: Open) -> Incoming {
         Incoming {
-            handle: Handle::new(link, channel, open.deadline),
+            handle: StreamHandle::new(link, channel, open.deadline),
             open,
         }
     }
 
-    /// The host that relays the request.
+    /// The name of the host that relays the request.
     pub fn host(&self) -> &Arc<str> {
         &self.handle.link.host
     }
@@ -306,17 +308,17 @@
         &self.handle.link.zone
     }
 
-    /// When the request's time is over, on this host's clock.
+    /// The request's deadline on this host's clock.
     pub fn deadline(&self) -> Instant {
         self.handle.deadline
     }
 
-    /// Reads from the body of the request; 0 at its end.
+    /// Reads from the body of the request. Returns 0 at its end.
     pub fn read_body(&mut self, buffer: &mut [u8]) -> Result<usize, StreamError> {
         self.handle.read(buffer)
     }
 
-    /// Starts the reply.
+    /// Sends the head of the reply.
     pub fn reply_head(
         &mut self,
         status: u16,
@@ -330,15 +332,15 @@
             headers: headers_to_frame(headers),
             length,
         }));
-        if head.len() > handle.link.peer_frame() {
+        if head.len() > handle.link.peer_max_frame_bytes() {
             return Err(StreamError::Oversize(head.len()));
         }
-        let wish = handle.channel.put_head(head, length)?;
-        handle.link.grant(&handle.channel, wish);
+        let turn_request = handle.channel.queue_head(head, length)?;
+        handle.link.schedule_stream(&handle.channel, turn_request);
         Ok(())
     }
 
-    /// Sends a part of the reply's body; blocks while the other host does not take more.
+    /// Sends a part of the reply's body. Blocks while the send buffer is full.
     pub fn write_body(&mut self, bytes: &[u8]) -> Result<(), StreamError> {
         self.handle.write(bytes)
     }
@@ -350,7 +352,7 @@
 
     /// Replies that the request did not run and will not.
     pub fn refuse(self, reason: &str, retry_after: Duration) -> Result<(), StreamError> {
-        self.end_with(&Frame::Refused(frame::Refused {
+        self.send_final_frame(&Frame::Refused(frame::Refused {
             stream: self.handle.channel.number(),
             reason: reason.to_owned(),
             retry_after_ms: millis(retry_after),
@@ -359,16 +361,16 @@
 
     /// Replies that the request may have run.
     pub fn unknown(self, reason: &str) -> Result<(), StreamError> {
-        self.end_with(&self.unknown_frame(reason))
+        self.send_final_frame(&self.unknown_frame(reason))
     }
 
-    /// Whether the caller gave the request up, or the link to it is lost.
+    /// Whether the stream failed, e.g. because the caller cancelled the request or the link was lost.
     pub fn is_cancelled(&self) -> bool {
         self.handle.channel.is_failed()
     }
 
-    /// Calls a function, on a thread of the mesh, when the caller gives the request up or the link
-    /// is lost; at once if that has happened. The function must not block.
+    /// Calls `hook`, on a thread of the mesh, when the caller cancels the request or the link is lost; at
+    /// once if that has happened already. `hook` must not block.
     pub fn on_cancel(&self, hook: impl FnOnce() + Send + 'static) {
         self.handle.channel.on_failure(Box::new(hook));
     }
@@ -380,10 +382,10 @@
         })
     }
 
-    fn end_with(&self, frame: &Frame) -> Result<(), StreamError> {
+    fn send_final_frame(&self, frame: &Frame) -> Result<(), StreamError> {
         let handle = &self.handle;
-        let wish = handle.channel.put_last(frame::encode(frame))?;
-        handle.link.grant(&handle.channel, wish);
+        let turn_request = handle.channel.queue_final_frame(frame::encode(frame))?;
+        handle.link.schedule_stream(&handle.channel, turn_request);
         Ok(())
     }
 }
@@ -392,13 +394,13 @@
     fn drop(&mut self) {
         let handle = &self.handle;
         match handle.channel.progress() {
-            Progress::None => {
-                let _ = self.end_with(&self.unknown_frame("dropped"));
+            SendProgress::NotStarted => {
+                let _ = self.send_final_frame(&self.unknown_frame("dropped"));
             }
-            Progress::Begun => {
-                handle.link.abandon(&handle.channel, StreamError::Cut);
+            SendProgress::Started => {
+                handle.link.abandon(&handle.channel, StreamError::Truncated);
             }
-            Progress::Whole => {}
+            SendProgress::Complete => {}
         }
     }
 }
--- a/tests/peer/auth.rs
+++ b/tests/peer/auth.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use ragwortfold::peer::auth::Side;
-use ragwortfold::peer::error::Reason;
+use ragwortfold::peer::error::LinkEndReason;
 use ragwortfold::peer::frame::{self, Cancel, Credit, Frame, Goodbye, Hello, Proof};
 use ragwortfold::peer::mesh::Event;
-use tokio_tungstenite::tungstenite::Message as Packet;
+use tokio_tungstenite::tungstenite::Message as WsMessage;
 
 use super::node::{eventually, heartbeat, Node, PATIENCE, SECRET};
 use super::raw::{hello, open_frame, tcp, Raw, NAME};
@@ -42,7 +42,7 @@
         fn $name() {
             let node = Node::with("ent-a", |config| {
                 let is_slow = $counter == "refused_slow";
-                config.handshake = if is_slow { Duration::from_millis(200) } else { PATIENCE };
+                config.handshake_timeout = if is_slow { Duration::from_millis(200) } else { PATIENCE };
             });
             let peer: fn(SocketAddr) -> Raw = $peer;
             let mut raw = peer(node.mesh.address());
@@ -117,7 +117,7 @@
     };
     text_for_a_hello: "refused_handshake", |address| {
         let mut raw = Raw::connect(address);
-        raw.socket.send(Packet::text("hello")).unwrap();
+        raw.socket.send(WsMessage::text("hello")).unwrap();
         raw
     };
     an_oversize_hello: "refused_handshake", |address| {
@@ -145,7 +145,7 @@
         $(#[test]
         fn $name() {
             let node = Node::with("ent-a", |config| {
-                config.handshake = Duration::from_millis(200);
+                config.handshake_timeout = Duration::from_millis(200);
             });
             let mut stream = tcp(node.mesh.address());
             stream.write_all($bytes).unwrap();
@@ -165,8 +165,8 @@
 #[test]
 fn connections_in_their_handshake_are_bounded() {
     let node = Node::with("ent-a", |config| {
-        config.pending = 2;
-        config.handshake = PATIENCE;
+        config.max_pending_handshakes = 2;
+        config.handshake_timeout = PATIENCE;
     });
     let held: Vec<_> = (0..2).map(|_| tcp(node.mesh.address())).collect();
     let mut third = tcp(node.mesh.address());
@@ -184,7 +184,7 @@
         $(#[test]
         fn $name() {
             let node = Node::with("ent-a", |config| {
-                config.handshake = PATIENCE;
+                config.handshake_timeout = PATIENCE;
                 config.backoff = (PATIENCE, PATIENCE);
             });
             let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -220,7 +220,7 @@
 #[test]
 fn a_dialled_host_that_says_nothing_is_given_up() {
     let node = Node::with("ent-a", |config| {
-        config.handshake = Duration::from_millis(200);
+        config.handshake_timeout = Duration::from_millis(200);
         config.backoff = (PATIENCE, PATIENCE);
     });
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -248,7 +248,7 @@
                     None
                 }
             });
-            assert_eq!(reason, Reason::Fault);
+            assert_eq!(reason, LinkEndReason::Fault);
             assert_eq!(node.count($counter), 1);
             while raw.next_bytes().is_some() {}
         })+
@@ -269,7 +269,7 @@
         bytes.push(0);
         raw.send_bytes(bytes);
     };
-    text: "malformed", |raw| raw.socket.send(Packet::text("x")).unwrap();
+    text: "malformed", |raw| raw.socket.send(WsMessage::text("x")).unwrap();
     an_oversize_frame: "oversize", |raw| raw.send_bytes(vec![0; 100 << 10]);
     an_oversize_message: "oversize", |raw| {
         let part = Frame::Part(frame::Part { end: false });
@@ -338,7 +338,7 @@
     let mut first = Raw::join_with(node.mesh.address(), with(4));
     assert_eq!(node.wait_up(NAME), 4);
     let mut later = Raw::join_with(node.mesh.address(), with(5));
-    assert_eq!(node.wait_down(NAME), Reason::Replaced);
+    assert_eq!(node.wait_down(NAME), LinkEndReason::Replaced);
     assert_eq!(node.wait_up(NAME), 5);
     while first.next_bytes().is_some() {}
     let mut earlier = Raw::join_with(node.mesh.address(), with(4));
--- a/tests/peer/links.rs
+++ b/tests/peer/links.rs
@@ -4,7 +4,7 @@
 use std::thread;
 use std::time::Duration;
 
-use ragwortfold::peer::error::{OpenError, Reason, SendError};
+use ragwortfold::peer::error::{LinkEndReason, OpenError, SendError};
 use ragwortfold::peer::frame::{Files, Message};
 use ragwortfold::peer::mesh::Event;
 use standin::link::{Fault, Link};
@@ -49,7 +49,7 @@
 #[test]
 fn what_cannot_be_sent_is_said() {
     let (a, b) = pair_of(
-        Node::with("ent-a", |config| config.message = 1 << 20),
+        Node::with("ent-a", |config| config.max_message_bytes = 1 << 20),
         Node::new("ent-b"),
     );
     let files = [("sum".to_owned(), "x".repeat(2 << 20))];
@@ -61,7 +61,7 @@
         Err(SendError::Oversize(_))
     ));
     let unlinked = a.mesh.send("ent-c", &heartbeat(1));
-    assert_eq!(unlinked, Err(SendError::Unlinked("ent-c".into())));
+    assert_eq!(unlinked, Err(SendError::NotLinked("ent-c".into())));
     let sent = a.mesh.broadcast(["ent-b", "ent-c"], &heartbeat(1));
     assert_eq!(sent, Ok(1));
     b.wait_message();
@@ -105,19 +105,19 @@
 #[test]
 fn a_silent_link_ends_on_both_sides_and_comes_back() {
     let quick = Duration::from_millis(300);
-    let b = Node::with("ent-b", |config| config.silence = quick);
+    let b = Node::with("ent-b", |config| config.silence_timeout = quick);
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let link = Link::new(any, b.mesh.address()).unwrap();
     let a = Node::with("ent-a", |config| {
-        config.silence = quick;
-        config.handshake = quick;
+        config.silence_timeout = quick;
+        config.handshake_timeout = quick;
     });
     a.link_to("ent-b", link.address());
     a.wait_up("ent-b");
     b.wait_up("ent-a");
     link.set_fault(Fault::default().with_black_hole());
-    assert_eq!(a.wait_down("ent-b"), Reason::Silent);
-    assert_eq!(b.wait_down("ent-a"), Reason::Silent);
+    assert_eq!(a.wait_down("ent-b"), LinkEndReason::Silent);
+    assert_eq!(b.wait_down("ent-a"), LinkEndReason::Silent);
     link.set_fault(Fault::default());
     a.wait_up("ent-b");
     b.wait_up("ent-a");
@@ -128,10 +128,10 @@
 fn one_direction_lost_ends_the_link_on_both_sides() {
     let quick = Duration::from_millis(300);
     for is_forth in [true, false] {
-        let b = Node::with("ent-b", |config| config.silence = quick);
+        let b = Node::with("ent-b", |config| config.silence_timeout = quick);
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let link = Link::new(any, b.mesh.address()).unwrap();
-        let a = Node::with("ent-a", |config| config.silence = quick);
+        let a = Node::with("ent-a", |config| config.silence_timeout = quick);
         a.link_to("ent-b", link.address());
         a.wait_up("ent-b");
         b.wait_up("ent-a");
@@ -148,35 +148,35 @@
 fn a_link_on_demand_closes_when_idle() {
     let b = Node::new("ent-b");
     let a = Node::with("ent-a", |config| {
-        config.idle = Duration::from_millis(100);
-        config.silence = Duration::from_millis(300);
+        config.idle_timeout = Duration::from_millis(100);
+        config.silence_timeout = Duration::from_millis(300);
     });
     a.mesh.set_directory(peers([("ent-b", b.mesh.address())]));
     for _ in 0..2 {
         exchange(&a, &b, "ent-b");
-        assert_eq!(a.wait_down("ent-b"), Reason::Goodbye);
-        assert_eq!(b.wait_down("ent-a"), Reason::Goodbye);
+        assert_eq!(a.wait_down("ent-b"), LinkEndReason::Goodbye);
+        assert_eq!(b.wait_down("ent-a"), LinkEndReason::Goodbye);
     }
 }
 
 #[test]
 fn a_link_no_longer_kept_closes_when_idle() {
     let a = Node::with("ent-a", |config| {
-        config.idle = Duration::from_millis(100);
-        config.silence = Duration::from_millis(300);
+        config.idle_timeout = Duration::from_millis(100);
+        config.silence_timeout = Duration::from_millis(300);
     });
     let (a, b) = pair_of(a, Node::new("ent-b"));
     exchange(&a, &b, "ent-b");
     a.mesh.set_peers(peers([]));
-    assert_eq!(a.wait_down("ent-b"), Reason::Goodbye);
-    assert_eq!(b.wait_down("ent-a"), Reason::Goodbye);
+    assert_eq!(a.wait_down("ent-b"), LinkEndReason::Goodbye);
+    assert_eq!(b.wait_down("ent-a"), LinkEndReason::Goodbye);
 }
 
 #[test]
 fn what_cannot_be_reached_is_said_at_once() {
     let a = Node::with("ent-a", |config| config.backoff = (PATIENCE, PATIENCE));
     let open = |host: &str| a.mesh.open(host, &request(), PATIENCE).err();
-    assert_eq!(open("ent-b"), Some(OpenError::Host("ent-b".into())));
+    assert_eq!(open("ent-b"), Some(OpenError::UnknownHost("ent-b".into())));
     let free = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let nobody = free.local_addr().unwrap();
     drop(free);
@@ -210,7 +210,7 @@
         let (got, end) = read_all(|buffer| stream.read_body(buffer));
         assert!(end == Ok(()) && got == body);
         server.join().unwrap().unwrap();
-        assert_eq!(a.wait_down("ent-b"), Reason::Goodbye);
+        assert_eq!(a.wait_down("ent-b"), LinkEndReason::Goodbye);
         closing.join().unwrap();
     });
 }
--- a/tests/peer/node.rs
+++ b/tests/peer/node.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use ragwortfold::peer::config::{Config, Listen};
-use ragwortfold::peer::error::{Reason, StreamError};
+use ragwortfold::peer::error::{LinkEndReason, StreamError};
 use ragwortfold::peer::frame::{Heartbeat, Message, State};
 use ragwortfold::peer::mesh::{Event, Mesh};
 use ragwortfold::peer::stream::{Incoming, Open};
@@ -31,7 +31,7 @@
 
     /// A mesh that takes long silence for nothing, as raw peers send no signs of life.
     pub fn patient(host: &str) -> Node {
-        Node::with(host, |config| config.silence = PATIENCE)
+        Node::with(host, |config| config.silence_timeout = PATIENCE)
     }
 
     pub fn with(host: &str, change: impl FnOnce(&mut Config)) -> Node {
@@ -82,7 +82,7 @@
     }
 
     /// Waits until a host is down; returns why.
-    pub fn wait_down(&self, name: &str) -> Reason {
+    pub fn wait_down(&self, name: &str) -> LinkEndReason {
         self.wait(|event| match event {
             Event::Down { host, reason, .. } => (*host == *name).then_some(reason),
             _ => None,
--- a/tests/peer/raw.rs
+++ b/tests/peer/raw.rs
@@ -3,7 +3,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
 use bytes::Bytes;
-use tokio_tungstenite::tungstenite::{self, Message as Packet, WebSocket};
+use tokio_tungstenite::tungstenite::{self, Message as WsMessage, WebSocket};
 
 use ragwortfold::peer::auth::{self, Side, Transcript};
 use ragwortfold::peer::frame::{self, Data, Decoded, Frame, Head, Hello, Proof};
@@ -69,7 +69,7 @@
 
     pub fn send_bytes(&mut self, bytes: impl Into<Bytes>) {
         // The other side may have closed already, which the test then sees.
-        let _ = self.socket.send(Packet::Binary(bytes.into()));
+        let _ = self.socket.send(WsMessage::Binary(bytes.into()));
     }
 
     pub fn send_data(&mut self, stream: u64, bytes: &[u8], end: bool) {
@@ -90,8 +90,8 @@
     pub fn next_bytes(&mut self) -> Option<Bytes> {
         loop {
             match self.socket.read() {
-                Ok(Packet::Binary(bytes)) => return Some(bytes),
-                Ok(Packet::Close(_)) | Err(_) => return None,
+                Ok(WsMessage::Binary(bytes)) => return Some(bytes),
+                Ok(WsMessage::Close(_)) | Err(_) => return None,
                 Ok(_) => {}
             }
         }
--- a/tests/peer/relay.rs
+++ b/tests/peer/relay.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::Duration;
 
-use ragwortfold::peer::error::{Dispatch, OpenError, Reason, StreamError};
+use ragwortfold::peer::error::{Dispatch, LinkEndReason, OpenError, StreamError};
 use ragwortfold::peer::frame::{self, Files, Frame, Message, Refused, Reset, Unknown};
 use ragwortfold::peer::mesh::Event;
 use ragwortfold::peer::stream::{Incoming, Open, Reply, Stream};
@@ -125,8 +125,8 @@
 fn a_reader_widens_the_window_while_there_is_room() {
     for (buffer, credit) in [(1 << 20, (256 - 64 + 16) << 10), (0, 16 << 10)] {
         let node = Node::with("ent-a", |config| {
-            config.silence = PATIENCE;
-            config.buffer = buffer;
+            config.silence_timeout = PATIENCE;
+            config.window_pool_bytes = buffer;
         });
         let mut raw = Raw::join(node.mesh.address());
         raw.send(&open_frame());
@@ -258,7 +258,7 @@
             let head = stream.read_head(PATIENCE);
             assert!(matches!(head, $head), "{head:?}");
             if let Ok(Reply::Refused { .. } | Reply::Unknown { .. }) = head {
-                assert_eq!(stream.read_body(&mut [0; 1]), Err(StreamError::Order));
+                assert_eq!(stream.read_body(&mut [0; 1]), Err(StreamError::InvalidState));
             }
             if let Ok(Reply::Head { .. }) = head {
                 let (body, end) = read_all(|buffer| stream.read_body(buffer));
@@ -289,21 +289,21 @@
         raw.send(&Frame::Unknown(Unknown { stream: 2, reason: "target".to_owned() }));
         None
     };
-    cut_after_the_head: Ok(_), ("", Err(StreamError::Cut)) => |mut raw| {
+    cut_after_the_head: Ok(_), ("", Err(StreamError::Truncated)) => |mut raw| {
         raw.send_head(2, Some(5));
         None
     };
-    cut_within_the_body: Ok(_), ("abc", Err(StreamError::Cut)) => |mut raw| {
+    cut_within_the_body: Ok(_), ("abc", Err(StreamError::Truncated)) => |mut raw| {
         raw.send_head(2, Some(5));
         raw.send_data(2, b"abc", false);
         None
     };
-    cut_before_an_unknown_length_ends: Ok(_), ("abc", Err(StreamError::Cut)) => |mut raw| {
+    cut_before_an_unknown_length_ends: Ok(_), ("abc", Err(StreamError::Truncated)) => |mut raw| {
         raw.send_head(2, None);
         raw.send_data(2, b"abc", false);
         None
     };
-    reset_within_the_body: Ok(_), ("abc", Err(StreamError::Cut)) => |mut raw| {
+    reset_within_the_body: Ok(_), ("abc", Err(StreamError::Truncated)) => |mut raw| {
         raw.send_head(2, Some(5));
         raw.send_data(2, b"abc", false);
         raw.send(&Frame::Reset(Reset { stream: 2 }));
@@ -314,12 +314,12 @@
         raw.send_data(2, b"abcde", true);
         None
     };
-    too_short: Ok(_), ("abc", Err(StreamError::Length { declared: 5, actual: 3 })) => |mut raw| {
+    too_short: Ok(_), ("abc", Err(StreamError::WrongLength { declared: 5, actual: 3 })) => |mut raw| {
         raw.send_head(2, Some(5));
         raw.send_data(2, b"abc", true);
         Some(raw)
     };
-    too_long: Ok(_), (_, Err(StreamError::Length { declared: 5, actual: 6 })) => |mut raw| {
+    too_long: Ok(_), (_, Err(StreamError::WrongLength { declared: 5, actual: 6 })) => |mut raw| {
         raw.send_head(2, Some(5));
         raw.send_data(2, b"abc", false);
         raw.send_data(2, b"def", false);
@@ -515,12 +515,12 @@
     unknown_to_the_host: Ok(Reply::Unknown { .. }), _ => |incoming| {
         incoming.unknown("target").unwrap();
     };
-    finished_short: Ok(Reply::Head { .. }) | Err(StreamError::Uncertain), Err(StreamError::Cut)
+    finished_short: Ok(Reply::Head { .. }) | Err(StreamError::Uncertain), Err(StreamError::Truncated)
     => |mut incoming| {
         incoming.reply_head(200, &[], Some(5)).unwrap();
         incoming.write_body(b"abc").unwrap();
         let end = incoming.finish();
-        assert_eq!(end, Err(StreamError::Length { declared: 5, actual: 3 }));
+        assert_eq!(end, Err(StreamError::WrongLength { declared: 5, actual: 3 }));
     };
     finished_unread: Ok(Reply::Head { status: 413, .. }), Ok(()) => |mut incoming| {
         incoming.reply_head(413, &[], Some(0)).unwrap();
@@ -550,8 +550,8 @@
 
 #[test]
 fn streams_beyond_the_limit_are_refused() {
-    let a = Node::with("ent-a", |config| config.streams = 3);
-    let b = Node::with("ent-b", |config| config.streams = 2);
+    let a = Node::with("ent-a", |config| config.max_streams = 3);
+    let b = Node::with("ent-b", |config| config.max_streams = 2);
     let (a, b) = pair_of(a, b);
     let open = || a.mesh.open("ent-b", &request(), PATIENCE);
     let mut streams: Vec<_> = (0..3).map(|_| open().unwrap()).collect();
@@ -560,7 +560,7 @@
         streams[2].read_head(PATIENCE),
         Ok(Reply::Refused { .. })
     ));
-    assert_eq!(open().err(), Some(OpenError::Streams));
+    assert_eq!(open().err(), Some(OpenError::StreamLimit));
     drop(kept);
     drop(streams);
     let arrived = || b.count("streams_in") + b.count("streams_refused");
@@ -604,5 +604,5 @@
     drop(a.mesh);
     assert_eq!(stream.read_head(PATIENCE), Err(StreamError::Uncertain));
     eventually("cancel", || incoming.is_cancelled());
-    assert_eq!(b.wait_down("ent-a"), Reason::Lost);
+    assert_eq!(b.wait_down("ent-a"), LinkEndReason::Lost);
 }
