--- a/benches/peer.rs
+++ b/benches/peer.rs
@@ -76,7 +76,7 @@
     });
     let address = link.as_ref().map_or(to.address(), Link::address);
     from.set_peers([("ent-b".into(), address)].into_iter().collect());
-    while from.linked().is_empty() {
+    while from.linked_hosts().is_empty() {
         thread::yield_now();
     }
     Pair {
--- a/src/peer/channel.rs
+++ b/src/peer/channel.rs
@@ -328,12 +328,16 @@
     /// Grants credit once at least a quarter of the window is free. The first grant enlarges the window if
     /// the body may need it and the pool has room.
     fn replenish_credit(&self, receiving: &mut IncomingBody) -> Option<Frame> {
-        if receiving.is_ended || receiving.is_covered() {
+        if receiving.is_ended || receiving.is_rest_granted() {
             return None;
         }
         let extra = self.windows.full.saturating_sub(self.windows.initial);
-        let is_first = receiving.window == self.windows.initial;
-        if is_first && receiving.is_long() && extra > 0 && self.windows.pool.reserve(extra) {
+        let is_initial_window = receiving.window == self.windows.initial;
+        if is_initial_window
+            && receiving.may_exceed_window()
+            && extra > 0
+            && self.windows.pool.reserve(extra)
+        {
             receiving.window += extra;
         }
         let used = receiving.granted_bytes + receiving.buffered as u64;
@@ -359,7 +363,7 @@
         Some(dispatch)
     }
 
-    /// Whether the request may have reached the other host.
+    /// Whether the request may have been sent to the other host.
     pub(crate) fn dispatch(&self) -> Dispatch {
         lock(&self.state).dispatch()
     }
--- a/src/peer/channel/body.rs
+++ b/src/peer/channel/body.rs
@@ -115,13 +115,13 @@
 
 impl IncomingBody {
     /// Whether the body may be longer than the window.
-    pub(super) fn is_long(&self) -> bool {
+    pub(super) fn may_exceed_window(&self) -> bool {
         self.declared_length
             .is_none_or(|declared| declared > self.window as u64)
     }
 
     /// Whether the credit granted covers the rest of the body.
-    pub(super) fn is_covered(&self) -> bool {
+    pub(super) fn is_rest_granted(&self) -> bool {
         self.declared_length
             .is_some_and(|declared| self.received_bytes + self.granted_bytes >= declared)
     }
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -27,7 +27,7 @@
 /// The socket type of links.
 pub(crate) type Socket = WebSocketStream<TcpStream>;
 
-/// Bytes after which a batch of frames is flushed. Later control frames queue behind the batch.
+/// Bytes after which a batch_bytes of frames is flushed. Later control frames queue behind the batch_bytes.
 const FLUSH_THRESHOLD_BYTES: usize = 32 << 10;
 
 /// Pongs that an otherwise unused link sends within the silence timeout.
@@ -267,18 +267,18 @@
             return self.loss_reason();
         }
         loop {
-            let mut batch = 0;
-            while batch < FLUSH_THRESHOLD_BYTES {
+            let mut batch_bytes = 0;
+            while batch_bytes < FLUSH_THRESHOLD_BYTES {
                 let Some(bytes) = self.next_frame() else {
                     break;
                 };
-                batch += bytes.len();
+                batch_bytes += bytes.len();
                 if sink.feed(WsMessage::Binary(bytes)).await.is_err() {
                     return self.loss_reason();
                 }
             }
-            if batch > 0 {
-                self.core.counters.bytes_out.add(batch as u64);
+            if batch_bytes > 0 {
+                self.core.counters.bytes_out.add(batch_bytes as u64);
                 if sink.flush().await.is_err() {
                     return self.loss_reason();
                 }
@@ -371,7 +371,7 @@
         self.is_confirmed.load(Ordering::Relaxed)
     }
 
-    fn confirm(&self) {
+    fn mark_confirmed(&self) {
         if !self.is_confirmed.swap(true, Ordering::Relaxed) {
             self.core.on_confirmed(&self.host);
         }
--- a/src/peer/link/inbound.rs
+++ b/src/peer/link/inbound.rs
@@ -61,7 +61,7 @@
                 Ok(Some(Err(error))) => return self.end_reason(&error),
                 Ok(Some(Ok(packet))) => packet,
             };
-            self.confirm();
+            self.mark_confirmed();
             let bytes = match packet {
                 WsMessage::Binary(bytes) => bytes,
                 WsMessage::Ping(_) | WsMessage::Pong(_) => continue,
@@ -146,7 +146,7 @@
 
     fn on_part(
         &self,
-        end: bool,
+        is_last: bool,
         bytes: &[u8],
         partial_message: &mut BytesMut,
     ) -> Result<(), Fault> {
@@ -154,7 +154,7 @@
             return Err(Fault::Oversize);
         }
         partial_message.extend_from_slice(bytes);
-        if !end {
+        if !is_last {
             return Ok(());
         }
         match frame::decode_message(&std::mem::take(partial_message))? {
@@ -233,11 +233,11 @@
         Ok(())
     }
 
-    fn on_data(&self, stream: u64, bytes: Bytes, end: bool) -> Result<(), Fault> {
+    fn on_data(&self, stream: u64, bytes: Bytes, is_end: bool) -> Result<(), Fault> {
         let Some(channel) = self.find_for_either_role(stream)? else {
             return Ok(());
         };
-        match channel.on_data(bytes, end)? {
+        match channel.on_data(bytes, is_end)? {
             Received::Accepted => {}
             Received::Complete => self.remove(stream),
             Received::WrongLength => {
--- a/src/peer/mesh.rs
+++ b/src/peer/mesh.rs
@@ -25,7 +25,7 @@
 /// An event that a mesh passes to its handler. The handler runs on threads of the mesh and must not
 /// block.
 pub enum Event {
-    /// The first link with a host was established.
+    /// A host is linked: the first link with its current incarnation was established.
     Up {
         /// The name of the host.
         host: Arc<str>,
@@ -34,13 +34,13 @@
         /// Its availability zone.
         zone: Arc<str>,
     },
-    /// The last link with a host ended.
+    /// A host is no longer linked: its last link ended, or a later incarnation replaced it.
     Down {
         /// The name of the host.
         host: Arc<str>,
         /// The incarnation that was linked.
         incarnation: u64,
-        /// Why the link ended.
+        /// Why the host is no longer linked.
         reason: LinkEndReason,
     },
     /// A control message was received.
@@ -138,7 +138,7 @@
     }
 
     /// The names and incarnations of the linked hosts.
-    pub fn linked(&self) -> BTreeMap<Arc<str>, u64> {
+    pub fn linked_hosts(&self) -> BTreeMap<Arc<str>, u64> {
         lock(&self.core.table)
             .peers
             .iter()
@@ -350,17 +350,20 @@
     /// Delays a reconnect, so that the two hosts seldom dial each other at the same time. The host with
     /// the greater name waits longer; a link that a request waits for is dialled without delay.
     pub(crate) async fn delay_reconnect(&self, host: &Arc<str>) {
-        let (pause, is_demanded) = {
+        let (pause, is_requested) = {
             let table = lock(&self.table);
             let peer = table.peers.get(host);
-            let demand = peer.and_then(|peer| peer.wanted_until);
+            let requested_until = peer.and_then(|peer| peer.wanted_until);
             let pause = match peer.is_some_and(|peer| peer.preferred_link().is_some()) {
                 true => Duration::ZERO,
                 false => connect::jitter(self.config.backoff.0 / 2),
             };
-            (pause, demand.is_some_and(|until| Instant::now() < until))
+            (
+                pause,
+                requested_until.is_some_and(|until| Instant::now() < until),
+            )
         };
-        if is_demanded {
+        if is_requested {
             return;
         }
         let extra_pause = match *self.config.host < **host {
--- a/src/peer/outbox.rs
+++ b/src/peer/outbox.rs
@@ -40,9 +40,9 @@
 
 /// The queues of one link.
 pub(crate) struct Outbox {
-    control: VecDeque<Bytes>,
-    small: VecDeque<Arc<Channel>>,
-    bulk: VecDeque<BulkItem>,
+    control_frames: VecDeque<Bytes>,
+    small_streams: VecDeque<Arc<Channel>>,
+    bulk_items: VecDeque<BulkItem>,
     large_messages: VecDeque<Bytes>,
     goodbye: Option<Bytes>,
     queued_bytes: usize,
@@ -56,9 +56,9 @@
     /// An empty outbox that holds at most `max_queued_bytes` bytes of control messages.
     pub(crate) fn new(max_queued_bytes: usize, now: Instant) -> Outbox {
         Outbox {
-            control: VecDeque::new(),
-            small: VecDeque::new(),
-            bulk: VecDeque::new(),
+            control_frames: VecDeque::new(),
+            small_streams: VecDeque::new(),
+            bulk_items: VecDeque::new(),
             large_messages: VecDeque::new(),
             goodbye: None,
             queued_bytes: 0,
@@ -86,9 +86,9 @@
 
     /// Whether all queues are empty.
     pub(crate) fn is_empty(&self) -> bool {
-        self.control.is_empty()
-            && self.small.is_empty()
-            && self.bulk.is_empty()
+        self.control_frames.is_empty()
+            && self.small_streams.is_empty()
+            && self.bulk_items.is_empty()
             && self.goodbye.is_none()
     }
 
@@ -114,7 +114,7 @@
         }
         self.queued_bytes += message.len();
         if self.large_messages.is_empty() {
-            self.bulk.push_back(BulkItem::Message);
+            self.bulk_items.push_back(BulkItem::Message);
         }
         self.large_messages.push_back(message.clone());
         true
@@ -122,7 +122,7 @@
 
     fn queue_control(&mut self, frame: Bytes) {
         self.queued_bytes += frame.len();
-        self.control.push_back(frame);
+        self.control_frames.push_back(frame);
     }
 
     /// Queues a new stream. False if the link accepts no new streams.
@@ -130,7 +130,7 @@
         if self.phase != Phase::Open {
             return false;
         }
-        self.small.push_back(channel);
+        self.small_streams.push_back(channel);
         true
     }
 
@@ -140,29 +140,30 @@
             return;
         }
         match queue {
-            SendQueue::Small => self.small.push_back(channel),
-            SendQueue::Bulk => self.bulk.push_back(BulkItem::Stream(channel)),
+            SendQueue::Small => self.small_streams.push_back(channel),
+            SendQueue::Bulk => self.bulk_items.push_back(BulkItem::Stream(channel)),
         }
     }
 
     /// Removes and returns the next item to write.
     pub(crate) fn pop_next(&mut self) -> Option<OutboxItem> {
-        if let Some(frame) = self.control.pop_front() {
+        if let Some(frame) = self.control_frames.pop_front() {
             self.queued_bytes -= frame.len();
             return Some(OutboxItem::Frame(frame));
         }
-        if self.goodbye.is_some() && !self.small.iter().any(is_unsent) {
+        if self.goodbye.is_some() && !self.small_streams.iter().any(is_unsent) {
             return self.goodbye.take().map(OutboxItem::Frame);
         }
-        let is_bulk_due = self.small_turns >= SMALL_TURNS_PER_BULK_TURN && !self.bulk.is_empty();
+        let is_bulk_due =
+            self.small_turns >= SMALL_TURNS_PER_BULK_TURN && !self.bulk_items.is_empty();
         if !is_bulk_due {
-            if let Some(channel) = self.small.pop_front() {
+            if let Some(channel) = self.small_streams.pop_front() {
                 self.small_turns += 1;
                 return Some(OutboxItem::Stream(channel));
             }
         }
         self.small_turns = 0;
-        match self.bulk.pop_front()? {
+        match self.bulk_items.pop_front()? {
             BulkItem::Stream(channel) => Some(OutboxItem::Stream(channel)),
             BulkItem::Message => self.next_part().map(OutboxItem::Frame),
         }
@@ -178,7 +179,7 @@
             self.large_messages.pop_front();
         }
         if !self.large_messages.is_empty() {
-            self.bulk.push_back(BulkItem::Message);
+            self.bulk_items.push_back(BulkItem::Message);
         }
         Some(frame::encode_with(&Frame::Part(Part { end }), &bytes))
     }
@@ -195,17 +196,17 @@
     /// Closes the queues and drops their frames. Returns the queued streams.
     pub(crate) fn close(&mut self) -> Vec<Arc<Channel>> {
         self.phase = Phase::Closed;
-        self.control.clear();
+        self.control_frames.clear();
         self.large_messages.clear();
         self.goodbye = None;
         self.queued_bytes = 0;
-        let bulk = std::mem::take(&mut self.bulk)
+        let bulk = std::mem::take(&mut self.bulk_items)
             .into_iter()
             .filter_map(|turn| match turn {
                 BulkItem::Stream(channel) => Some(channel),
                 BulkItem::Message => None,
             });
-        let small = std::mem::take(&mut self.small);
+        let small = std::mem::take(&mut self.small_streams);
         small.into_iter().chain(bulk).collect()
     }
 }
--- a/tests/peer/links.rs
+++ b/tests/peer/links.rs
@@ -1,4 +1,4 @@
-//! Links as such: control messages, duplicates, silence, demand and the end.
+//! Tests of links: control messages, duplicate links, silence, links on demand and closing.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -33,7 +33,7 @@
     a.mesh.send("ent-b", &message).unwrap();
     a.mesh.send("ent-b", &message).unwrap();
     for _ in 0..2 {
-        let Message::Files(got) = b.wait(|event| match event {
+        let Message::Files(received) = b.wait(|event| match event {
             Event::Control { message, .. } => Some(message),
             _ => None,
         }) else {
@@ -42,12 +42,12 @@
         let Message::Files(sent) = &message else {
             unreachable!()
         };
-        assert!(got.files == sent.files);
+        assert!(received.files == sent.files);
     }
 }
 
 #[test]
-fn what_cannot_be_sent_is_said() {
+fn unsendable_messages_return_errors() {
     let (a, b) = pair_of(
         Node::with("ent-a", |config| config.max_message_bytes = 1 << 20),
         Node::new("ent-b"),
@@ -75,42 +75,42 @@
         b.link_to("ent-a", a.mesh.address());
         a.wait_up("ent-b");
         b.wait_up("ent-a");
-        // Whatever is surplus goes away without anybody being reported down.
+        // The surplus link is closed without a `Down` event on either side.
         for _ in 0..20 {
             exchange(&a, &b, "ent-b");
             exchange(&b, &a, "ent-a");
         }
         assert!(!a.has_down());
         assert!(!b.has_down());
-        assert_eq!(a.count("lost") + b.count("lost"), 0);
+        assert_eq!(a.counter("lost") + b.counter("lost"), 0);
     }
 }
 
-/// Sends an empty request one way and its reply back.
+/// Relays an empty request from one node to another and reads the reply.
 fn exchange(from: &Node, to: &Node, name: &str) {
-    let mut stream = from.mesh.open(name, &request(), PATIENCE).unwrap();
+    let mut stream = from.mesh.open(name, &request(), TEST_TIMEOUT).unwrap();
     stream.finish_body().unwrap();
     let incoming = loop {
-        match to.next() {
+        match to.next_event() {
             Event::Open(incoming) => break incoming,
-            Event::Down { .. } => panic!("down"),
+            Event::Down { .. } => panic!("a link was reported down"),
             _ => {}
         }
     };
     echo(incoming).unwrap();
-    stream.read_head(PATIENCE).unwrap();
+    stream.read_head(TEST_TIMEOUT).unwrap();
     assert_eq!(read_all(|buffer| stream.read_body(buffer)).1, Ok(()));
 }
 
 #[test]
 fn a_silent_link_ends_on_both_sides_and_comes_back() {
-    let quick = Duration::from_millis(300);
-    let b = Node::with("ent-b", |config| config.silence_timeout = quick);
+    let short_silence = Duration::from_millis(300);
+    let b = Node::with("ent-b", |config| config.silence_timeout = short_silence);
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let link = Link::new(any, b.mesh.address()).unwrap();
     let a = Node::with("ent-a", |config| {
-        config.silence_timeout = quick;
-        config.handshake_timeout = quick;
+        config.silence_timeout = short_silence;
+        config.handshake_timeout = short_silence;
     });
     a.link_to("ent-b", link.address());
     a.wait_up("ent-b");
@@ -126,12 +126,12 @@
 
 #[test]
 fn one_direction_lost_ends_the_link_on_both_sides() {
-    let quick = Duration::from_millis(300);
+    let short_silence = Duration::from_millis(300);
     for is_forth in [true, false] {
-        let b = Node::with("ent-b", |config| config.silence_timeout = quick);
+        let b = Node::with("ent-b", |config| config.silence_timeout = short_silence);
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let link = Link::new(any, b.mesh.address()).unwrap();
-        let a = Node::with("ent-a", |config| config.silence_timeout = quick);
+        let a = Node::with("ent-a", |config| config.silence_timeout = short_silence);
         a.link_to("ent-b", link.address());
         a.wait_up("ent-b");
         b.wait_up("ent-a");
@@ -173,30 +173,32 @@
 }
 
 #[test]
-fn what_cannot_be_reached_is_said_at_once() {
-    let a = Node::with("ent-a", |config| config.backoff = (PATIENCE, PATIENCE));
-    let open = |host: &str| a.mesh.open(host, &request(), PATIENCE).err();
+fn unreachable_hosts_return_errors_at_once() {
+    let a = Node::with("ent-a", |config| {
+        config.backoff = (TEST_TIMEOUT, TEST_TIMEOUT)
+    });
+    let open = |host: &str| a.mesh.open(host, &request(), TEST_TIMEOUT).err();
     assert_eq!(open("ent-b"), Some(OpenError::UnknownHost("ent-b".into())));
-    let free = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let nobody = free.local_addr().unwrap();
-    drop(free);
-    a.mesh.set_directory(peers([("ent-b", nobody)]));
+    let unused_listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let closed_port = unused_listener.local_addr().unwrap();
+    drop(unused_listener);
+    a.mesh.set_directory(peers([("ent-b", closed_port)]));
     let unreachable = Some(OpenError::Unreachable("ent-b".into()));
     assert_eq!(open("ent-b"), unreachable);
-    // The second time nobody is dialled.
+    // The second request fails within the backoff, without another connection attempt.
     assert_eq!(open("ent-b"), unreachable);
-    assert_eq!(a.count("connect_failed"), 1);
+    assert_eq!(a.counter("connect_failed"), 1);
 }
 
 #[test]
 fn closing_lets_streams_finish() {
     let (a, b) = pair();
-    let mut stream = a.mesh.open("ent-b", &upload(), PATIENCE).unwrap();
-    let incoming = b.incoming();
+    let mut stream = a.mesh.open("ent-b", &upload(), TEST_TIMEOUT).unwrap();
+    let incoming = b.wait_incoming();
     let mesh = b.mesh;
     thread::scope(|scope| {
-        let closing = scope.spawn(move || mesh.close(PATIENCE));
-        eventually("goodbye", || {
+        let closing = scope.spawn(move || mesh.close(TEST_TIMEOUT));
+        wait_until("the goodbye", || {
             a.mesh
                 .open("ent-b", &request(), Duration::from_millis(1))
                 .is_err()
@@ -206,9 +208,9 @@
         let body = pattern(1 << 20);
         stream.write_body(&body).unwrap();
         stream.finish_body().unwrap();
-        stream.read_head(PATIENCE).unwrap();
-        let (got, end) = read_all(|buffer| stream.read_body(buffer));
-        assert!(end == Ok(()) && got == body);
+        stream.read_head(TEST_TIMEOUT).unwrap();
+        let (received, end) = read_all(|buffer| stream.read_body(buffer));
+        assert!(end == Ok(()) && received == body);
         server.join().unwrap().unwrap();
         assert_eq!(a.wait_down("ent-b"), LinkEndReason::Goodbye);
         closing.join().unwrap();
@@ -216,7 +218,7 @@
 }
 
 #[test]
-fn hosts_find_each_other_in_any_order() {
+fn a_full_mesh_forms_when_all_hosts_dial_each_other() {
     let nodes: Vec<Node> = (0..6).map(|i| Node::new(&format!("ent-{i}"))).collect();
     let names: Vec<String> = (0..6).map(|i| format!("ent-{i}")).collect();
     for node in &nodes {
@@ -228,6 +230,6 @@
         node.mesh.set_peers(all);
     }
     for node in &nodes {
-        eventually("a full mesh", || node.mesh.linked().len() == 5);
+        wait_until("a full mesh", || node.mesh.linked_hosts().len() == 5);
     }
 }
--- a/tests/peer/main.rs
+++ b/tests/peer/main.rs
@@ -1,9 +1,9 @@
-//! Links between hosts over real sockets on loopback: contract and fault tables.
+//! Tests of links between hosts, over real sockets on the loopback interface.
 
 #![allow(clippy::unwrap_used)]
 #![allow(
     clippy::redundant_pattern_matching,
-    reason = "the macro of cases matches whatever a case names"
+    reason = "the test macros match any pattern that a case gives, also plain variants"
 )]
 
 mod auth;
--- a/tests/peer/node.rs
+++ b/tests/peer/node.rs
@@ -1,4 +1,4 @@
-//! A mesh under test and what it reported.
+//! A mesh under test and its events.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,8 +13,8 @@
 use ragwortfold::peer::mesh::{Event, Mesh};
 use ragwortfold::peer::stream::{Incoming, Open};
 
-/// Longer than anything here takes on a crowded machine.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Time limit of every wait; longer than any step takes on a loaded machine.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub const SECRET: &str = "a secret of all entry hosts";
 
@@ -29,9 +29,9 @@
         Node::with(host, |_| {})
     }
 
-    /// A mesh that takes long silence for nothing, as raw peers send no signs of life.
-    pub fn patient(host: &str) -> Node {
-        Node::with(host, |config| config.silence_timeout = PATIENCE)
+    /// A mesh with a long silence timeout, because raw peers send no pongs.
+    pub fn with_long_silence(host: &str) -> Node {
+        Node::with(host, |config| config.silence_timeout = TEST_TIMEOUT)
     }
 
     pub fn with(host: &str, change: impl FnOnce(&mut Config)) -> Node {
@@ -48,12 +48,12 @@
         }
     }
 
-    pub fn next(&self) -> Event {
+    pub fn next_event(&self) -> Event {
         let events = self.events.lock().expect("no panic");
-        events.recv_timeout(PATIENCE).expect("an event")
+        events.recv_timeout(TEST_TIMEOUT).expect("an event")
     }
 
-    /// Whether a host was reported down among the events that are here.
+    /// Whether any event received so far reports a host as down.
     pub fn has_down(&self) -> bool {
         let events = self.events.lock().expect("no panic");
         let found = events
@@ -62,16 +62,16 @@
         found
     }
 
-    /// The first event that `pick` takes; others are dropped.
+    /// Waits for the first event for which `pick` returns a value. Drops the events before it.
     pub fn wait<T>(&self, mut pick: impl FnMut(Event) -> Option<T>) -> T {
         loop {
-            if let Some(found) = pick(self.next()) {
+            if let Some(found) = pick(self.next_event()) {
                 return found;
             }
         }
     }
 
-    /// Waits until a host is up; returns its incarnation.
+    /// Waits until a host is linked. Returns its incarnation.
     pub fn wait_up(&self, name: &str) -> u64 {
         self.wait(|event| match event {
             Event::Up {
@@ -81,7 +81,7 @@
         })
     }
 
-    /// Waits until a host is down; returns why.
+    /// Waits until a host is no longer linked. Returns the reason.
     pub fn wait_down(&self, name: &str) -> LinkEndReason {
         self.wait(|event| match event {
             Event::Down { host, reason, .. } => (*host == *name).then_some(reason),
@@ -96,7 +96,7 @@
         })
     }
 
-    pub fn incoming(&self) -> Incoming {
+    pub fn wait_incoming(&self) -> Incoming {
         self.wait(|event| match event {
             Event::Open(incoming) => Some(incoming),
             _ => None,
@@ -108,7 +108,7 @@
     }
 
     /// The value of a counter.
-    pub fn count(&self, name: &str) -> u64 {
+    pub fn counter(&self, name: &str) -> u64 {
         let counters = self.mesh.counters();
         let found = counters.iter().find(|(known, _)| *known == name);
         found.expect("a counter of that name").1
@@ -122,7 +122,7 @@
         .collect()
 }
 
-/// Two hosts that are linked.
+/// Two linked hosts.
 pub fn pair() -> (Node, Node) {
     pair_of(Node::new("ent-a"), Node::new("ent-b"))
 }
@@ -134,11 +134,14 @@
     (a, b)
 }
 
-/// Polls until a condition holds.
-pub fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
-    while !holds() {
-        assert!(Instant::now() < until, "not in time: {what}");
+/// Polls a condition until it holds. Panics after [`TEST_TIMEOUT`].
+pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
+    let until = Instant::now() + TEST_TIMEOUT;
+    while !condition() {
+        assert!(
+            Instant::now() < until,
+            "timed out waiting for {description}"
+        );
         thread::yield_now();
     }
 }
@@ -154,11 +157,11 @@
 }
 
 pub fn request() -> Open {
-    Open::new("r-1", "lookups", "GET", "/passes?x=1", PATIENCE)
+    Open::new("r-1", "lookups", "GET", "/passes?x=1", TEST_TIMEOUT)
 }
 
 pub fn upload() -> Open {
-    Open::new("r-2", "telemetry", "PUT", "/files/1", PATIENCE).with_length(None)
+    Open::new("r-2", "telemetry", "PUT", "/files/1", TEST_TIMEOUT).with_length(None)
 }
 
 /// Reads a body to its end, or to the error that it ends with.
@@ -176,7 +179,7 @@
     }
 }
 
-/// Bytes that differ from place to place.
+/// Bytes that depend on their position, so that misplaced chunks are detected.
 pub fn pattern(length: usize) -> Vec<u8> {
     (0..length).map(|i| (i * 31 + i / 251) as u8).collect()
 }
--- a/tests/peer/raw.rs
+++ b/tests/peer/raw.rs
@@ -1,4 +1,4 @@
-//! A peer that speaks the protocol by hand, so that it can break it.
+//! A peer that sends arbitrary frames, for tests of protocol violations.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
@@ -8,42 +8,44 @@
 use ragwortfold::peer::auth::{self, Side, Transcript};
 use ragwortfold::peer::frame::{self, Data, Decoded, Frame, Head, Hello, Proof};
 
-use super::node::{PATIENCE, SECRET};
+use super::node::{SECRET, TEST_TIMEOUT};
 
-/// The name that raw peers go by.
-pub const NAME: &str = "ent-x";
+/// The host name of raw peers.
+pub const RAW_PEER_NAME: &str = "ent-x";
 
 /// A connection to a mesh.
-pub struct Raw {
+pub struct RawPeer {
     pub socket: WebSocket<TcpStream>,
 }
 
-impl Raw {
-    /// Connects and upgrades, no more.
-    pub fn connect(address: SocketAddr) -> Raw {
-        let stream = tcp(address);
+impl RawPeer {
+    /// Connects and performs the WebSocket upgrade, without the handshake of the link.
+    pub fn connect(address: SocketAddr) -> RawPeer {
+        let stream = connect_tcp(address);
         let (socket, _) = tungstenite::client("ws://peer.invalid/", stream).expect("an upgrade");
-        Raw { socket }
+        RawPeer { socket }
     }
 
-    /// Accepts and upgrades, no more.
-    pub fn accept(listener: &TcpListener) -> Raw {
+    /// Accepts a connection and the WebSocket upgrade, without the handshake of the link.
+    pub fn accept(listener: &TcpListener) -> RawPeer {
         let (stream, _) = listener.accept().expect("a connection");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
         let socket = tungstenite::accept(stream).expect("an upgrade");
-        Raw { socket }
+        RawPeer { socket }
     }
 
     /// Connects to `ent-a` and authenticates.
-    pub fn join(address: SocketAddr) -> Raw {
-        Raw::join_with(address, hello())
+    pub fn connect_authenticated(address: SocketAddr) -> RawPeer {
+        RawPeer::connect_authenticated_with(address, hello())
     }
 
-    pub fn join_with(address: SocketAddr, hello: Hello) -> Raw {
-        let mut raw = Raw::connect(address);
-        let transcript = raw.greet(hello, SECRET);
-        raw.prove(&transcript, Side::Dialling);
-        let Some(Frame::Proof(proof)) = raw.next() else {
+    pub fn connect_authenticated_with(address: SocketAddr, hello: Hello) -> RawPeer {
+        let mut raw = RawPeer::connect(address);
+        let transcript = raw.exchange_hellos(hello, SECRET);
+        raw.send_proof(&transcript, Side::Dialling);
+        let Some(Frame::Proof(proof)) = raw.next_frame() else {
             panic!("no proof");
         };
         assert!(transcript.is_proven(Side::Accepting, &proof.mac));
@@ -51,14 +53,14 @@
     }
 
     /// Exchanges hellos.
-    pub fn greet(&mut self, hello: Hello, secret: &str) -> Transcript {
+    pub fn exchange_hellos(&mut self, hello: Hello, secret: &str) -> Transcript {
         let own = frame::encode(&Frame::Hello(hello));
         self.send_bytes(own.clone());
-        let theirs = self.next_bytes().expect("a hello");
-        Transcript::new(secret.into(), &own, &theirs)
+        let peer_hello = self.next_bytes().expect("a hello");
+        Transcript::new(secret.into(), &own, &peer_hello)
     }
 
-    pub fn prove(&mut self, transcript: &Transcript, side: Side) {
+    pub fn send_proof(&mut self, transcript: &Transcript, side: Side) {
         let mac = transcript.proof(side).expect("a proof");
         self.send(&Frame::Proof(Proof { mac }));
     }
@@ -68,7 +70,7 @@
     }
 
     pub fn send_bytes(&mut self, bytes: impl Into<Bytes>) {
-        // The other side may have closed already, which the test then sees.
+        // The other side may have closed the connection; the test notices that when it reads.
         let _ = self.socket.send(WsMessage::Binary(bytes.into()));
     }
 
@@ -86,7 +88,7 @@
         }));
     }
 
-    /// The next message; none once the connection is closed.
+    /// The next binary message. None once the connection is closed.
     pub fn next_bytes(&mut self) -> Option<Bytes> {
         loop {
             match self.socket.read() {
@@ -97,26 +99,28 @@
         }
     }
 
-    pub fn next(&mut self) -> Option<Frame> {
+    pub fn next_frame(&mut self) -> Option<Frame> {
         match frame::decode(&self.next_bytes()?) {
             Ok(Decoded::Known(frame, _)) => Some(frame),
             other => panic!("{other:?}"),
         }
     }
 
-    /// Reads until the open frame of a stream.
+    /// Reads until the next open frame.
     pub fn next_open(&mut self) -> frame::Open {
         loop {
-            if let Frame::Open(open) = self.next().expect("an open frame") {
+            if let Frame::Open(open) = self.next_frame().expect("an open frame") {
                 return open;
             }
         }
     }
 }
 
-pub fn tcp(address: SocketAddr) -> TcpStream {
+pub fn connect_tcp(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("a connection");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    stream
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("a time-out");
     stream
 }
 
@@ -124,7 +128,7 @@
 pub fn hello() -> Hello {
     Hello {
         version: auth::VERSION,
-        host: NAME.to_owned(),
+        host: RAW_PEER_NAME.to_owned(),
         incarnation: 1,
         zone: "zone-b".to_owned(),
         to: Some("ent-a".to_owned()),
@@ -134,7 +138,7 @@
     }
 }
 
-/// Opens a stream for an upload.
+/// An open frame of an upload of unknown length.
 pub fn open_frame() -> Frame {
     Frame::Open(frame::Open {
         request: "r".to_owned(),
--- a/tests/peer/relay.rs
+++ b/tests/peer/relay.rs
@@ -1,4 +1,4 @@
-//! Relayed requests: to the byte, with the right end at every point where they can break.
+//! Tests of relayed requests: intact bodies, flow control, and the right error wherever they may fail.
 
 use std::sync::mpsc::channel;
 use std::sync::Arc;
@@ -12,34 +12,34 @@
 use standin::link::{Fault, Flow, Link};
 
 use super::node::*;
-use super::raw::{open_frame, Raw, NAME};
+use super::raw::{open_frame, RawPeer, RAW_PEER_NAME};
 
 #[test]
-fn bodies_are_right_to_the_byte() {
+fn bodies_arrive_unchanged() {
     for length in [0, 1, 8 << 20] {
         for declared in [Some(length as u64), None] {
             let (a, b) = pair();
-            let server = thread::spawn(move || echo(b.incoming()).map(|()| b));
+            let server = thread::spawn(move || echo(b.wait_incoming()).map(|()| b));
             let body = pattern(length);
             let open = upload().with_length(declared);
-            let mut stream = a.mesh.open("ent-b", &open, PATIENCE).unwrap();
+            let mut stream = a.mesh.open("ent-b", &open, TEST_TIMEOUT).unwrap();
             stream.write_body(&body).unwrap();
             stream.finish_body().unwrap();
-            let head = stream.read_head(PATIENCE).unwrap();
+            let head = stream.read_head(TEST_TIMEOUT).unwrap();
             assert!(
                 matches!(head, Reply::Head { status: 200, length, .. } if length == declared),
                 "{head:?}"
             );
-            let (got, end) = read_all(|buffer| stream.read_body(buffer));
+            let (received, end) = read_all(|buffer| stream.read_body(buffer));
             assert_eq!(end, Ok(()));
-            assert!(got == body, "{length} bytes");
+            assert!(received == body, "{length} bytes");
             server.join().unwrap().unwrap();
         }
     }
 }
 
 #[test]
-fn the_head_passes_as_it_is() {
+fn request_heads_arrive_unchanged() {
     let (a, b) = pair();
     let open = Open {
         class: "pass-lookup".into(),
@@ -54,21 +54,21 @@
         block: Some("10.1.0.0/16".into()),
         ..request()
     };
-    let _stream = a.mesh.open("ent-b", &open, PATIENCE).unwrap();
-    let mut got = b.incoming().open.clone();
-    assert!(got.deadline <= open.deadline);
-    got.deadline = open.deadline;
-    assert_eq!(got, open);
+    let _stream = a.mesh.open("ent-b", &open, TEST_TIMEOUT).unwrap();
+    let mut received = b.wait_incoming().open.clone();
+    assert!(received.deadline <= open.deadline);
+    received.deadline = open.deadline;
+    assert_eq!(received, open);
 }
 
 #[test]
-fn fifty_streams_at_once_keep_apart() {
+fn fifty_concurrent_streams_do_not_mix() {
     let (a, b) = pair();
     let mesh = &a.mesh;
     thread::scope(|scope| {
         scope.spawn(|| {
             for _ in 0..50 {
-                let incoming = b.incoming();
+                let incoming = b.wait_incoming();
                 scope.spawn(move || echo(incoming));
             }
         });
@@ -77,108 +77,111 @@
             .collect();
         assert!(callers.into_iter().all(|caller| caller.join().unwrap()));
     });
-    // A caller may grant credit to a stream that has just ended; nothing else comes late.
-    assert_eq!((a.count("late"), a.count("violation")), (0, 0));
-    assert_eq!(b.count("violation"), 0);
+    // Only the replying side may receive late frames: credit from a caller for a stream that just ended.
+    assert_eq!((a.counter("late"), a.counter("violation")), (0, 0));
+    assert_eq!(b.counter("violation"), 0);
 }
 
-/// Whether a body comes back as it was.
+/// Whether an echoed body equals the one sent.
 fn round_trip(mesh: &ragwortfold::peer::mesh::Mesh, body: &[u8]) -> bool {
-    let mut stream = mesh.open("ent-b", &upload(), PATIENCE).unwrap();
+    let mut stream = mesh.open("ent-b", &upload(), TEST_TIMEOUT).unwrap();
     stream.write_body(body).unwrap();
     stream.finish_body().unwrap();
-    stream.read_head(PATIENCE).unwrap();
-    let (got, end) = read_all(|buffer| stream.read_body(buffer));
-    end == Ok(()) && got == body
+    stream.read_head(TEST_TIMEOUT).unwrap();
+    let (received, end) = read_all(|buffer| stream.read_body(buffer));
+    end == Ok(()) && received == body
 }
 
 #[test]
-fn an_upload_that_nobody_reads_delays_nothing_else() {
+fn an_unread_upload_does_not_delay_other_streams() {
     let (a, b) = pair();
     let body = pattern(4 << 20);
     thread::scope(|scope| {
         let writer = scope.spawn(|| {
-            let mut stream = a.mesh.open("ent-b", &upload(), PATIENCE).unwrap();
+            let mut stream = a.mesh.open("ent-b", &upload(), TEST_TIMEOUT).unwrap();
             stream.write_body(&body).unwrap();
             stream.finish_body().unwrap();
-            stream.read_head(PATIENCE).unwrap();
+            stream.read_head(TEST_TIMEOUT).unwrap();
             read_all(|buffer| stream.read_body(buffer))
         });
-        let stalled = b.incoming();
-        // All of this happens while not a byte of the upload is read.
+        let stalled = b.wait_incoming();
+        // Messages and small requests pass while no byte of the upload is read.
         for sequence in 0..20 {
             a.mesh.send("ent-b", &heartbeat(sequence)).unwrap();
             b.wait_message();
             let small = scope.spawn(|| round_trip(&a.mesh, b"small"));
-            echo(b.incoming()).unwrap();
+            echo(b.wait_incoming()).unwrap();
             assert!(small.join().unwrap());
         }
         assert!(!writer.is_finished());
-        assert!(b.count("bytes_in") < 200 << 10);
+        assert!(b.counter("bytes_in") < 200 << 10);
         echo(stalled).unwrap();
-        let (got, end) = writer.join().unwrap();
-        assert!(end == Ok(()) && got == body);
+        let (received, end) = writer.join().unwrap();
+        assert!(end == Ok(()) && received == body);
     });
 }
 
 #[test]
-fn a_reader_widens_the_window_while_there_is_room() {
+fn reading_enlarges_the_window_while_the_pool_has_room() {
     for (buffer, credit) in [(1 << 20, (256 - 64 + 16) << 10), (0, 16 << 10)] {
         let node = Node::with("ent-a", |config| {
-            config.silence_timeout = PATIENCE;
+            config.silence_timeout = TEST_TIMEOUT;
             config.window_pool_bytes = buffer;
         });
-        let mut raw = Raw::join(node.mesh.address());
+        let mut raw = RawPeer::connect_authenticated(node.mesh.address());
         raw.send(&open_frame());
         for _ in 0..4 {
             raw.send_data(1, &[0; 16 << 10], false);
         }
-        let mut incoming = node.incoming();
+        let mut incoming = node.wait_incoming();
         let mut read = 0;
         while read < 16 << 10 {
             read += incoming.read_body(&mut vec![0; (16 << 10) - read]).unwrap();
         }
-        let Some(Frame::Credit(got)) = raw.next() else {
+        let Some(Frame::Credit(received)) = raw.next_frame() else {
             panic!("no credit");
         };
-        assert_eq!((got.stream, got.bytes), (1, credit));
+        assert_eq!((received.stream, received.bytes), (1, credit));
     }
 }
 
 #[test]
-fn control_passes_bulk_that_waits() {
-    let node = Node::patient("ent-a");
-    let mut raw = Raw::join(node.mesh.address());
-    node.wait_up(NAME);
+fn control_messages_overtake_queued_bulk() {
+    let node = Node::with_long_silence("ent-a");
+    let mut raw = RawPeer::connect_authenticated(node.mesh.address());
+    node.wait_up(RAW_PEER_NAME);
     thread::scope(|scope| {
         let uploads: Vec<_> = (0..4)
             .map(|_| {
                 scope.spawn(|| {
-                    let mut stream = node.mesh.open(NAME, &upload(), PATIENCE).unwrap();
+                    let mut stream = node
+                        .mesh
+                        .open(RAW_PEER_NAME, &upload(), TEST_TIMEOUT)
+                        .unwrap();
                     stream.write_body(&vec![0; 16 << 20])
                 })
             })
             .collect();
-        // The peer reads nothing, so the connection fills up and the link is stuck within bulk.
-        stuck(&node);
+        // The peer reads nothing, so the connection fills up and the link blocks on a bulk frame.
+        wait_until_blocked(&node);
         let text = "x".repeat(1 << 20);
         let files = [("sum".to_owned(), text)].into_iter().collect();
         let files = Message::Files(Files { files });
-        node.mesh.send(NAME, &files).unwrap();
+        node.mesh.send(RAW_PEER_NAME, &files).unwrap();
         for sequence in 0..10 {
-            node.mesh.send(NAME, &heartbeat(sequence)).unwrap();
+            node.mesh.send(RAW_PEER_NAME, &heartbeat(sequence)).unwrap();
         }
-        let before = node.count("bytes_out");
+        let before = node.counter("bytes_out");
         let (mut bulk, mut beats) = (0, 0);
         while beats < 10 {
-            match raw.next().unwrap() {
+            match raw.next_frame().unwrap() {
                 Frame::Message(_) => beats += 1,
                 Frame::Data(_) => bulk += 16 << 10,
                 Frame::Part(_) => panic!("files before heartbeats"),
                 _ => {}
             }
         }
-        // What was in the connection came first, and at most one batch more.
+        // Only bytes that the connection already held, and at most one more batch, come first.
         assert!(bulk <= before + (64 << 10), "{bulk} bytes after {before}");
         drop(raw);
         for upload in uploads {
@@ -187,10 +190,13 @@
     });
 }
 
-/// Waits until the link to the raw peer takes nothing more: a new stream stays unsent for long.
-fn stuck(node: &Node) -> Stream {
+/// Waits until the link to the raw peer is blocked: a new stream is still unsent after 300 ms.
+fn wait_until_blocked(node: &Node) -> Stream {
     loop {
-        let mut stream = node.mesh.open(NAME, &request(), PATIENCE).unwrap();
+        let mut stream = node
+            .mesh
+            .open(RAW_PEER_NAME, &request(), TEST_TIMEOUT)
+            .unwrap();
         let tried = stream.read_head(Duration::from_millis(300));
         assert_eq!(tried, Err(StreamError::Timeout));
         if stream.dispatch() == Dispatch::NotSent {
@@ -200,29 +206,36 @@
 }
 
 #[test]
-fn a_request_called_not_sent_is_not_on_the_wire() {
-    let node = Node::patient("ent-a");
-    let mut raw = Raw::join(node.mesh.address());
-    node.wait_up(NAME);
+fn a_request_reported_as_not_sent_is_not_on_the_wire() {
+    let node = Node::with_long_silence("ent-a");
+    let mut raw = RawPeer::connect_authenticated(node.mesh.address());
+    node.wait_up(RAW_PEER_NAME);
     thread::scope(|scope| {
         let upload = scope.spawn(|| {
-            let mut stream = node.mesh.open(NAME, &upload(), PATIENCE).unwrap();
+            let mut stream = node
+                .mesh
+                .open(RAW_PEER_NAME, &upload(), TEST_TIMEOUT)
+                .unwrap();
             stream.write_body(&vec![0; 64 << 20])
         });
-        let mut streams = vec![stuck(&node)];
-        let named = |i: usize| Open {
+        let mut streams = vec![wait_until_blocked(&node)];
+        let request_named = |i: usize| Open {
             request: format!("late-{i}").into(),
             ..request()
         };
-        streams.extend((0..20).map(|i| node.mesh.open(NAME, &named(i), PATIENCE).unwrap()));
-        let withdrawn = streams[1].cancel();
+        streams.extend((0..20).map(|i| {
+            node.mesh
+                .open(RAW_PEER_NAME, &request_named(i), TEST_TIMEOUT)
+                .unwrap()
+        }));
+        let cancelled_dispatch = streams[1].cancel();
         raw.socket
             .get_ref()
             .shutdown(std::net::Shutdown::Write)
             .unwrap();
         let ends: Vec<_> = streams
             .iter_mut()
-            .map(|stream| stream.read_head(PATIENCE).unwrap_err())
+            .map(|stream| stream.read_head(TEST_TIMEOUT).unwrap_err())
             .collect();
         let mut sent = Vec::new();
         while let Some(bytes) = raw.next_bytes() {
@@ -230,7 +243,7 @@
                 sent.push(open.request);
             }
         }
-        assert_eq!(withdrawn, Dispatch::NotSent);
+        assert_eq!(cancelled_dispatch, Dispatch::NotSent);
         assert!(!sent.contains(&"late-0".to_owned()));
         assert!(ends.contains(&StreamError::NotSent));
         for (i, end) in ends.iter().enumerate().skip(2) {
@@ -241,21 +254,21 @@
     });
 }
 
-/// Cases of a replying peer: what it does after the open frame, then what the caller sees of the
-/// head and of the body.
-macro_rules! end {
+/// Defines one test per case: the expected results of reading the head and the body, and what the
+/// replying peer does after the open frame.
+macro_rules! reply_end {
     ($($name:ident: $head:pat, $body:pat => $peer:expr;)+) => {
         $(#[test]
         fn $name() {
-            let node = Node::patient("ent-a");
-            let mut raw = Raw::join(node.mesh.address());
-            node.wait_up(NAME);
-            let mut stream = node.mesh.open(NAME, &upload(), PATIENCE).unwrap();
+            let node = Node::with_long_silence("ent-a");
+            let mut raw = RawPeer::connect_authenticated(node.mesh.address());
+            node.wait_up(RAW_PEER_NAME);
+            let mut stream = node.mesh.open(RAW_PEER_NAME, &upload(), TEST_TIMEOUT).unwrap();
             stream.write_body(b"a part").unwrap();
             raw.next_open();
-            let peer: fn(Raw) -> Option<Raw> = $peer;
+            let peer: fn(RawPeer) -> Option<RawPeer> = $peer;
             let kept = peer(raw);
-            let head = stream.read_head(PATIENCE);
+            let head = stream.read_head(TEST_TIMEOUT);
             assert!(matches!(head, $head), "{head:?}");
             if let Ok(Reply::Refused { .. } | Reply::Unknown { .. }) = head {
                 assert_eq!(stream.read_body(&mut [0; 1]), Err(StreamError::InvalidState));
@@ -270,22 +283,22 @@
     };
 }
 
-end! {
+reply_end! {
     cut_before_the_reply: Err(StreamError::Uncertain), _ => |_| None;
     reset_before_the_reply: Err(StreamError::Uncertain), _ => |mut raw| {
         raw.send(&Frame::Reset(Reset { stream: 2 }));
         Some(raw)
     };
-    garbage_before_the_reply: Err(StreamError::Uncertain), _ => |mut raw| {
+    malformed_bytes_before_the_reply: Err(StreamError::Uncertain), _ => |mut raw| {
         raw.send_bytes(vec![0xff]);
         Some(raw)
     };
-    refused: Ok(Reply::Refused { .. }), _ => |mut raw| {
+    a_refusal: Ok(Reply::Refused { .. }), _ => |mut raw| {
         let reason = "full".to_owned();
         raw.send(&Frame::Refused(Refused { stream: 2, reason, retry_after_ms: 250 }));
         None
     };
-    unknown: Ok(Reply::Unknown { .. }), _ => |mut raw| {
+    an_unknown_outcome: Ok(Reply::Unknown { .. }), _ => |mut raw| {
         raw.send(&Frame::Unknown(Unknown { stream: 2, reason: "target".to_owned() }));
         None
     };
@@ -314,18 +327,18 @@
         raw.send_data(2, b"abcde", true);
         None
     };
-    too_short: Ok(_), ("abc", Err(StreamError::WrongLength { declared: 5, actual: 3 })) => |mut raw| {
+    a_body_too_short: Ok(_), ("abc", Err(StreamError::WrongLength { declared: 5, actual: 3 })) => |mut raw| {
         raw.send_head(2, Some(5));
         raw.send_data(2, b"abc", true);
         Some(raw)
     };
-    too_long: Ok(_), (_, Err(StreamError::WrongLength { declared: 5, actual: 6 })) => |mut raw| {
+    a_body_too_long: Ok(_), (_, Err(StreamError::WrongLength { declared: 5, actual: 6 })) => |mut raw| {
         raw.send_head(2, Some(5));
         raw.send_data(2, b"abc", false);
         raw.send_data(2, b"def", false);
         Some(raw)
     };
-    late_frames: Ok(_), ("abc", Ok(())) => |mut raw| {
+    frames_after_the_reply: Ok(_), ("abc", Ok(())) => |mut raw| {
         raw.send_head(2, None);
         raw.send_data(2, b"abc", true);
         raw.send_data(2, b"def", true);
@@ -334,22 +347,22 @@
     };
 }
 
-/// A cut after any number of bytes, either way: the caller has the whole reply, or knows that it
-/// has not; what it calls not sent did not arrive.
+/// Guards against lost errors when the connection breaks after any number of bytes in either direction:
+/// the caller receives the whole reply or an error, and a request reported as not sent did not arrive.
 #[test]
-fn a_cut_at_any_byte_has_the_right_end() {
+fn a_connection_cut_at_any_byte_yields_the_right_error() {
     let b = Node::new("ent-b");
     let any = "127.0.0.1:0".parse().unwrap();
     let link = Link::new(any, b.mesh.address()).unwrap();
     let a = Node::with("ent-a", |config| {
         config.backoff = (Duration::from_millis(2), Duration::from_millis(5));
     });
-    let (seen, arrived) = channel();
+    let (report, arrived) = channel();
     let server = thread::spawn(move || loop {
-        match b.next() {
+        match b.next_event() {
             Event::Open(incoming) if &*incoming.open.request == "stop" => return,
             Event::Open(incoming) => {
-                seen.send(incoming.open.request.to_string()).unwrap();
+                report.send(incoming.open.request.to_string()).unwrap();
                 let _ = echo(incoming);
             }
             _ => {}
@@ -364,11 +377,11 @@
                 cut_after: Some(bytes),
                 ..Flow::default()
             };
-            let sound = Flow::default();
+            let intact = Flow::default();
             let (forth, back) = if is_forth {
-                (flow, sound)
+                (flow, intact)
             } else {
-                (sound, flow)
+                (intact, flow)
             };
             link.set_fault(Fault {
                 forth,
@@ -382,7 +395,7 @@
                 None => whole.push(name.to_string()),
                 Some(end) => cut.push((name.to_string(), end)),
             }
-            eventually("a new link", || {
+            wait_until("a new link", || {
                 let open = Open {
                     request: "probe".into(),
                     ..request()
@@ -395,7 +408,7 @@
         request: "stop".into(),
         ..request()
     };
-    eventually("stop", || {
+    wait_until("the server to stop", || {
         let _ = exchange_open(&a, &stop);
         server.is_finished()
     });
@@ -416,7 +429,7 @@
     }
 }
 
-/// Sends a small request; none if the reply is whole and right.
+/// Sends a small request. None if the reply is complete and correct.
 fn exchange(a: &Node, request: Arc<str>) -> Option<StreamError> {
     exchange_open(
         a,
@@ -428,20 +441,20 @@
 }
 
 fn exchange_open(a: &Node, open: &Open) -> Option<StreamError> {
-    let Ok(mut stream) = a.mesh.open("ent-b", open, PATIENCE) else {
+    let Ok(mut stream) = a.mesh.open("ent-b", open, TEST_TIMEOUT) else {
         return Some(StreamError::NotSent);
     };
     let body = pattern(if open.length.is_none() { 40 } else { 0 });
     let replied = stream
         .write_body(&body)
         .and_then(|()| stream.finish_body())
-        .and_then(|()| stream.read_head(PATIENCE));
+        .and_then(|()| stream.read_head(TEST_TIMEOUT));
     if let Err(error) = replied {
         return Some(error);
     }
-    let (got, end) = read_all(|buffer| stream.read_body(buffer));
+    let (received, end) = read_all(|buffer| stream.read_body(buffer));
     if end.is_ok() {
-        assert!(got == body);
+        assert!(received == body);
     }
     end.err()
 }
@@ -453,18 +466,18 @@
         |mut stream| assert_eq!(stream.cancel(), Dispatch::Sent),
         drop,
         |mut stream| {
-            // Written beyond the declared length.
+            // This write exceeds the declared length.
             stream.write_body(b"x").unwrap_err();
         },
     ];
     for cancel in cancels {
-        let stream = a.mesh.open("ent-b", &request(), PATIENCE).unwrap();
-        let mut incoming = b.incoming();
+        let stream = a.mesh.open("ent-b", &request(), TEST_TIMEOUT).unwrap();
+        let mut incoming = b.wait_incoming();
         let (report, cancelled) = channel();
         assert!(!incoming.is_cancelled());
         incoming.on_cancel(move || report.send(()).unwrap());
         cancel(stream);
-        cancelled.recv_timeout(PATIENCE).unwrap();
+        cancelled.recv_timeout(TEST_TIMEOUT).unwrap();
         assert!(incoming.is_cancelled());
         assert_eq!(incoming.read_body(&mut [0; 1]), Err(StreamError::Cancelled));
         assert_eq!(
@@ -475,29 +488,30 @@
 }
 
 #[test]
-fn a_deadline_that_passes_cancels() {
+fn an_expired_deadline_cancels_the_request() {
     let (a, b) = pair();
     let open = Open {
         deadline: Duration::from_millis(50),
         ..request()
     };
-    let mut stream = a.mesh.open("ent-b", &open, PATIENCE).unwrap();
-    let incoming = b.incoming();
-    assert_eq!(stream.read_head(PATIENCE), Err(StreamError::Deadline));
+    let mut stream = a.mesh.open("ent-b", &open, TEST_TIMEOUT).unwrap();
+    let incoming = b.wait_incoming();
+    assert_eq!(stream.read_head(TEST_TIMEOUT), Err(StreamError::Deadline));
     assert_eq!(stream.dispatch(), Dispatch::Sent);
-    eventually("cancel", || incoming.is_cancelled());
+    wait_until("the cancellation", || incoming.is_cancelled());
 }
 
-/// Cases of how the replying end may leave a stream, and what the caller sees.
-macro_rules! leave {
+/// Defines one test per case: the expected results of reading the head and the body, and how the
+/// replying end finishes or drops the stream.
+macro_rules! incoming_end {
     ($($name:ident: $head:pat, $end:pat => $leave:expr;)+) => {
         $(#[test]
         fn $name() {
             let (a, b) = pair();
-            let mut stream = a.mesh.open("ent-b", &upload(), PATIENCE).unwrap();
+            let mut stream = a.mesh.open("ent-b", &upload(), TEST_TIMEOUT).unwrap();
             let leave: fn(Incoming) = $leave;
-            leave(b.incoming());
-            let head = stream.read_head(PATIENCE);
+            leave(b.wait_incoming());
+            let head = stream.read_head(TEST_TIMEOUT);
             assert!(matches!(head, $head), "{head:?}");
             if let Ok(Reply::Head { .. }) = head {
                 let (_, end) = read_all(|buffer| stream.read_body(buffer));
@@ -507,7 +521,7 @@
     };
 }
 
-leave! {
+incoming_end! {
     dropped_before_a_reply: Ok(Reply::Unknown { .. }), _ => drop;
     refused_by_the_host: Ok(Reply::Refused { .. }), _ => |incoming| {
         incoming.refuse("quota", Duration::from_secs(2)).unwrap();
@@ -515,35 +529,35 @@
     unknown_to_the_host: Ok(Reply::Unknown { .. }), _ => |incoming| {
         incoming.unknown("target").unwrap();
     };
-    finished_short: Ok(Reply::Head { .. }) | Err(StreamError::Uncertain), Err(StreamError::Truncated)
+    finished_before_the_declared_length: Ok(Reply::Head { .. }) | Err(StreamError::Uncertain), Err(StreamError::Truncated)
     => |mut incoming| {
         incoming.reply_head(200, &[], Some(5)).unwrap();
         incoming.write_body(b"abc").unwrap();
         let end = incoming.finish();
         assert_eq!(end, Err(StreamError::WrongLength { declared: 5, actual: 3 }));
     };
-    finished_unread: Ok(Reply::Head { status: 413, .. }), Ok(()) => |mut incoming| {
+    finished_before_the_request_was_read: Ok(Reply::Head { status: 413, .. }), Ok(()) => |mut incoming| {
         incoming.reply_head(413, &[], Some(0)).unwrap();
         incoming.finish().unwrap();
     };
 }
 
 #[test]
-fn a_whole_reply_stops_the_upload() {
+fn a_complete_reply_stops_the_upload() {
     let (a, b) = pair();
-    let mut stream = a.mesh.open("ent-b", &upload(), PATIENCE).unwrap();
-    b.incoming().refuse("full", Duration::ZERO).unwrap();
+    let mut stream = a.mesh.open("ent-b", &upload(), TEST_TIMEOUT).unwrap();
+    b.wait_incoming().refuse("full", Duration::ZERO).unwrap();
     let mut sent = 0;
     let stopped = loop {
         match stream.write_body(&[0; 1000]) {
             Ok(()) => sent += 1000,
             Err(error) => break error,
         }
-        assert!(sent < 1 << 20, "the upload goes on");
+        assert!(sent < 1 << 20, "the upload did not stop");
     };
     assert_eq!(stopped, StreamError::Stopped);
     assert!(matches!(
-        stream.read_head(PATIENCE),
+        stream.read_head(TEST_TIMEOUT),
         Ok(Reply::Refused { .. })
     ));
 }
@@ -553,28 +567,28 @@
     let a = Node::with("ent-a", |config| config.max_streams = 3);
     let b = Node::with("ent-b", |config| config.max_streams = 2);
     let (a, b) = pair_of(a, b);
-    let open = || a.mesh.open("ent-b", &request(), PATIENCE);
+    let open = || a.mesh.open("ent-b", &request(), TEST_TIMEOUT);
     let mut streams: Vec<_> = (0..3).map(|_| open().unwrap()).collect();
-    let kept = [b.incoming(), b.incoming()];
+    let kept = [b.wait_incoming(), b.wait_incoming()];
     assert!(matches!(
-        streams[2].read_head(PATIENCE),
+        streams[2].read_head(TEST_TIMEOUT),
         Ok(Reply::Refused { .. })
     ));
     assert_eq!(open().err(), Some(OpenError::StreamLimit));
     drop(kept);
     drop(streams);
-    let arrived = || b.count("streams_in") + b.count("streams_refused");
-    let taken = b.count("streams_in");
-    eventually("room", || {
+    let arrived = || b.counter("streams_in") + b.counter("streams_refused");
+    let taken = b.counter("streams_in");
+    wait_until("a free stream", || {
         let before = arrived();
         let Ok(_stream) = open() else { return false };
-        eventually("arrival", || arrived() > before);
-        b.count("streams_in") > taken
+        wait_until("the arrival of a stream", || arrived() > before);
+        b.counter("streams_in") > taken
     });
 }
 
 #[test]
-fn a_head_that_fits_no_frame_is_certain_not_to_be_sent() {
+fn a_head_too_large_for_a_frame_is_not_sent() {
     let (a, b) = pair();
     let big: Arc<str> = "x".repeat(100 << 10).into();
     let open = Open {
@@ -582,27 +596,27 @@
         ..request()
     };
     assert!(matches!(
-        a.mesh.open("ent-b", &open, PATIENCE).err(),
+        a.mesh.open("ent-b", &open, TEST_TIMEOUT).err(),
         Some(OpenError::Oversize(_))
     ));
-    let mut stream = a.mesh.open("ent-b", &request(), PATIENCE).unwrap();
-    let mut incoming = b.incoming();
+    let mut stream = a.mesh.open("ent-b", &request(), TEST_TIMEOUT).unwrap();
+    let mut incoming = b.wait_incoming();
     let replied = incoming.reply_head(200, &[("X".into(), big)], None);
     assert!(matches!(replied, Err(StreamError::Oversize(_))));
     drop(incoming);
     assert!(matches!(
-        stream.read_head(PATIENCE),
+        stream.read_head(TEST_TIMEOUT),
         Ok(Reply::Unknown { .. })
     ));
 }
 
 #[test]
-fn a_link_lost_cancels_what_came_over_it() {
+fn a_lost_link_cancels_its_incoming_streams() {
     let (a, b) = pair();
-    let mut stream = a.mesh.open("ent-b", &request(), PATIENCE).unwrap();
-    let incoming = b.incoming();
+    let mut stream = a.mesh.open("ent-b", &request(), TEST_TIMEOUT).unwrap();
+    let incoming = b.wait_incoming();
     drop(a.mesh);
-    assert_eq!(stream.read_head(PATIENCE), Err(StreamError::Uncertain));
-    eventually("cancel", || incoming.is_cancelled());
+    assert_eq!(stream.read_head(TEST_TIMEOUT), Err(StreamError::Uncertain));
+    wait_until("the cancellation", || incoming.is_cancelled());
     assert_eq!(b.wait_down("ent-a"), LinkEndReason::Lost);
 }
