--- a/src/peer/mesh.rs
+++ b/src/peer/mesh.rs
@@ -8,7 +8,6 @@
 use tokio::runtime::{Builder, Handle, Runtime};
 use tokio::sync::Notify;
 
-use super::book::{Peer, PeerTable};
 use super::channel::WindowPool;
 use super::config::{Config, Listen};
 use super::connect::{self, ConnectError, Step};
@@ -17,6 +16,7 @@
 use super::frame::{self, Frame, Message, MAX_CHUNK_BYTES};
 use super::link::Link;
 use super::lock;
+use super::peer_table::{Peer, PeerTable};
 use super::stream::{Incoming, Open, Stream};
 
 /// Time limit for the link tasks to end when a mesh is dropped.
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -17,11 +17,11 @@
 pub mod mesh;
 pub mod stream;
 
-mod book;
 mod channel;
 mod connect;
 mod link;
 mod outbox;
+mod peer_table;
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
