--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -111,7 +111,7 @@
     let finished = written.and_then(|()| stream.finish_body());
     match finished {
         // An answer may be there before the body has been sent whole.
-        Ok(()) | Err(StreamError::Stopped) => Ok(()),
+        Ok(()) | Err(StreamError::ReplyComplete) => Ok(()),
         Err(error) => Err(failure(stream, &error, Stage::Body)),
     }
 }
--- a/src/peer/channel.rs
+++ b/src/peer/channel.rs
@@ -141,7 +141,7 @@
 
 type FailureHook = Box<dyn FnOnce() + Send>;
 
-/// One end of a stream.
+/// One end of a stream: its state, and the limits it counts towards.
 pub(crate) struct Channel {
     /// The stream's number; 0 until its open frame is taken.
     number: AtomicU64,
@@ -149,6 +149,7 @@
     _permit: Permit,
     windows: WindowSizes,
     state: Mutex<State>,
+    /// Signalled when the state changes in a way that a reader or writer waits for.
     wake: Condvar,
 }
 
@@ -156,9 +157,11 @@
     sending: OutgoingBody,
     receiving: IncomingBody,
     reply: Option<Reply>,
+    /// Why the stream failed.
     failure: Option<StreamError>,
     /// Whether the stream waits in a queue of the link.
     is_queued: bool,
+    /// Called once when the stream fails.
     failure_hook: Option<FailureHook>,
 }
 
@@ -266,7 +269,7 @@
     pub(crate) fn finish_body(&self) -> Result<TurnRequest, StreamError> {
         let mut state = lock(&self.state);
         match state.check_writable() {
-            Err(StreamError::Stopped) => return Ok(TurnRequest::None),
+            Err(StreamError::ReplyComplete) => return Ok(TurnRequest::None),
             checked => checked?,
         }
         let sending = &mut state.sending;
@@ -325,8 +328,8 @@
         }
     }
 
-    /// Grants credit once at least a quarter of the window is free. The first grant enlarges the window if
-    /// the body may need it and the pool has room.
+    /// Grants credit once at least a quarter of the window is free. Enlarges the window first, once per
+    /// stream, if the body may exceed it and the pool has room.
     fn replenish_credit(&self, receiving: &mut IncomingBody) -> Option<Frame> {
         if receiving.is_ended || receiving.is_rest_granted() {
             return None;
@@ -532,7 +535,7 @@
 
     fn check_writable(&self) -> Result<(), StreamError> {
         if self.is_reply_complete() {
-            return Err(StreamError::Stopped);
+            return Err(StreamError::ReplyComplete);
         }
         self.check_not_failed()?;
         if self.sending.is_finished || self.sending.is_only_frame {
--- a/src/peer/count.rs
+++ b/src/peer/count.rs
@@ -49,13 +49,13 @@
 counters! {
     /// Links that were authenticated, in either direction.
     links,
-    /// Connection attempts that failed.
+    /// Connections that were refused or lost before they became links.
     connect_failed,
     /// Connections closed at once because too many were in their handshake.
     refused_pending,
     /// Handshakes that were not WebSocket or had unexpected frames.
     refused_handshake,
-    /// Handshakes that timed out.
+    /// Connection attempts and handshakes that timed out.
     refused_slow,
     /// Handshakes with an unsupported protocol version.
     refused_version,
--- a/src/peer/error.rs
+++ b/src/peer/error.rs
@@ -92,7 +92,7 @@
     },
     /// The reply is complete, so the rest of the request's body is not sent.
     #[error("the reply is complete, the rest of the request body is not sent")]
-    Stopped,
+    ReplyComplete,
     /// The reply's head exceeds the largest frame that the peer accepts.
     #[error("the reply head of {0} bytes exceeds the frame limit of the peer")]
     Oversize(usize),
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -58,12 +58,15 @@
     opened_streams: AtomicU64,
     /// Streams opened by the peer so far.
     accepted_streams: AtomicU64,
+    /// Streams opened by this side whose memory is in use.
     outgoing_stream_count: Arc<AtomicUsize>,
+    /// Streams opened by the peer whose memory is in use.
     incoming_stream_count: Arc<AtomicUsize>,
     has_received_goodbye: AtomicBool,
     is_confirmed: AtomicBool,
     /// Wakes the writer.
     wake: Notify,
+    /// Ends the link's task.
     aborted: Notify,
     abort_reason: Mutex<Option<LinkEndReason>>,
 }
@@ -75,7 +78,7 @@
             initial: config.initial_window,
             full: config.full_window,
             peer_initial: hello.window,
-            pool: core.pool.clone(),
+            pool: core.window_pool.clone(),
         };
         let outbox = Outbox::new(config.max_backlog_bytes, Instant::now());
         Link {
--- a/src/peer/mesh.rs
+++ b/src/peer/mesh.rs
@@ -70,11 +70,13 @@
     pub(crate) config: Config,
     pub(crate) counters: AtomicCounters,
     pub(crate) event_handler: EventHandler,
-    pub(crate) pool: Arc<WindowPool>,
+    pub(crate) window_pool: Arc<WindowPool>,
     handle: Handle,
     table: Mutex<PeerTable>,
+    /// Signalled when a link or the state of a connection attempt changes.
     changed: Condvar,
     pending_events: Mutex<VecDeque<Event>>,
+    /// Held while events are delivered, so that they reach the handler in order.
     delivery: Mutex<()>,
 }
 
@@ -93,7 +95,7 @@
             .build()
             .map_err(Error::Runtime)?;
         let core = Arc::new(Core {
-            pool: Arc::new(WindowPool::new(config.window_pool_bytes)),
+            window_pool: Arc::new(WindowPool::new(config.window_pool_bytes)),
             config,
             counters: AtomicCounters::default(),
             event_handler: Box::new(on_event),
@@ -254,12 +256,12 @@
 }
 
 impl Core {
-    /// Whether a link with a host is maintained also while it is idle.
+    /// Whether the link with a host is maintained permanently, also while it is idle.
     pub(crate) fn is_persistent(&self, host: &str) -> bool {
         lock(&self.table).persistent.contains_key(host)
     }
 
-    /// Returns a link that takes new streams; without one, waits until `until` for the connection.
+    /// Returns a link that accepts new streams. Without one, waits for a connection until `until`.
     fn acquire_link(self: &Arc<Core>, host: &str, until: Instant) -> Result<Arc<Link>, OpenError> {
         let mut table = lock(&self.table);
         let connect_failures = table
@@ -291,6 +293,7 @@
         }
     }
 
+    /// Waits for a change of a link or connection attempt, at most for the time `left`.
     fn wait_for_change<'a>(
         &self,
         table: MutexGuard<'a, PeerTable>,
@@ -348,7 +351,7 @@
     }
 
     /// Delays a reconnect, so that the two hosts seldom dial each other at the same time. The host with
-    /// the greater name waits longer; a link that a request waits for is dialled without delay.
+    /// the greater name waits longer. There is no delay while a link is open or a request waits for one.
     pub(crate) async fn delay_reconnect(&self, host: &Arc<str>) {
         let (pause, is_requested) = {
             let table = lock(&self.table);
@@ -461,7 +464,7 @@
 
     /// Passes the pending events to the handler, in the order in which they occurred.
     fn deliver_events(&self) {
-        let _turn = lock(&self.delivery);
+        let _delivery = lock(&self.delivery);
         loop {
             let Some(event) = lock(&self.pending_events).pop_front() else {
                 return;
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -25,7 +25,7 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex and ignores poisoning.
+/// Locks a mutex, even if a thread panicked while it held the lock.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/src/peer/stream.rs
+++ b/src/peer/stream.rs
@@ -245,7 +245,7 @@
 
     /// Sends a part of the body. Blocks while the send buffer is full.
     ///
-    /// Fails with [`StreamError::Stopped`] if the reply is complete already.
+    /// Fails with [`StreamError::ReplyComplete`] if the reply is complete already.
     pub fn write_body(&mut self, bytes: &[u8]) -> Result<(), StreamError> {
         self.handle.write(bytes)
     }
--- a/tests/peer/relay.rs
+++ b/tests/peer/relay.rs
@@ -555,7 +555,7 @@
         }
         assert!(sent < 1 << 20, "the upload did not stop");
     };
-    assert_eq!(stopped, StreamError::Stopped);
+    assert_eq!(stopped, StreamError::ReplyComplete);
     assert!(matches!(
         stream.read_head(TEST_TIMEOUT),
         Ok(Reply::Refused { .. })
