--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -121,7 +121,7 @@
     let finished = written.and_then(|()| stream.finish_body());
     match finished {
         // The host may answer before it has received the whole body.
-        Ok(()) | Err(StreamError::Stopped) => Ok(()),
+        Ok(()) | Err(StreamError::ReplyComplete) => Ok(()),
         Err(error) => Err(to_failure(stream, &error, Stage::Body)),
     }
 }
@@ -215,9 +215,9 @@
     }
     Failure::new(match error {
         StreamError::NotSent => FailurePoint::FrameNotSent,
-        StreamError::Cut => FailurePoint::ConnectionClosed(Stage::AnswerBody),
+        StreamError::Truncated => FailurePoint::ConnectionClosed(Stage::AnswerBody),
         StreamError::Deadline | StreamError::Timeout => FailurePoint::Timeout(stage),
-        StreamError::Length { .. } => FailurePoint::WrongLength(stage),
+        StreamError::WrongLength { .. } => FailurePoint::WrongLength(stage),
         _ => FailurePoint::ConnectionClosed(stage),
     })
 }
@@ -279,7 +279,7 @@
                     Ok(0) => break,
                     Ok(count) => incoming.write_body(&buffer[..count])?,
                     // Dropping the stream before its end reports to the other host that the body broke off.
-                    Err(_) => return Err(StreamError::Cut),
+                    Err(_) => return Err(StreamError::Truncated),
                 }
             }
         }
