--- a/benches/config.rs
+++ b/benches/config.rs
@@ -46,14 +46,18 @@
         group.throughput(Throughput::Elements(size.into()));
         let files = files(size);
         group.bench_function(BenchmarkId::new("whole", size), |b| {
-            b.iter(|| Folder::with_files(files.clone()).parts().is_ok());
+            b.iter(|| {
+                Folder::with_files(files.clone())
+                    .merged_with_clients()
+                    .is_ok()
+            });
         });
         let known = Folder::with_files(files.clone());
-        assert!(known.parts().is_ok(), "the folder is right");
+        assert!(known.merged_with_clients().is_ok(), "the folder is right");
         let mut changed = files.clone();
         changed.insert("99-late.json".into(), LATE.into());
         group.bench_function(BenchmarkId::new("one small file changed", size), |b| {
-            b.iter(|| known.updated(changed.clone()).parts().is_ok());
+            b.iter(|| known.updated(changed.clone()).merged_with_clients().is_ok());
         });
     }
     group.finish();
--- a/src/bin/ragwortfold/config.rs
+++ b/src/bin/ragwortfold/config.rs
@@ -40,7 +40,7 @@
 }
 
 fn checked(folder: &Folder) -> Result<(Configuration, Arc<Clients>), Error> {
-    Ok(folder.parts().map_err(config::Error::from)?)
+    Ok(folder.merged_with_clients().map_err(config::Error::from)?)
 }
 
 fn summary(folder: &Folder, configuration: &Configuration, clients: &Clients) -> String {
--- a/src/bin/ragwortfold/drain.rs
+++ b/src/bin/ragwortfold/drain.rs
@@ -342,7 +342,7 @@
         None => files.remove(overrides::FILE),
     };
     let folder = Folder::with_files(files.clone());
-    let (configuration, _) = folder.parts().map_err(config::Error::from)?;
+    let (configuration, _) = folder.merged_with_clients().map_err(config::Error::from)?;
     let found = self::state(&configuration, config)?;
     if found == *state {
         return Ok(());
--- a/src/bin/ragwortfold/publish.rs
+++ b/src/bin/ragwortfold/publish.rs
@@ -178,7 +178,9 @@
 
 /// The check that a revision must pass before it is published.
 pub(crate) fn check(files: &Files) -> Result<(), config::Faults> {
-    Folder::with_files(files.clone()).parts().map(drop)
+    Folder::with_files(files.clone())
+        .merged_with_clients()
+        .map(drop)
 }
 
 /// The revision in force.
@@ -188,7 +190,7 @@
 
 /// The configuration that a revision's files make together.
 pub(crate) fn configuration(fetched: &Fetched) -> Result<Configuration, Failure> {
-    let parts = Folder::with_files(fetched.files.clone()).parts();
+    let parts = Folder::with_files(fetched.files.clone()).merged_with_clients();
     Ok(parts.map_err(config::Error::from)?.0)
 }
 
@@ -244,7 +246,7 @@
     signature: &Signature,
 ) -> Result<Applied, Failure> {
     let folder = config::read(dir)?;
-    folder.parts().map_err(config::Error::from)?;
+    folder.merged_with_clients().map_err(config::Error::from)?;
     let marker = marker::read(dir).map_err(folder_error(dir))?;
     let base = match (marker, undo) {
         (Some(marker), Undo::Refuse) => Base::Pulled(marker),
--- a/src/config/clients.rs
+++ b/src/config/clients.rs
@@ -1,4 +1,4 @@
-//! Client blocks, checked and laid out small: there may be millions.
+//! Client blocks, checked and in a compact form, as there may be millions of them.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -10,21 +10,22 @@
 use crate::border::configuration::Client;
 
 use super::fault::Problems;
-use super::tree::{Place, View};
+use super::tree::{Position, View};
 
-/// The section that they stand in.
+/// The section of the configuration that has the client blocks.
 pub(super) const SECTION: &str = "clients";
 
-/// The regions of client blocks.
+/// Address blocks of clients, each with its region.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Clients {
-    /// In rising order, without host bits, each once.
+    /// Blocks without host bits, in ascending order and without duplicates, each with the index of
+    /// its region in `regions`.
     blocks: Vec<(IpNet, u16)>,
     regions: Vec<Arc<str>>,
 }
 
 impl Clients {
-    /// All blocks in rising order, and the names of their regions.
+    /// All blocks in ascending order, with the names of their regions.
     pub fn iter(&self) -> impl ExactSizeIterator<Item = (IpNet, &Arc<str>)> {
         let blocks = self.blocks.iter();
         blocks.map(|&(block, region)| (block, &self.regions[usize::from(region)]))
@@ -35,18 +36,18 @@
         &self.regions
     }
 
-    /// How many blocks there are.
+    /// The number of blocks.
     pub fn len(&self) -> usize {
         self.blocks.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no blocks.
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
 
-    /// The blocks as the schema has them.
-    pub(super) fn records(&self) -> BTreeMap<String, Client> {
+    /// The blocks as records of the generated type, by block.
+    pub(super) fn to_records(&self) -> BTreeMap<String, Client> {
         let records = self.iter().map(|(block, region)| {
             let region = region.as_ref().into();
             (block.to_string(), Client { region })
@@ -54,56 +55,59 @@
         records.collect()
     }
 
-    /// Lays out the blocks of `root`, and notes what is wrong with them.
+    /// Reads the blocks of `root` and adds their problems to `problems`.
     pub(super) fn with_root(root: View<'_>, problems: &mut Problems) -> Self {
         let mut clients = Self::default();
-        let mut numbers: BTreeMap<Cow<'_, str>, u16> = BTreeMap::new();
+        let mut region_indices: BTreeMap<Cow<'_, str>, u16> = BTreeMap::new();
         let mut found = Vec::new();
-        for entry in root.section(SECTION) {
+        for entry in root.section_entries(SECTION) {
             let key = entry.key();
-            let block = match block(&key) {
+            let block = match parse_block(&key) {
                 Ok(block) => block,
                 Err(problem) => {
-                    problems.add(entry.key_place(), &[SECTION, &key], problem);
+                    problems.add(entry.key_position(), &[SECTION, &key], problem);
                     continue;
                 }
             };
-            // A block without a region is told of by its shape.
-            let region = entry.named("region").map(|(region, _)| region);
+            // The schema check reports a block without a region.
+            let region = entry.string("region").map(|(region, _)| region);
             let region = region.unwrap_or_default();
-            let number = *numbers.entry(region).or_insert_with_key(|region| {
+            let region_index = *region_indices.entry(region).or_insert_with_key(|region| {
                 clients.regions.push(region.as_ref().into());
                 clients.regions.len() as u16 - 1
             });
-            found.push((block, number, entry.key_place()));
+            found.push((block, region_index, entry.key_position()));
         }
-        found.sort_unstable_by_key(|&(block, _, place)| (block, place));
-        let blocks = found.iter().map(|&(block, number, _)| (block, number));
+        found.sort_unstable_by_key(|&(block, _, position)| (block, position));
+        let blocks = found
+            .iter()
+            .map(|&(block, region_index, _)| (block, region_index));
         clients.blocks = blocks.collect();
-        note_twice(root, &found, problems);
+        report_duplicates(root, &found, problems);
         clients
     }
 }
 
-/// Notes blocks that are the same as the one before them.
-fn note_twice(root: View<'_>, found: &[(IpNet, u16, Place)], problems: &mut Problems) {
+/// Reports blocks that are equal to an earlier one. `found` is sorted by block and position.
+fn report_duplicates(root: View<'_>, found: &[(IpNet, u16, Position)], problems: &mut Problems) {
     let pairs = found.windows(2).filter(|pair| pair[0].0 == pair[1].0);
-    let twice: BTreeMap<Place, Place> = pairs.map(|pair| (pair[1].2, pair[0].2)).collect();
-    if twice.is_empty() {
+    let duplicates: BTreeMap<Position, Position> =
+        pairs.map(|pair| (pair[1].2, pair[0].2)).collect();
+    if duplicates.is_empty() {
         return;
     }
-    let entries = root.section(SECTION);
-    let keys: BTreeMap<Place, Cow<'_, str>> = entries
-        .map(|entry| (entry.key_place(), entry.key()))
+    let entries = root.section_entries(SECTION);
+    let keys: BTreeMap<Position, Cow<'_, str>> = entries
+        .map(|entry| (entry.key_position(), entry.key()))
         .collect();
-    for (place, first) in twice {
+    for (position, first) in duplicates {
         let problem = format!("is the same block as '{}'", keys[&first]);
-        problems.add(place, &[SECTION, &keys[&place]], problem);
+        problems.add(position, &[SECTION, &keys[&position]], problem);
     }
 }
 
-/// A block of clients' addresses without host bits.
-fn block(text: &str) -> Result<IpNet, String> {
+/// Parses a block of client addresses; blocks with host bits and IPv4-mapped ones are rejected.
+fn parse_block(text: &str) -> Result<IpNet, String> {
     let net: IpNet = text
         .parse()
         .map_err(|_| format!("'{text}' is not ADDRESS/LENGTH"))?;
--- a/src/config/fault.rs
+++ b/src/config/fault.rs
@@ -1,23 +1,23 @@
-//! What is wrong with a value, and where the value stands.
+//! Faults of values, with the file, line and column of the value.
 
 use std::fmt;
 use std::sync::Arc;
 
 use super::layer::Layer;
-use super::tree::Place;
+use super::tree::Position;
 
 /// One fault of a configuration or of settings.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Fault {
-    /// The file the value stands in.
+    /// The name of the file that has the value.
     pub file: Arc<str>,
-    /// Its line, from 1.
+    /// The line of the value, from 1.
     pub line: u32,
-    /// Its column in characters, from 1.
+    /// The column of the value in characters, from 1.
     pub column: u32,
     /// The value's path, such as `targets.look-1.slots`; empty for the whole file.
     pub path: Arc<str>,
-    /// What is wrong.
+    /// The message.
     pub problem: Arc<str>,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// All faults of a folder, in the order of their places.
+/// All faults of a folder or of settings, in the order of files and positions.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Faults(pub Vec<Fault>);
 
@@ -49,23 +49,24 @@
 
 impl std::error::Error for Faults {}
 
-/// A text that values come from.
+/// A source file.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Source<'a> {
     /// The file's name.
     pub(super) name: &'a str,
-    /// What it holds.
+    /// The file's text.
     pub(super) text: &'a str,
 }
 
-/// What was found wrong so far, by byte offset.
+/// Collects problems by their positions as byte offsets.
 #[derive(Debug, Default)]
 pub(super) struct Problems {
-    found: Vec<(Place, String, String)>,
+    /// Position, path and message of each problem.
+    found: Vec<(Position, String, String)>,
 }
 
 impl Problems {
-    /// What is wrong with each file by itself.
+    /// Starts with the problems that each file has on its own.
     pub(super) fn with_layers(layers: &[Arc<Layer>]) -> Self {
         let mut problems = Self::default();
         for (file, layer) in layers.iter().enumerate() {
@@ -73,33 +74,33 @@
             for problem in layer.problems() {
                 let offset = problem.offset;
                 let text = problem.text.clone();
-                problems.add(Place { file, offset }, &problem.path, text);
+                problems.add(Position { file, offset }, &problem.path, text);
             }
         }
         problems
     }
 
-    /// Notes that the value at `place`, called `path`, is wrong.
-    pub(super) fn add(&mut self, place: Place, path: &[impl AsRef<str>], problem: String) {
+    /// Adds a problem of the value that has this position and path.
+    pub(super) fn add(&mut self, position: Position, path: &[impl AsRef<str>], problem: String) {
         let path: Vec<&str> = path.iter().map(AsRef::as_ref).collect();
-        self.found.push((place, path.join("."), problem));
+        self.found.push((position, path.join("."), problem));
     }
 
-    /// Whether nothing was wrong.
+    /// Whether no problem was found.
     pub(super) fn is_empty(&self) -> bool {
         self.found.is_empty()
     }
 
-    /// All faults with line and column.
-    pub(super) fn faults(mut self, sources: &[Source<'_>]) -> Faults {
+    /// Converts the problems to faults with line and column, sorted by position.
+    pub(super) fn into_faults(mut self, sources: &[Source<'_>]) -> Faults {
         self.found.sort();
         let mut cursor = Cursor::new();
         let faults = self
             .found
             .into_iter()
-            .map(|(place, path, problem)| {
-                let source = &sources[place.file as usize];
-                cursor.advance(source, place);
+            .map(|(position, path, problem)| {
+                let source = &sources[position.file as usize];
+                cursor.advance(source, position);
                 Fault {
                     file: source.name.into(),
                     line: cursor.line,
@@ -113,30 +114,30 @@
     }
 }
 
-/// Counts lines and columns in one pass over places in rising order.
+/// Counts lines and columns in one pass over positions in ascending order.
 struct Cursor {
-    at: Place,
+    at: Position,
     line: u32,
     column: u32,
 }
 
 impl Cursor {
-    /// At the start of the first file.
+    /// A cursor at the start of the first file.
     fn new() -> Self {
         Self {
-            at: Place { file: 0, offset: 0 },
+            at: Position { file: 0, offset: 0 },
             line: 1,
             column: 1,
         }
     }
 
-    /// Moves on to `place`, which lies in `source`.
-    fn advance(&mut self, source: &Source<'_>, place: Place) {
-        if place.file != self.at.file {
+    /// Advances to `position`, which is in `source` and not before the current position.
+    fn advance(&mut self, source: &Source<'_>, position: Position) {
+        if position.file != self.at.file {
             *self = Self::new();
-            self.at.file = place.file;
+            self.at.file = position.file;
         }
-        let passed = &source.text[self.at.offset as usize..place.offset as usize];
+        let passed = &source.text[self.at.offset as usize..position.offset as usize];
         for c in passed.chars() {
             if c == '\n' {
                 self.line += 1;
@@ -145,6 +146,6 @@
                 self.column += 1;
             }
         }
-        self.at = place;
+        self.at = position;
     }
 }
--- a/src/config/folder.rs
+++ b/src/config/folder.rs
@@ -11,17 +11,17 @@
 
 use super::clients::{self, Clients};
 use super::fault::{Problems, Source};
-use super::layer::{Layer, LARGEST_FILE, ROOT};
+use super::layer::{Layer, MAX_FILE_BYTES, ROOT};
 use super::shape::Shape;
 use super::show::{self, Origin};
 use super::tree::{Tree, View};
-use super::value::Reader;
+use super::value::ValueDeserializer;
 use super::{rules, Error, Faults};
 
-/// The ending of the files that count.
-const ENDING: &str = ".json";
+/// The suffix of configuration files; other files of the folder are ignored.
+const FILE_SUFFIX: &str = ".json";
 
-/// What the schema says of single values.
+/// The types and ranges of single values, from the JSON schema.
 static SHAPE: LazyLock<Shape> =
     LazyLock::new(|| Shape::with_schema(include_str!("../../schema/configuration.json")));
 
@@ -29,10 +29,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Folder {
     files: BTreeMap<Arc<str>, Arc<str>>,
-    /// What was parsed and checked so far; shared by clones and by later folders.
+    /// The parsed files, each filled in on first use; shared with clones and with folders made by
+    /// [`Folder::updated`].
     layers: BTreeMap<Arc<str>, Arc<OnceLock<Arc<Layer>>>>,
-    clients: Arc<OnceLock<Checked>>,
-    earlier: Option<Arc<OnceLock<Checked>>>,
+    /// The checked client blocks of this folder.
+    clients: Arc<OnceLock<CheckedClients>>,
+    /// The checked client blocks of the folder that this one was updated from.
+    earlier_clients: Option<Arc<OnceLock<CheckedClients>>>,
 }
 
 impl PartialEq for Folder {
@@ -43,15 +46,15 @@
 
 impl Eq for Folder {}
 
-/// Client blocks that were checked, and the files they came from.
+/// Client blocks without faults, and the files that contain them.
 #[derive(Clone, Debug)]
-struct Checked {
+struct CheckedClients {
     layers: Vec<Arc<Layer>>,
     clients: Arc<Clients>,
 }
 
 impl Folder {
-    /// A folder of these texts by file name.
+    /// Creates a folder from texts by file name.
     pub fn with_files(files: BTreeMap<Arc<str>, Arc<str>>) -> Self {
         let layers = files.keys().map(|name| (name.clone(), Arc::default()));
         Self {
@@ -61,8 +64,8 @@
         }
     }
 
-    /// A folder of these texts that takes from this one what was parsed and checked of unchanged
-    /// files.
+    /// Creates a folder from texts by file name, and reuses the parsed files and the checked client
+    /// blocks of this folder where the files are unchanged.
     pub fn updated(&self, files: BTreeMap<Arc<str>, Arc<str>>) -> Self {
         let mut next = Self::with_files(files);
         for (name, text) in &next.files {
@@ -73,10 +76,10 @@
             }
         }
         let is_checked = self.clients.get().is_some();
-        next.earlier = if is_checked {
+        next.earlier_clients = if is_checked {
             Some(self.clients.clone())
         } else {
-            self.earlier.clone()
+            self.earlier_clients.clone()
         };
         next
     }
@@ -86,49 +89,52 @@
         &self.files
     }
 
-    /// The configuration that the files make together, checked.
+    /// Merges the files and checks the result.
     ///
     /// # Errors
     ///
-    /// All faults of the folder at once. While a file has a syntax error, only such errors are
-    /// reported.
+    /// All faults of the folder at once. If a file has a syntax error, only the problems that each
+    /// file has on its own are reported.
     pub fn merged(&self) -> Result<Configuration, Faults> {
-        let (mut configuration, clients) = self.parts()?;
-        configuration.clients = clients.records();
+        let (mut configuration, clients) = self.merged_with_clients()?;
+        configuration.clients = clients.to_records();
         Ok(configuration)
     }
 
-    /// Like [`Folder::merged`], but with the client blocks apart and laid out small. They are the
-    /// same `Arc` as before [`Folder::updated`] if no file with client blocks has changed.
+    /// Like [`Folder::merged`], but returns the client blocks separately in their compact form,
+    /// and none in the configuration. The `Arc` is that of the folder before [`Folder::updated`]
+    /// if no file with client blocks has changed.
     ///
     /// # Errors
     ///
-    /// As of [`Folder::merged`].
-    pub fn parts(&self) -> Result<(Configuration, Arc<Clients>), Faults> {
+    /// The same as those of [`Folder::merged`].
+    pub fn merged_with_clients(&self) -> Result<(Configuration, Arc<Clients>), Faults> {
         let layers = self.layers();
         let mut problems = Problems::with_layers(&layers);
-        if !layers.iter().all(|layer| layer.is_read()) {
-            return Err(problems.faults(&self.sources()));
+        if !layers.iter().all(|layer| layer.is_parsed()) {
+            return Err(problems.into_faults(&self.sources()));
         }
-        if let Some(parts) = self.parts_with_known_clients(&layers) {
-            return Ok(parts);
+        if let Some(merged) = self.merged_with_known_clients(&layers) {
+            return Ok(merged);
         }
         let tree = Tree::with_layers(layers.clone(), |_| false);
         let clients = Arc::new(Clients::with_root(tree.root(), &mut problems));
-        check(tree.root(), &clients, &mut problems);
+        check_values(tree.root(), &clients, &mut problems);
         rules::check_clients(tree.root(), &mut problems);
         if !problems.is_empty() {
-            return Err(problems.faults(&self.sources()));
+            return Err(problems.into_faults(&self.sources()));
         }
-        // Client blocks go into the configuration from their small layout only.
+        // The client blocks are already in their compact form, so they are not deserialized.
         let tree = Tree::with_layers(layers.clone(), |section| section == clients::SECTION);
-        let configuration = read_root(tree.root(), problems, &self.sources())?;
-        let layers = with_clients(&layers);
-        let checked = self.clients.get_or_init(|| Checked { layers, clients });
+        let configuration = deserialize_root(tree.root(), problems, &self.sources())?;
+        let layers = layers_with_clients(&layers);
+        let checked = self
+            .clients
+            .get_or_init(|| CheckedClients { layers, clients });
         Ok((configuration, checked.clients.clone()))
     }
 
-    /// The merged files as pretty-printed JSON, whether their values are right or not.
+    /// The merged files as pretty-printed JSON; the values are not checked.
     ///
     /// # Errors
     ///
@@ -136,16 +142,16 @@
     pub fn show(&self, origin: Origin) -> Result<String, Faults> {
         let layers = self.layers();
         let sources = self.sources();
-        if !layers.iter().all(|layer| layer.is_read()) {
-            return Err(Problems::with_layers(&layers).faults(&sources));
+        if !layers.iter().all(|layer| layer.is_parsed()) {
+            return Err(Problems::with_layers(&layers).into_faults(&sources));
         }
         let tree = Tree::with_layers(layers, |_| false);
-        Ok(show::text(tree.root(), &sources, origin))
+        Ok(show::render(tree.root(), &sources, origin))
     }
 
-    /// What the files make together if their client blocks are known to be right and the rest has
-    /// no faults.
-    fn parts_with_known_clients(
+    /// Merges the files with client blocks that are already checked. Returns `None` if there are no
+    /// such blocks or anything has a fault; the full check then reports all faults.
+    fn merged_with_known_clients(
         &self,
         layers: &[Arc<Layer>],
     ) -> Option<(Configuration, Arc<Clients>)> {
@@ -153,27 +159,32 @@
         let clients = known.clients.clone();
         let tree = Tree::with_layers(layers.to_vec(), |section| section == clients::SECTION);
         let mut problems = Problems::with_layers(layers);
-        check(tree.root(), &clients, &mut problems);
+        check_values(tree.root(), &clients, &mut problems);
         let regions = tree.root().get("regions")?;
-        let is_there = |region: &Arc<str>| regions.get(region).is_some();
-        if !problems.is_empty() || !clients.regions().iter().all(is_there) {
+        let is_defined = |region: &Arc<str>| regions.get(region).is_some();
+        if !problems.is_empty() || !clients.regions().iter().all(is_defined) {
             return None;
         }
-        let configuration = Configuration::deserialize(Reader(tree.root())).ok()?;
+        let configuration = Configuration::deserialize(ValueDeserializer(tree.root())).ok()?;
         let checked = self.clients.get_or_init(|| known);
         Some((configuration, checked.clients.clone()))
     }
 
-    /// The client blocks of this or the earlier folder, if they came from the same files.
-    fn known_clients(&self, layers: &[Arc<Layer>]) -> Option<Checked> {
-        let earlier = self.earlier.as_ref().and_then(|earlier| earlier.get());
+    /// The checked client blocks of this or the earlier folder, if the files that contain them are
+    /// the same.
+    fn known_clients(&self, layers: &[Arc<Layer>]) -> Option<CheckedClients> {
+        let earlier = self
+            .earlier_clients
+            .as_ref()
+            .and_then(|earlier| earlier.get());
         let known = self.clients.get().or(earlier)?;
-        let layers = with_clients(layers);
+        let layers = layers_with_clients(layers);
         let is_same = layers.len() == known.layers.len()
             && std::iter::zip(&layers, &known.layers).all(|(a, b)| Arc::ptr_eq(a, b));
         is_same.then(|| known.clone())
     }
 
+    /// The parsed files, in the order of their names.
     fn layers(&self) -> Vec<Arc<Layer>> {
         let pairs = std::iter::zip(self.files.values(), self.layers.values());
         let layers = pairs.map(|(text, layer)| {
@@ -189,33 +200,36 @@
     }
 }
 
-/// The files that have client blocks.
-fn with_clients(layers: &[Arc<Layer>]) -> Vec<Arc<Layer>> {
+/// The files that contain client blocks.
+fn layers_with_clients(layers: &[Arc<Layer>]) -> Vec<Arc<Layer>> {
     let has_clients = |layer: &&Arc<Layer>| {
         let mut sections = layer.children(ROOT);
-        sections.any(|item| layer.key(item) == clients::SECTION)
+        sections.any(|index| layer.key(index) == clients::SECTION)
     };
     layers.iter().filter(has_clients).cloned().collect()
 }
 
-/// Notes all that is wrong with `root` but its client blocks by themselves.
-fn check(root: View<'_>, clients: &Clients, problems: &mut Problems) {
+/// Checks `root` except for the client blocks' addresses and regions, which
+/// [`Clients::with_root`] and [`rules::check_clients`] check.
+fn check_values(root: View<'_>, clients: &Clients, problems: &mut Problems) {
     SHAPE.check(root, &mut Vec::new(), problems);
     rules::check(root, clients.regions(), problems);
 }
 
-fn read_root(
+/// Deserializes a checked tree. An error here is a difference between the checks and the generated
+/// types, and is reported as a fault of the whole folder.
+fn deserialize_root(
     root: View<'_>,
     mut problems: Problems,
     sources: &[Source<'_>],
 ) -> Result<Configuration, Faults> {
-    Configuration::deserialize(Reader(root)).map_err(|error| {
-        problems.add(root.place(), &[""; 0], error.to_string());
-        problems.faults(sources)
+    Configuration::deserialize(ValueDeserializer(root)).map_err(|error| {
+        problems.add(root.position(), &[""; 0], error.to_string());
+        problems.into_faults(sources)
     })
 }
 
-/// Reads the files of `dir`.
+/// Reads the configuration files of `dir`.
 pub(super) fn read(dir: &Path) -> Result<Folder, Error> {
     let mut files = BTreeMap::new();
     for entry in std::fs::read_dir(dir).map_err(|source| read_error(dir, source))? {
@@ -223,7 +237,7 @@
         let Some(name) = path.file_name().and_then(|name| name.to_str()) else {
             continue;
         };
-        if name.ends_with(ENDING) && path.is_file() {
+        if name.ends_with(FILE_SUFFIX) && path.is_file() {
             files.insert(name.into(), read_file(&path)?);
         }
     }
@@ -237,7 +251,7 @@
 
 fn read_file(path: &Path) -> Result<Arc<str>, Error> {
     let size = std::fs::metadata(path).map_err(|source| read_error(path, source))?;
-    if size.len() > LARGEST_FILE as u64 {
+    if size.len() > MAX_FILE_BYTES as u64 {
         return Err(Error::Size {
             path: path.display().to_string().into(),
             bytes: size.len(),
@@ -247,7 +261,7 @@
     Ok(text.into())
 }
 
-/// The error of a file or folder that cannot be read.
+/// Creates the error for a file or folder that cannot be read.
 pub(super) fn read_error(path: &Path, source: io::Error) -> Error {
     let path = path.display().to_string().into();
     Error::Read { path, source }
--- a/src/config/layer.rs
+++ b/src/config/layer.rs
@@ -1,6 +1,6 @@
-//! One parsed file: a flat list of its values, which points into its text.
+//! One parsed file: a flat list of its values, each of which refers to a range of the text.
 //!
-//! A configuration may hold millions of client blocks, so a value takes 24 bytes and no
+//! A configuration may hold millions of client blocks, so a value takes 24 bytes and has no
 //! allocation of its own.
 
 use std::borrow::Cow;
@@ -10,7 +10,7 @@
 use jsonc_parser::common::{Range, Ranged};
 use jsonc_parser::{CollectOptions, ParseOptions};
 
-/// JSON with comments and trailing commas, nothing looser.
+/// JSON with comments and trailing commas; all other extensions are syntax errors.
 const SYNTAX: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_trailing_commas: true,
@@ -24,10 +24,10 @@
     allow_extended_string_escapes: false,
 };
 
-/// The largest file, in bytes: what the platform takes as one object.
-pub const LARGEST_FILE: usize = 1_000_000;
+/// The maximum size of a file in bytes, which is the platform's limit for one object.
+pub const MAX_FILE_BYTES: usize = 1_000_000;
 
-/// The number of the root among a layer's values.
+/// The index of the root in a layer's list of values.
 pub(super) const ROOT: u32 = 0;
 
 /// The kind of a value.
@@ -36,7 +36,7 @@
     /// `null`.
     Null,
     /// `true` or `false`.
-    Flag,
+    Boolean,
     /// A number.
     Number,
     /// A string.
@@ -47,33 +47,34 @@
     Object,
 }
 
-/// A part of the text.
+/// A range of byte offsets in the text.
 #[derive(Clone, Copy, Debug)]
 struct Span {
     start: u32,
     end: u32,
 }
 
-/// A value. Those inside an object or a list follow it, objects' in the order of their keys.
+/// A value. The values nested in an object or a list follow it directly; those of an object are
+/// sorted by key.
 #[derive(Clone, Copy, Debug)]
-struct Item {
-    /// The key with its quotes; empty for the root and inside lists.
-    key: Span,
-    /// The value as it is written.
-    value: Span,
-    /// The number of the first value that is not inside this one.
-    next: u32,
+struct FlatValue {
+    /// The key with its quotes; empty for the root and for list elements.
+    key_span: Span,
+    /// The source text of the value.
+    value_span: Span,
+    /// The index of the first value after this one and all values nested in it.
+    subtree_end: u32,
     kind: Kind,
 }
 
-/// What is wrong with one file by itself.
+/// A syntax error, an oversized file or a duplicate key, found in one file alone.
 #[derive(Clone, Debug)]
 pub(super) struct Problem {
-    /// Where, as a byte offset.
+    /// The byte offset of the problem.
     pub(super) offset: u32,
-    /// The path of the value.
+    /// The keys from the root to the value; empty for the whole file.
     pub(super) path: Vec<String>,
-    /// What is wrong.
+    /// The message.
     pub(super) text: String,
 }
 
@@ -81,122 +82,123 @@
 #[derive(Debug)]
 pub(super) struct Layer {
     text: Arc<str>,
-    items: Vec<Item>,
+    values: Vec<FlatValue>,
     problems: Vec<Problem>,
 }
 
 impl Layer {
-    /// Parses a text. One without any value is an empty object.
+    /// Parses a text. A text without any value, such as an empty one, is an empty object.
     pub(super) fn with_text(text: Arc<str>) -> Self {
         let mut layer = Self {
             text,
-            items: Vec::new(),
+            values: Vec::new(),
             problems: Vec::new(),
         };
-        match items(&layer.text) {
-            Ok(items) => layer.items = items,
+        match parse_values(&layer.text) {
+            Ok(values) => layer.values = values,
             Err(problem) => layer.problems.push(problem),
         }
-        layer.items.shrink_to_fit();
-        if layer.is_read() {
-            layer.note_twice(ROOT, &mut Vec::new());
+        layer.values.shrink_to_fit();
+        if layer.is_parsed() {
+            layer.report_duplicate_keys(ROOT, &mut Vec::new());
         }
         layer
     }
 
-    /// Whether the text could be read as an object.
-    pub(super) fn is_read(&self) -> bool {
-        !self.items.is_empty()
+    /// Whether the text was parsed and its root is an object.
+    pub(super) fn is_parsed(&self) -> bool {
+        !self.values.is_empty()
     }
 
-    /// What is wrong with this file by itself.
+    /// The problems found in this file alone.
     pub(super) fn problems(&self) -> &[Problem] {
         &self.problems
     }
 
-    /// The kind of a value.
-    pub(super) fn kind(&self, item: u32) -> Kind {
-        self.item(item).kind
+    /// The kind of the value at `index`.
+    pub(super) fn kind(&self, index: u32) -> Kind {
+        self.value(index).kind
     }
 
-    /// Where a value starts.
-    pub(super) fn offset(&self, item: u32) -> u32 {
-        self.item(item).value.start
+    /// The byte offset at which a value starts.
+    pub(super) fn offset(&self, index: u32) -> u32 {
+        self.value(index).value_span.start
     }
 
-    /// Where the key of a value starts.
-    pub(super) fn key_offset(&self, item: u32) -> u32 {
-        self.item(item).key.start
+    /// The byte offset at which the key of a value starts.
+    pub(super) fn key_offset(&self, index: u32) -> u32 {
+        self.value(index).key_span.start
     }
 
-    /// The key of a value.
-    pub(super) fn key(&self, item: u32) -> Cow<'_, str> {
-        unquoted(self.slice(self.item(item).key))
+    /// The key of a value, unescaped.
+    pub(super) fn key(&self, index: u32) -> Cow<'_, str> {
+        unquote(self.slice(self.value(index).key_span))
     }
 
-    /// A value as it is written.
-    pub(super) fn raw(&self, item: u32) -> &str {
-        self.slice(self.item(item).value)
+    /// The source text of a value.
+    pub(super) fn raw(&self, index: u32) -> &str {
+        self.slice(self.value(index).value_span)
     }
 
-    /// The text of a string.
-    pub(super) fn text(&self, item: u32) -> Cow<'_, str> {
-        unquoted(self.raw(item))
+    /// The unescaped text of a string value.
+    pub(super) fn text(&self, index: u32) -> Cow<'_, str> {
+        unquote(self.raw(index))
     }
 
-    /// The values right inside an object or a list.
-    pub(super) fn children(&self, item: u32) -> Children<'_> {
+    /// The indices of an object's or a list's direct children.
+    pub(super) fn children(&self, index: u32) -> Children<'_> {
         Children {
             layer: self,
-            at: item + 1,
-            end: self.item(item).next,
+            next: index + 1,
+            end: self.value(index).subtree_end,
         }
     }
 
-    /// Whether a value is `null` or has one inside.
-    pub(super) fn has_null(&self, item: u32) -> bool {
-        let inside = item as usize..self.item(item).next as usize;
-        self.items[inside].iter().any(|i| i.kind == Kind::Null)
+    /// Whether a value is `null` or contains a `null`.
+    pub(super) fn has_null(&self, index: u32) -> bool {
+        let subtree = index as usize..self.value(index).subtree_end as usize;
+        self.values[subtree].iter().any(|i| i.kind == Kind::Null)
     }
 
-    fn item(&self, item: u32) -> &Item {
-        &self.items[item as usize]
+    fn value(&self, index: u32) -> &FlatValue {
+        &self.values[index as usize]
     }
 
     fn slice(&self, span: Span) -> &str {
         &self.text[span.start as usize..span.end as usize]
     }
 
-    /// Notes keys that stand twice in one object. `above` are the values that `item` is inside.
-    fn note_twice(&mut self, item: u32, above: &mut Vec<u32>) {
-        let mut at = item + 1;
-        let mut last: Option<u32> = None;
-        let end = self.item(item).next;
-        let is_object = self.kind(item) == Kind::Object;
-        while at < end {
-            above.push(at);
-            if is_object && last.is_some_and(|last| self.key(last) == self.key(at)) {
-                let path = above.iter().map(|&item| self.key(item).into_owned());
+    /// Reports duplicate keys in the value at `index` and in the values nested in it. `parents`
+    /// holds the indices of the values on the path from below the root to `index`.
+    fn report_duplicate_keys(&mut self, index: u32, parents: &mut Vec<u32>) {
+        let mut child = index + 1;
+        let mut previous: Option<u32> = None;
+        let end = self.value(index).subtree_end;
+        let is_object = self.kind(index) == Kind::Object;
+        while child < end {
+            parents.push(child);
+            if is_object && previous.is_some_and(|previous| self.key(previous) == self.key(child)) {
+                let path = parents.iter().map(|&index| self.key(index).into_owned());
                 let problem = Problem {
-                    offset: self.key_offset(at),
+                    offset: self.key_offset(child),
                     path: path.collect(),
                     text: "is given twice in one object".into(),
                 };
                 self.problems.push(problem);
             }
-            self.note_twice(at, above);
-            above.pop();
-            last = Some(at);
-            at = self.item(at).next;
+            self.report_duplicate_keys(child, parents);
+            parents.pop();
+            previous = Some(child);
+            child = self.value(child).subtree_end;
         }
     }
 }
 
-/// The values right inside another.
+/// Iterates over the indices of a value's direct children.
 #[derive(Clone)]
 pub(super) struct Children<'l> {
     layer: &'l Layer,
-    at: u32,
+    next: u32,
     end: u32,
 }
 
@@ -204,34 +206,35 @@
     type Item = u32;
 
     fn next(&mut self) -> Option<u32> {
-        if self.at >= self.end {
+        if self.next >= self.end {
             return None;
         }
-        let item = self.at;
-        self.at = self.layer.item(item).next;
-        Some(item)
+        let index = self.next;
+        self.next = self.layer.value(index).subtree_end;
+        Some(index)
     }
 }
 
-/// The text of a string literal.
-fn unquoted(literal: &str) -> Cow<'_, str> {
+/// Returns the text of a string literal without quotes and escapes.
+fn unquote(literal: &str) -> Cow<'_, str> {
     let inner = literal.get(1..literal.len().saturating_sub(1));
     let inner = inner.unwrap_or_default();
     if !inner.contains('\\') {
         return inner.into();
     }
-    let read = serde_json::from_str::<String>(literal);
-    read.map_or(inner.into(), Cow::from)
+    let unescaped = serde_json::from_str::<String>(literal);
+    unescaped.map_or(inner.into(), Cow::from)
 }
 
-fn items(text: &str) -> Result<Vec<Item>, Problem> {
+/// Parses a text into a flat list of values.
+fn parse_values(text: &str) -> Result<Vec<FlatValue>, Problem> {
     let problem = |offset: usize, text: String| Problem {
         offset: offset as u32,
         path: Vec::new(),
         text,
     };
-    if text.len() > LARGEST_FILE {
-        return Err(problem(0, format!("has more than {LARGEST_FILE} bytes")));
+    if text.len() > MAX_FILE_BYTES {
+        return Err(problem(0, format!("has more than {MAX_FILE_BYTES} bytes")));
     }
     let parsed = jsonc_parser::parse_to_ast(text, &CollectOptions::default(), &SYNTAX);
     let parsed = parsed.map_err(|error| {
@@ -247,18 +250,18 @@
     if !matches!(value, ast::Value::Object(_)) {
         return Err(problem(value.start(), "expected an object".into()));
     }
-    let mut items = Vec::new();
-    put(&mut items, Span { start: 0, end: 0 }, value);
-    Ok(items)
+    let mut values = Vec::new();
+    append_value(&mut values, Span { start: 0, end: 0 }, value);
+    Ok(values)
 }
 
-/// Appends a value and all that is inside it.
-fn put(items: &mut Vec<Item>, key: Span, value: ast::Value<'_>) {
-    let first = items.len();
-    items.push(Item {
-        key,
-        value: span(&value),
-        next: 0,
+/// Appends a value and, after it, all values nested in it.
+fn append_value(values: &mut Vec<FlatValue>, key: Span, value: ast::Value<'_>) {
+    let first = values.len();
+    values.push(FlatValue {
+        key_span: key,
+        value_span: span(&value),
+        subtree_end: 0,
         kind: kind(&value),
     });
     match value {
@@ -266,19 +269,20 @@
             let properties = &mut object.properties;
             properties.sort_by(|a, b| a.name.as_str().cmp(b.name.as_str()));
             for property in object.properties {
-                put(items, span(&property.name), property.value);
+                append_value(values, span(&property.name), property.value);
             }
         }
         ast::Value::Array(list) => {
             for value in list.elements {
-                put(items, Span { start: 0, end: 0 }, value);
+                append_value(values, Span { start: 0, end: 0 }, value);
             }
         }
         _ => {}
     }
-    items[first].next = items.len() as u32;
+    values[first].subtree_end = values.len() as u32;
 }
 
+/// The byte range of a value or a key.
 fn span(ranged: &impl Ranged) -> Span {
     Span {
         start: ranged.start() as u32,
@@ -289,7 +293,7 @@
 fn kind(value: &ast::Value<'_>) -> Kind {
     match value {
         ast::Value::NullKeyword(_) => Kind::Null,
-        ast::Value::BooleanLit(_) => Kind::Flag,
+        ast::Value::BooleanLit(_) => Kind::Boolean,
         ast::Value::NumberLit(_) => Kind::Number,
         ast::Value::StringLit(_) => Kind::Text,
         ast::Value::Array(_) => Kind::List,
--- a/src/config/lines.rs
+++ b/src/config/lines.rs
@@ -1,13 +1,13 @@
 //! Line numbers of byte offsets.
 
-/// Where the lines of a text start.
+/// The byte offsets at which the lines of a text start.
 #[derive(Debug)]
-pub(super) struct Lines {
+pub(super) struct LineIndex {
     starts: Vec<u32>,
 }
 
-impl Lines {
-    /// The lines of `text`.
+impl LineIndex {
+    /// Indexes the lines of `text`.
     pub(super) fn new(text: &str) -> Self {
         let ends = text.bytes().enumerate().filter(|&(_, byte)| byte == b'\n');
         let starts = ends.map(|(i, _)| i as u32 + 1);
@@ -16,8 +16,8 @@
         }
     }
 
-    /// The line that `offset` lies in, from 1.
-    pub(super) fn line(&self, offset: u32) -> usize {
+    /// The line that contains the byte at `offset`, from 1.
+    pub(super) fn line_number(&self, offset: u32) -> usize {
         self.starts.partition_point(|&start| start <= offset)
     }
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! Configuration folders and settings: read, merge, check.
+//! Reads, merges and checks configuration folders and host settings.
 
 mod clients;
 mod fault;
@@ -20,35 +20,35 @@
 pub use clients::Clients;
 pub use fault::{Fault, Faults};
 pub use folder::Folder;
-pub use layer::LARGEST_FILE;
+pub use layer::MAX_FILE_BYTES;
 pub use show::Origin;
 
-/// What keeps files from being read.
+/// An error when reading a configuration folder or a settings file.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The system would not read a file or a folder.
+    /// An I/O error when reading a file or a folder.
     #[error("{path}: {source}")]
     Read {
         /// The file or folder.
         path: Arc<str>,
-        /// Why not.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// A folder without configuration files.
+    /// The folder has no configuration files.
     #[error("{path}: no *.json files here")]
     Empty {
         /// The folder.
         path: Arc<str>,
     },
-    /// A file larger than the platform takes.
-    #[error("{path}: has {bytes} bytes, more than {LARGEST_FILE}")]
+    /// The file is larger than the platform accepts.
+    #[error("{path}: has {bytes} bytes, more than {MAX_FILE_BYTES}")]
     Size {
         /// The file.
         path: Arc<str>,
-        /// Its size.
+        /// The size of the file in bytes.
         bytes: u64,
     },
-    /// Some values are wrong.
+    /// The files have syntax errors or invalid values.
     #[error(transparent)]
     Faults(#[from] Faults),
 }
--- a/src/config/shape.rs
+++ b/src/config/shape.rs
@@ -1,4 +1,4 @@
-//! What the schemas say of single values: types, keys, choices and ranges.
+//! Checks single values against the JSON schemas: types, keys, choices and ranges.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -7,55 +7,57 @@
 
 use super::fault::Problems;
 use super::layer::Kind;
-use super::tree::{Place, View};
+use super::tree::{Position, View};
 
-/// How alike two names must be for one to be suggested for the other, from 0 to 1.
-const ALIKE: f64 = 0.8;
+/// The minimum Jaro-Winkler similarity, from 0 to 1, at which a known name is suggested for an
+/// unknown one.
+const MIN_SIMILARITY: f64 = 0.8;
 
-/// What values are allowed.
+/// The values that a schema allows.
 #[derive(Debug)]
 pub(super) enum Shape {
-    /// Anything: the schema says nothing that is known here.
+    /// Any value: the schema uses no keyword that this module supports.
     Any,
     /// A string.
     Text,
     /// One of these strings.
     Choice(Vec<String>),
     /// `true` or `false`.
-    Flag,
-    /// A whole number within a range.
-    Whole { least: u64, most: u64 },
-    /// A number within a range.
-    Number { least: f64, most: f64 },
-    /// An object whose keys are names.
+    Boolean,
+    /// An integer from `min` to `max`.
+    Integer { min: u64, max: u64 },
+    /// A number from `min` to `max`.
+    Number { min: f64, max: f64 },
+    /// An object with arbitrary keys and values of one shape.
     Map(Box<Shape>),
     /// An object with fixed keys.
     Record(BTreeMap<String, Field>),
 }
 
-/// A key of a record.
+/// The shape of the value under a key of a record.
 #[derive(Debug)]
 pub(super) struct Field {
     shape: Shape,
-    need: Need,
+    presence: Presence,
 }
 
 #[derive(Debug, Eq, PartialEq)]
-enum Need {
+enum Presence {
     Required,
     Optional,
 }
 
 impl Shape {
-    /// The shape that a JSON schema describes.
+    /// Parses a JSON schema. A text that is not JSON allows any value.
     pub(super) fn with_schema(text: &str) -> Self {
         match serde_json::from_str(text) {
-            Ok(root) => shape(&root, &root),
+            Ok(root) => parse_schema(&root, &root),
             Err(_) => Shape::Any,
         }
     }
 
-    /// Notes what in `view` and below it is not as it should be.
+    /// Checks `view` and all values nested in it, and adds the problems to `problems`. `path` holds
+    /// the keys from the root to `view`.
     pub(super) fn check<'t>(
         &self,
         view: View<'t>,
@@ -64,26 +66,27 @@
     ) {
         match (self, view.kind()) {
             (Shape::Map(inner), Kind::Object) => {
-                for entry in view.inside() {
+                for entry in view.children() {
                     inner.check_entry(entry, path, problems);
                 }
             }
             (Shape::Record(fields), Kind::Object) => {
-                check_record(fields, view, view.place(), path, problems);
+                check_record(fields, view, view.position(), path, problems);
             }
             _ => {
                 if let Some(problem) = self.problem(view) {
-                    problems.add(view.place(), path, problem);
+                    problems.add(view.position(), path, problem);
                 }
             }
         }
     }
 
-    /// Like [`Shape::check`], but what is missing in `root` itself is missing at `place`.
-    pub(super) fn check_at(&self, root: View<'_>, place: Place, problems: &mut Problems) {
+    /// Like [`Shape::check`] for the root, but reports keys that are missing in `root` itself at
+    /// `position`.
+    pub(super) fn check_root(&self, root: View<'_>, position: Position, problems: &mut Problems) {
         match self {
             Shape::Record(fields) => {
-                check_record(fields, root, place, &mut Vec::new(), problems);
+                check_record(fields, root, position, &mut Vec::new(), problems);
             }
             _ => self.check(root, &mut Vec::new(), problems),
         }
@@ -100,35 +103,40 @@
         path.pop();
     }
 
-    /// What is wrong with a value that is not an object, or should be one.
+    /// Returns the problem of a value of the wrong kind or, for a scalar, outside its range or
+    /// choices.
     fn problem(&self, view: View<'_>) -> Option<String> {
         match (self, view.kind()) {
-            (Shape::Any, _) | (Shape::Text, Kind::Text) | (Shape::Flag, Kind::Flag) => None,
+            (Shape::Any, _) | (Shape::Text, Kind::Text) | (Shape::Boolean, Kind::Boolean) => None,
             (Shape::Choice(choices), Kind::Text) => choice_problem(choices, &view.text()?),
-            (&Shape::Whole { least, most }, Kind::Number) => whole_problem(view.raw(), least, most),
-            (&Shape::Number { least, most }, Kind::Number) => {
-                number_problem(view.raw(), least, most)
-            }
-            (_, kind) => Some(format!("expected {}, found {}", self.noun(), noun(kind))),
+            (&Shape::Integer { min, max }, Kind::Number) => integer_problem(view.raw(), min, max),
+            (&Shape::Number { min, max }, Kind::Number) => number_problem(view.raw(), min, max),
+            (_, kind) => Some(format!(
+                "expected {}, found {}",
+                self.type_name(),
+                kind_name(kind)
+            )),
         }
     }
 
-    fn noun(&self) -> &'static str {
+    /// The expected type, as named in error messages.
+    fn type_name(&self) -> &'static str {
         match self {
             Shape::Any => "any value",
             Shape::Text | Shape::Choice(_) => "a string",
-            Shape::Flag => "true or false",
-            Shape::Whole { .. } => "a whole number",
+            Shape::Boolean => "true or false",
+            Shape::Integer { .. } => "a whole number",
             Shape::Number { .. } => "a number",
             Shape::Map(_) | Shape::Record(_) => "an object",
         }
     }
 }
 
-fn noun(kind: Kind) -> &'static str {
+/// The found type, as named in error messages.
+fn kind_name(kind: Kind) -> &'static str {
     match kind {
         Kind::Null => "null",
-        Kind::Flag => "true or false",
+        Kind::Boolean => "true or false",
         Kind::Number => "a number",
         Kind::Text => "a string",
         Kind::List => "a list",
@@ -136,28 +144,34 @@
     }
 }
 
+/// Reports unknown and missing keys of an object and checks the values of the known ones. Missing
+/// keys are reported at `position`.
 fn check_record<'t>(
     fields: &BTreeMap<String, Field>,
     view: View<'t>,
-    place: Place,
+    position: Position,
     path: &mut Vec<Cow<'t, str>>,
     problems: &mut Problems,
 ) {
-    for entry in view.inside() {
+    for entry in view.children() {
         let key = entry.key();
         match fields.get(key.as_ref()) {
             Some(field) => field.shape.check_entry(entry, path, problems),
             None => {
                 let hint = suggestion(&key, fields.keys().map(String::as_str));
                 path.push(key);
-                problems.add(entry.key_place(), path, format!("is an unknown key{hint}"));
+                problems.add(
+                    entry.key_position(),
+                    path,
+                    format!("is an unknown key{hint}"),
+                );
                 path.pop();
             }
         }
     }
     for (name, field) in fields {
-        if field.need == Need::Required && view.get(name).is_none() {
-            problems.add(place, path, format!("'{name}' is missing"));
+        if field.presence == Presence::Required && view.get(name).is_none() {
+            problems.add(position, path, format!("'{name}' is missing"));
         }
     }
 }
@@ -171,42 +185,44 @@
     Some(format!("'{text}' is not one of {choices}{hint}"))
 }
 
-fn whole_problem(text: &str, least: u64, most: u64) -> Option<String> {
+fn integer_problem(text: &str, min: u64, max: u64) -> Option<String> {
     match text.parse::<u64>() {
-        Ok(whole) if (least..=most).contains(&whole) => None,
+        Ok(integer) if (min..=max).contains(&integer) => None,
         Err(_) if text.contains(['.', 'e', 'E']) => Some(format!("{text} is not a whole number")),
-        _ => Some(format!("{text} is not from {least} to {most}")),
+        _ => Some(format!("{text} is not from {min} to {max}")),
     }
 }
 
-fn number_problem(text: &str, least: f64, most: f64) -> Option<String> {
+fn number_problem(text: &str, min: f64, max: f64) -> Option<String> {
     match text.parse::<f64>() {
-        Ok(number) if number.is_finite() && (least..=most).contains(&number) => None,
-        _ if most == f64::MAX => Some(format!("{text} is not a number from {least} up")),
-        _ => Some(format!("{text} is not from {least} to {most}")),
+        Ok(number) if number.is_finite() && (min..=max).contains(&number) => None,
+        _ if max == f64::MAX => Some(format!("{text} is not a number from {min} up")),
+        _ => Some(format!("{text} is not from {min} to {max}")),
     }
 }
 
-/// `; did you mean 'NAME'?` with the known name most like `name`, if one is.
+/// Returns `; did you mean 'NAME'?` with the known name that is most similar to `name`, or an
+/// empty string if none reaches [`MIN_SIMILARITY`].
 pub(super) fn suggestion<'k>(name: &str, known: impl Iterator<Item = &'k str>) -> String {
     known
         .map(|known| (strsim::jaro_winkler(name, known), known))
-        .filter(|&(alike, _)| alike >= ALIKE)
+        .filter(|&(similarity, _)| similarity >= MIN_SIMILARITY)
         .max_by(|a, b| a.0.total_cmp(&b.0))
         .map_or(String::new(), |(_, known)| {
             format!("; did you mean '{known}'?")
         })
 }
 
-fn shape(root: &Schema, schema: &Schema) -> Shape {
+/// Parses a schema; `root` is the document that its references point into.
+fn parse_schema(root: &Schema, schema: &Schema) -> Shape {
     if let Some(name) = schema["$ref"].as_str() {
         return match root.pointer(name.trim_start_matches('#')) {
-            Some(target) => shape(root, target),
+            Some(target) => parse_schema(root, target),
             None => Shape::Any,
         };
     }
     if let Some(inner) = schema.pointer("/allOf/0") {
-        return shape(root, inner);
+        return parse_schema(root, inner);
     }
     if let Some(choices) = schema["enum"].as_array() {
         let choices = choices.iter().filter_map(Schema::as_str);
@@ -214,22 +230,22 @@
     }
     match schema["type"].as_str() {
         Some("string") => Shape::Text,
-        Some("boolean") => Shape::Flag,
-        Some("integer") => Shape::Whole {
-            least: schema["minimum"].as_u64().unwrap_or(0),
-            most: schema["maximum"].as_u64().unwrap_or(most(schema)),
+        Some("boolean") => Shape::Boolean,
+        Some("integer") => Shape::Integer {
+            min: schema["minimum"].as_u64().unwrap_or(0),
+            max: schema["maximum"].as_u64().unwrap_or(format_max(schema)),
         },
         Some("number") => Shape::Number {
-            least: schema["minimum"].as_f64().unwrap_or(f64::MIN),
-            most: schema["maximum"].as_f64().unwrap_or(f64::MAX),
+            min: schema["minimum"].as_f64().unwrap_or(f64::MIN),
+            max: schema["maximum"].as_f64().unwrap_or(f64::MAX),
         },
-        Some("object") => object(root, schema),
+        Some("object") => parse_object_schema(root, schema),
         _ => Shape::Any,
     }
 }
 
-/// The largest number of an integer's format.
-fn most(schema: &Schema) -> u64 {
+/// The largest number that an integer's `format` allows.
+fn format_max(schema: &Schema) -> u64 {
     match schema["format"].as_str() {
         Some("uint8") => u8::MAX.into(),
         Some("uint16") => u16::MAX.into(),
@@ -238,9 +254,13 @@
     }
 }
 
-fn object(root: &Schema, schema: &Schema) -> Shape {
+/// Parses the schema of an object as a map or a record.
+fn parse_object_schema(root: &Schema, schema: &Schema) -> Shape {
     if schema["additionalProperties"].is_object() {
-        return Shape::Map(Box::new(shape(root, &schema["additionalProperties"])));
+        return Shape::Map(Box::new(parse_schema(
+            root,
+            &schema["additionalProperties"],
+        )));
     }
     let Some(properties) = schema["properties"].as_object() else {
         return Shape::Any;
@@ -250,13 +270,13 @@
         required.is_some_and(|names| names.iter().any(|required| required == name))
     };
     let field = |(name, inner): (&String, &Schema)| {
-        let need = if is_required(name) {
-            Need::Required
+        let presence = if is_required(name) {
+            Presence::Required
         } else {
-            Need::Optional
+            Presence::Optional
         };
-        let shape = shape(root, inner);
-        (name.clone(), Field { shape, need })
+        let shape = parse_schema(root, inner);
+        (name.clone(), Field { shape, presence })
     };
     Shape::Record(properties.iter().map(field).collect())
 }
--- a/src/config/tree.rs
+++ b/src/config/tree.rs
@@ -1,44 +1,44 @@
-//! All files merged: a tree that refers to the values of the files.
+//! The merged configuration: a tree whose nodes refer to the values of the parsed files.
 
 use std::borrow::Cow;
 use std::sync::Arc;
 
 use super::layer::{Children, Kind, Layer, ROOT};
 
-/// Where something stands.
+/// The position of a value in the files. Positions are ordered by file, then by byte offset.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(super) struct Place {
-    /// The number of its file.
+pub(super) struct Position {
+    /// The index of the file.
     pub(super) file: u32,
-    /// Its first byte.
+    /// The byte offset in the file.
     pub(super) offset: u32,
 }
 
-/// A value of a file.
+/// Refers to a value of one file.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Spot {
+pub(super) struct ValueRef {
     file: u32,
-    item: u32,
+    index: u32,
 }
 
 /// A merged value.
 #[derive(Clone, Debug)]
 pub(super) enum Node {
-    /// As one file has it.
-    Single(Spot),
-    /// An object made from more than one file, or from one less the `null`s in it.
-    Merged(Box<Merged>),
+    /// A value taken from one file unchanged.
+    Single(ValueRef),
+    /// An object merged from several files, or from one file with its `null`s removed.
+    Merged(Box<MergedObject>),
 }
 
-/// An object and its entries, in the order of their keys.
+/// A merged object with its entries, sorted by key.
 #[derive(Clone, Debug)]
-pub(super) struct Merged {
-    /// The last file's object.
-    last: Spot,
+pub(super) struct MergedObject {
+    /// The object in the last file that has it.
+    last: ValueRef,
     entries: Vec<Node>,
 }
 
-/// Files merged, the earliest first.
+/// The merged files, in the order in which they were merged.
 #[derive(Debug)]
 pub(super) struct Tree {
     layers: Vec<Arc<Layer>>,
@@ -46,146 +46,160 @@
 }
 
 impl Tree {
-    /// Merges files: objects merge by key, anything else replaces what was before it, and `null`
-    /// removes it. Sections that `is_left_out` names are left out.
-    pub(super) fn with_layers(layers: Vec<Arc<Layer>>, is_left_out: impl Fn(&str) -> bool) -> Self {
-        let mut spots = Vec::new();
+    /// Merges files: objects merge by key, any other value replaces the earlier one, and `null`
+    /// removes it. Sections for which `is_excluded` returns true are skipped.
+    pub(super) fn with_layers(layers: Vec<Arc<Layer>>, is_excluded: impl Fn(&str) -> bool) -> Self {
+        let mut value_refs = Vec::new();
         for (file, layer) in layers.iter().enumerate() {
             let sections = layer.children(ROOT);
-            let kept = sections.filter(|&item| !is_left_out(&layer.key(item)));
-            spots.extend(kept.map(|item| Spot {
+            let kept = sections.filter(|&index| !is_excluded(&layer.key(index)));
+            value_refs.extend(kept.map(|index| ValueRef {
                 file: file as u32,
-                item,
+                index,
             }));
         }
-        let last = Spot {
+        let last = ValueRef {
             file: layers.len().saturating_sub(1) as u32,
-            item: ROOT,
+            index: ROOT,
         };
-        let entries = entries(&layers, spots);
-        let root = Node::Merged(Box::new(Merged { last, entries }));
+        let entries = merge_entries(&layers, value_refs);
+        let root = Node::Merged(Box::new(MergedObject { last, entries }));
         Self { layers, root }
     }
 
-    /// The whole.
+    /// The root object.
     pub(super) fn root(&self) -> View<'_> {
         View::new(&self.layers, &self.root)
     }
 }
 
-/// Merges the values of one key, the earliest file's first.
-fn merge(layers: &[Arc<Layer>], mut spots: &[Spot]) -> Option<Node> {
-    let kind = |spot: &Spot| layers[spot.file as usize].kind(spot.item);
-    if let Some(i) = spots.iter().rposition(|spot| kind(spot) != Kind::Object) {
-        if i + 1 == spots.len() {
-            return (kind(&spots[i]) != Kind::Null).then_some(Node::Single(spots[i]));
+/// Merges the values of one key, in the order of their files. Returns `None` if the last one is
+/// `null`.
+fn merge_values(layers: &[Arc<Layer>], mut value_refs: &[ValueRef]) -> Option<Node> {
+    let kind = |value_ref: &ValueRef| layers[value_ref.file as usize].kind(value_ref.index);
+    if let Some(i) = value_refs
+        .iter()
+        .rposition(|value_ref| kind(value_ref) != Kind::Object)
+    {
+        if i + 1 == value_refs.len() {
+            return (kind(&value_refs[i]) != Kind::Null).then_some(Node::Single(value_refs[i]));
         }
-        spots = &spots[i + 1..];
+        value_refs = &value_refs[i + 1..];
     }
-    let &last = spots.last()?;
-    if spots.len() == 1 && !layers[last.file as usize].has_null(last.item) {
+    let &last = value_refs.last()?;
+    if value_refs.len() == 1 && !layers[last.file as usize].has_null(last.index) {
         return Some(Node::Single(last));
     }
-    let mut inside = Vec::new();
-    for spot in spots {
-        let children = layers[spot.file as usize].children(spot.item);
-        inside.extend(children.map(|item| Spot { item, ..*spot }));
+    let mut child_refs = Vec::new();
+    for value_ref in value_refs {
+        let children = layers[value_ref.file as usize].children(value_ref.index);
+        child_refs.extend(children.map(|index| ValueRef {
+            index,
+            ..*value_ref
+        }));
     }
-    let entries = entries(layers, inside);
-    Some(Node::Merged(Box::new(Merged { last, entries })))
+    let entries = merge_entries(layers, child_refs);
+    Some(Node::Merged(Box::new(MergedObject { last, entries })))
 }
 
-/// Merges what is inside the objects of one key, the earliest file's first.
-fn entries(layers: &[Arc<Layer>], mut spots: Vec<Spot>) -> Vec<Node> {
-    let key = |spot: &Spot| layers[spot.file as usize].key(spot.item);
-    // A stable sort: of one key, the order of the files stays.
-    spots.sort_by(|a, b| key(a).cmp(&key(b)));
-    let groups = spots.chunk_by(|a, b| key(a) == key(b));
-    groups.filter_map(|group| merge(layers, group)).collect()
+/// Groups object entries by key and merges each group. Entries of equal key are in the order of
+/// their files.
+fn merge_entries(layers: &[Arc<Layer>], mut value_refs: Vec<ValueRef>) -> Vec<Node> {
+    let key = |value_ref: &ValueRef| layers[value_ref.file as usize].key(value_ref.index);
+    // The sort is stable, so entries of equal key keep the order of their files.
+    value_refs.sort_by(|a, b| key(a).cmp(&key(b)));
+    let groups = value_refs.chunk_by(|a, b| key(a) == key(b));
+    groups
+        .filter_map(|group| merge_values(layers, group))
+        .collect()
 }
 
-/// A value of a tree.
+/// A value of the merged tree.
 #[derive(Clone, Copy)]
 pub(super) struct View<'t> {
     layers: &'t [Arc<Layer>],
-    spot: Spot,
-    merged: Option<&'t Merged>,
+    value_ref: ValueRef,
+    merged: Option<&'t MergedObject>,
 }
 
 impl<'t> View<'t> {
     fn new(layers: &'t [Arc<Layer>], node: &'t Node) -> Self {
-        let (spot, merged) = match node {
-            Node::Single(spot) => (*spot, None),
+        let (value_ref, merged) = match node {
+            Node::Single(value_ref) => (*value_ref, None),
             Node::Merged(merged) => (merged.last, Some(&**merged)),
         };
         Self {
             layers,
-            spot,
+            value_ref,
             merged,
         }
     }
 
     fn layer(self) -> &'t Layer {
-        &self.layers[self.spot.file as usize]
+        &self.layers[self.value_ref.file as usize]
     }
 
-    fn at(self, offset: u32) -> Place {
-        let file = self.spot.file;
-        Place { file, offset }
+    fn position_at(self, offset: u32) -> Position {
+        let file = self.value_ref.file;
+        Position { file, offset }
     }
 
-    /// Its kind.
+    /// The kind of the value.
     pub(super) fn kind(self) -> Kind {
         if self.merged.is_some() {
             return Kind::Object;
         }
-        self.layer().kind(self.spot.item)
+        self.layer().kind(self.value_ref.index)
     }
 
-    /// Its key.
+    /// The key of the value.
     pub(super) fn key(self) -> Cow<'t, str> {
-        self.layer().key(self.spot.item)
+        self.layer().key(self.value_ref.index)
     }
 
-    /// Where its key stands, in the last file that has it.
-    pub(super) fn key_place(self) -> Place {
-        self.at(self.layer().key_offset(self.spot.item))
+    /// The position of the key in the last file that has it.
+    pub(super) fn key_position(self) -> Position {
+        self.position_at(self.layer().key_offset(self.value_ref.index))
     }
 
-    /// Where it stands, in the last file that has it.
-    pub(super) fn place(self) -> Place {
+    /// The position of the value in the last file that has it.
+    pub(super) fn position(self) -> Position {
         if self.layers.is_empty() {
-            return self.at(0);
+            return self.position_at(0);
         }
-        self.at(self.layer().offset(self.spot.item))
+        self.position_at(self.layer().offset(self.value_ref.index))
     }
 
-    /// A scalar as it is written.
+    /// The source text of a scalar.
     pub(super) fn raw(self) -> &'t str {
-        self.layer().raw(self.spot.item)
+        self.layer().raw(self.value_ref.index)
     }
 
-    /// The text of a string.
+    /// The unescaped text, if the value is a string.
     pub(super) fn text(self) -> Option<Cow<'t, str>> {
-        (self.kind() == Kind::Text).then(|| self.layer().text(self.spot.item))
+        (self.kind() == Kind::Text).then(|| self.layer().text(self.value_ref.index))
     }
 
-    /// What is right inside an object or a list.
-    pub(super) fn inside(self) -> Inside<'t> {
+    /// The direct children of an object or a list.
+    pub(super) fn children(self) -> ChildViews<'t> {
         let layers = self.layers;
         match self.merged {
-            Some(merged) => Inside::Merged(layers, merged.entries.iter()),
-            None => Inside::Single(layers, self.spot, self.layer().children(self.spot.item)),
+            Some(merged) => ChildViews::Merged(layers, merged.entries.iter()),
+            None => ChildViews::Single(
+                layers,
+                self.value_ref,
+                self.layer().children(self.value_ref.index),
+            ),
         }
     }
 
-    /// The entries of an object; none of anything else.
+    /// The entries of an object; none for a value of another kind.
     pub(super) fn entries(self) -> impl Iterator<Item = View<'t>> {
         let is_object = self.kind() == Kind::Object;
-        is_object.then(|| self.inside()).into_iter().flatten()
+        is_object.then(|| self.children()).into_iter().flatten()
     }
 
-    /// The entry of an object under `key`.
+    /// The entry of an object with this key.
     pub(super) fn get(self, key: &str) -> Option<View<'t>> {
         let Some(merged) = self.merged else {
             return self.entries().find(|entry| entry.key() == key);
@@ -196,42 +210,42 @@
         found.ok().map(|i| view(&entries[i]))
     }
 
-    /// The entries of the object under `key`.
-    pub(super) fn section(self, key: &str) -> impl Iterator<Item = View<'t>> {
+    /// The entries of the object with this key; none if there is no such object.
+    pub(super) fn section_entries(self, key: &str) -> impl Iterator<Item = View<'t>> {
         let section = self.get(key);
         section.into_iter().flat_map(View::entries)
     }
 
-    /// The string under `key`.
-    pub(super) fn named(self, key: &str) -> Option<(Cow<'t, str>, Place)> {
+    /// The text and the position of the string with this key.
+    pub(super) fn string(self, key: &str) -> Option<(Cow<'t, str>, Position)> {
         let view = self.get(key)?;
-        Some((view.text()?, view.place()))
+        Some((view.text()?, view.position()))
     }
 }
 
-/// What is right inside an object or a list.
+/// Iterates over the direct children of an object or a list.
 #[derive(Clone)]
-pub(super) enum Inside<'t> {
-    /// Of one file.
-    Single(&'t [Arc<Layer>], Spot, Children<'t>),
-    /// Of merged files.
+pub(super) enum ChildViews<'t> {
+    /// The children of a value that one file holds.
+    Single(&'t [Arc<Layer>], ValueRef, Children<'t>),
+    /// The children of a merged object.
     Merged(&'t [Arc<Layer>], std::slice::Iter<'t, Node>),
 }
 
-impl<'t> Iterator for Inside<'t> {
+impl<'t> Iterator for ChildViews<'t> {
     type Item = View<'t>;
 
     fn next(&mut self) -> Option<View<'t>> {
         match self {
-            Inside::Single(layers, spot, children) => Some(View {
+            ChildViews::Single(layers, value_ref, children) => Some(View {
                 layers,
-                spot: Spot {
-                    item: children.next()?,
-                    ..*spot
+                value_ref: ValueRef {
+                    index: children.next()?,
+                    ..*value_ref
                 },
                 merged: None,
             }),
-            Inside::Merged(layers, nodes) => Some(View::new(layers, nodes.next()?)),
+            ChildViews::Merged(layers, nodes) => Some(View::new(layers, nodes.next()?)),
         }
     }
 }
--- a/src/config/value.rs
+++ b/src/config/value.rs
@@ -1,4 +1,4 @@
-//! From a checked tree to the generated types.
+//! Deserializes a checked tree into the generated types.
 
 use serde::de::value::{CowStrDeserializer, Error, MapDeserializer, SeqDeserializer};
 use serde::de::{Deserializer, Error as _, IntoDeserializer, Visitor};
@@ -7,11 +7,11 @@
 use super::layer::Kind;
 use super::tree::View;
 
-/// A tree that serde reads from.
+/// A serde deserializer for a value of the merged tree.
 #[derive(Clone, Copy)]
-pub(super) struct Reader<'t>(pub(super) View<'t>);
+pub(super) struct ValueDeserializer<'t>(pub(super) View<'t>);
 
-impl<'de> IntoDeserializer<'de, Error> for Reader<'_> {
+impl<'de> IntoDeserializer<'de, Error> for ValueDeserializer<'_> {
     type Deserializer = Self;
 
     fn into_deserializer(self) -> Self {
@@ -19,19 +19,23 @@
     }
 }
 
-impl<'de> Deserializer<'de> for Reader<'_> {
+impl<'de> Deserializer<'de> for ValueDeserializer<'_> {
     type Error = Error;
 
     fn deserialize_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Error> {
         let view = self.0;
         match view.kind() {
             Kind::Null => visitor.visit_unit(),
-            Kind::Flag => visitor.visit_bool(view.raw() == "true"),
-            Kind::Number => number(view.raw(), visitor),
+            Kind::Boolean => visitor.visit_bool(view.raw() == "true"),
+            Kind::Number => visit_number(view.raw(), visitor),
             Kind::Text => visitor.visit_str(&view.text().unwrap_or_default()),
-            Kind::List => visitor.visit_seq(SeqDeserializer::new(view.inside().map(Reader))),
+            Kind::List => {
+                visitor.visit_seq(SeqDeserializer::new(view.children().map(ValueDeserializer)))
+            }
             Kind::Object => {
-                let pairs = view.inside().map(|entry| (entry.key(), Reader(entry)));
+                let pairs = view
+                    .children()
+                    .map(|entry| (entry.key(), ValueDeserializer(entry)));
                 visitor.visit_map(MapDeserializer::new(pairs))
             }
         }
@@ -67,12 +71,13 @@
     }
 }
 
-fn number<'de, V: Visitor<'de>>(text: &str, visitor: V) -> Result<V::Value, Error> {
-    if let Ok(whole) = text.parse::<u64>() {
-        return visitor.visit_u64(whole);
+/// Visits a number as the first of `u64`, `i64` and `f64` that can represent it.
+fn visit_number<'de, V: Visitor<'de>>(text: &str, visitor: V) -> Result<V::Value, Error> {
+    if let Ok(integer) = text.parse::<u64>() {
+        return visitor.visit_u64(integer);
     }
-    if let Ok(whole) = text.parse::<i64>() {
-        return visitor.visit_i64(whole);
+    if let Ok(integer) = text.parse::<i64>() {
+        return visitor.visit_i64(integer);
     }
     match text.parse::<f64>() {
         Ok(number) => visitor.visit_f64(number),
--- a/src/entry/revision.rs
+++ b/src/entry/revision.rs
@@ -44,7 +44,7 @@
         };
         let folder = self.folder.updated(fetched.files.clone());
         let (configuration, clients) = folder
-            .parts()
+            .merged_with_clients()
             .map_err(|faults| faulty(faults.to_string()))?;
         // Client blocks are many and change seldom: the table is made anew only if they did.
         let changed = !Arc::ptr_eq(&clients, &self.clients);
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -12,7 +12,7 @@
 use ragwortfold::border::configuration::State;
 use ragwortfold::catalog::Catalog;
 use ragwortfold::config::settings::{self, Overrides};
-use ragwortfold::config::{self, Faults, Folder, Origin, LARGEST_FILE};
+use ragwortfold::config::{self, Faults, Folder, Origin, MAX_FILE_BYTES};
 
 /// A right configuration, two regions of one zone each.
 const BASE: &str = r#"{
@@ -176,7 +176,7 @@
 
 #[test]
 fn a_file_larger_than_the_platform_takes_is_a_fault() {
-    let text = format!("{{}}{}", " ".repeat(LARGEST_FILE));
+    let text = format!("{{}}{}", " ".repeat(MAX_FILE_BYTES));
     let told = told(&text);
     assert_eq!(told, ["b.json:1:1: has more than 1000000 bytes"]);
 }
@@ -371,13 +371,13 @@
         #[test]
         fn $name() {
             let first = split_folder(BLOCKS, "{}");
-            let (_, before) = first.parts().unwrap();
+            let (_, before) = first.merged_with_clients().unwrap();
             let fresh = split_folder($blocks, $small);
             let next = first.updated(fresh.files().clone());
-            let faults = (lines(next.parts().map(|_| ())), lines(fresh.parts().map(|_| ())));
+            let faults = (lines(next.merged_with_clients().map(|_| ())), lines(fresh.merged_with_clients().map(|_| ())));
             assert_eq!(faults.0, faults.1);
-            if let Ok((configuration, clients)) = next.parts() {
-                let (wanted, wanted_clients) = fresh.parts().unwrap();
+            if let Ok((configuration, clients)) = next.merged_with_clients() {
+                let (wanted, wanted_clients) = fresh.merged_with_clients().unwrap();
                 let json = |value| serde_json::to_value(value).unwrap();
                 assert_eq!(json(&configuration), json(&wanted));
                 assert_eq!(clients, wanted_clients);
@@ -405,20 +405,20 @@
         ("a.json", r#"{"regions": {"west": {}}}"#),
         ("b.json", blocks),
     ]);
-    first.parts().unwrap();
+    first.merged_with_clients().unwrap();
     let fresh = folder(&[
         ("a.json", r#"{"regions": {"east": {}}}"#),
         ("b.json", blocks),
     ]);
     let next = first.updated(fresh.files().clone());
     let wanted = "b.json:1:40: clients.10.3.0.0/16.region: no 'west' in regions";
-    let told = lines(next.parts().map(|_| ()));
+    let told = lines(next.merged_with_clients().map(|_| ()));
     assert!(told[0].starts_with(wanted), "{told:?}");
 }
 
 #[test]
 fn client_blocks_are_in_rising_order_with_their_regions() {
-    let (configuration, clients) = split_folder(BLOCKS, "{}").parts().unwrap();
+    let (configuration, clients) = split_folder(BLOCKS, "{}").merged_with_clients().unwrap();
     let blocks = clients
         .iter()
         .map(|(block, region)| format!("{block} {region}"));
