--- a/src/bin/ragwortfold/app.rs
+++ b/src/bin/ragwortfold/app.rs
@@ -1,4 +1,4 @@
-//! From arguments to one `Config`.
+//! Converts the parsed arguments to the `Config` of the selected command.
 
 use std::net::IpAddr;
 use std::path::PathBuf;
@@ -12,14 +12,14 @@
 use ragwortfold::config::Origin;
 use ragwortfold::store::publication::Undo;
 
-use crate::drain::{Kind, Limits};
+use crate::drain::{LimitPolicy, ResourceKind};
 use crate::publish::Edits;
 use crate::table::Format;
 use crate::{clap_app, config, drain, entry, explain, lookup, publish, status};
 
-/// What the arguments ask for.
+/// The selected command and its arguments.
 pub(crate) enum Config {
-    /// Print the completions of a shell.
+    /// Print the shell completions.
     Completions(Shell),
     /// Print the man page.
     Man,
@@ -31,18 +31,18 @@
     Show(config::Show),
     /// Read or change the configuration on the platform.
     Publish(publish::Config),
-    /// Change the state of a place.
+    /// Drain or undrain a target, zone, region or host.
     Drain(drain::Config),
-    /// Show what a host or the platform says of the system.
+    /// Show the status that one or all entry hosts report.
     Status(status::Config),
-    /// Ask for entry hosts.
+    /// Look up the entry hosts for a service.
     Lookup(lookup::Config),
-    /// Tell a request's story from logs.
+    /// Show the log lines about one request.
     Explain(explain::Config),
     /// Run the demo.
     #[cfg(feature = "demo")]
     Demo(crate::demo::Config),
-    /// The demo is not in this build.
+    /// The program was built without the feature `demo`.
     #[cfg(not(feature = "demo"))]
     Demo,
 }
@@ -53,14 +53,14 @@
 }
 
 impl App {
-    /// Parses the arguments of this process; leaves it when they are wrong or ask for help.
+    /// Parses the arguments of this process. Exits the process if they are invalid or request help.
     pub(crate) fn new() -> Self {
         Self {
             matches: clap_app::build().get_matches(),
         }
     }
 
-    /// What the arguments ask for.
+    /// The selected command and its arguments.
     pub(crate) fn config(&self) -> Config {
         if let Some(&shell) = self.matches.get_one::<Shell>("completions") {
             return Config::Completions(shell);
@@ -77,7 +77,7 @@
             Some(("demo", matches)) => Config::Demo(demo_config(matches)),
             #[cfg(not(feature = "demo"))]
             Some(("demo", _)) => Config::Demo,
-            // The parser allows nothing else but `--man`.
+            // The parser accepts no other arguments than `--man`.
             _ => Config::Man,
         }
     }
@@ -92,7 +92,7 @@
         })
         .collect();
     entry::Config {
-        settings: path(matches, "settings"),
+        settings: path_arg(matches, "settings"),
         overrides: Overrides { values },
     }
 }
@@ -101,31 +101,31 @@
     let (name, matches) = matches.subcommand().unwrap_or(("", matches));
     let action = match name {
         "check" => {
-            let dir = path(matches, "dir");
+            let dir = path_arg(matches, "dir");
             return Config::Check(config::Check { dir });
         }
         "show" => return Config::Show(show_config(matches)),
         "diff" => publish::Action::Diff {
-            dir: path(matches, "dir"),
+            dir: path_arg(matches, "dir"),
         },
         "apply" => apply_action(matches),
         "pull" => publish::Action::Pull {
-            dir: path(matches, "dir"),
-            edits: flagged(matches, "discard-edits", Edits::Keep, Edits::Discard),
+            dir: path_arg(matches, "dir"),
+            edits: select_by_flag(matches, "discard-edits", Edits::Keep, Edits::Discard),
         },
-        // The parser allows nothing else.
+        // The parser accepts only `history` besides these.
         _ => publish::Action::History,
     };
     Config::Publish(publish::Config {
-        platform: text(matches, "platform"),
+        platform: text_arg(matches, "platform"),
         action,
-        format: format(matches),
+        format: output_format(matches),
     })
 }
 
 fn show_config(matches: &ArgMatches) -> config::Show {
     config::Show {
-        dir: path(matches, "dir"),
+        dir: path_arg(matches, "dir"),
         origin: if matches.get_flag("origin") {
             Origin::Shown
         } else {
@@ -139,57 +139,59 @@
         source: match matches.get_one::<u64>("revert") {
             Some(&revision) => publish::Source::Revision(revision),
             None => publish::Source::Folder(
-                path(matches, "dir"),
-                flagged(matches, "remove-missing", Undo::Refuse, Undo::Allow),
+                path_arg(matches, "dir"),
+                select_by_flag(matches, "remove-missing", Undo::Refuse, Undo::Allow),
             ),
         },
         note: matches.get_one("note").cloned(),
         author: matches.get_one("author").cloned(),
-        wait: wait(matches),
+        max_wait: max_wait(matches),
     }
 }
 
 fn drain_config(matches: &ArgMatches, state: State) -> drain::Config {
     drain::Config {
-        platform: text(matches, "platform"),
-        kind: choice(matches, "kind", &Kind::ALL),
-        name: text(matches, "name"),
+        platform: text_arg(matches, "platform"),
+        kind: choice_arg(matches, "kind", &ResourceKind::ALL),
+        name: text_arg(matches, "name"),
         state,
-        limits: match state {
-            State::Draining => flagged(matches, "force", Limits::Keep, Limits::Force),
-            _ => Limits::Force,
+        limit_policy: match state {
+            State::Draining => {
+                select_by_flag(matches, "force", LimitPolicy::Enforce, LimitPolicy::Ignore)
+            }
+            _ => LimitPolicy::Ignore,
         },
-        wait: wait(matches),
+        max_wait: max_wait(matches),
         note: matches.get_one("note").cloned(),
         author: matches.get_one("author").cloned(),
-        format: format(matches),
+        format: output_format(matches),
     }
 }
 
 fn status_config(matches: &ArgMatches) -> status::Config {
     status::Config {
-        from: match matches.get_one::<String>("entry") {
-            Some(url) => status::From::Entry(url.clone()),
-            None => status::From::Platform(text(matches, "platform")),
+        source: match matches.get_one::<String>("entry") {
+            Some(url) => status::StatusSource::Entry(url.clone()),
+            None => status::StatusSource::Platform(text_arg(matches, "platform")),
         },
-        format: format(matches),
+        format: output_format(matches),
     }
 }
 
 fn explain_config(matches: &ArgMatches) -> explain::Config {
     let logs = matches.get_many("logs").unwrap_or_default();
     explain::Config {
-        id: text(matches, "id"),
+        id: text_arg(matches, "id"),
         logs: logs.cloned().collect(),
     }
 }
 
 fn lookup_config(matches: &ArgMatches) -> lookup::Config {
     lookup::Config {
-        entry: text(matches, "entry"),
-        service: text(matches, "service"),
+        entry: text_arg(matches, "entry"),
+        service: text_arg(matches, "service"),
         client: matches.get_one::<IpAddr>("client").map(IpAddr::to_string),
-        format: format(matches),
+        format: output_format(matches),
     }
 }
 
@@ -197,34 +199,35 @@
 fn demo_config(matches: &ArgMatches) -> crate::demo::Config {
     let number = |name| matches.get_one::<u64>(name).copied().unwrap_or_default();
     crate::demo::Config {
-        customer: choice(matches, "customer", &crate::demo::Customer::ALL),
+        customer: choice_arg(matches, "customer", &crate::demo::Customer::ALL),
         seconds: number("seconds"),
         rate: matches.get_one("rate").copied(),
         seed: number("seed"),
-        fault: text(matches, "fault"),
-        format: format(matches),
+        fault: text_arg(matches, "fault"),
+        format: output_format(matches),
     }
 }
 
-/// The value of a path that the parser requires.
-fn path(matches: &ArgMatches, name: &str) -> PathBuf {
+/// The path argument `name`, which the parser requires.
+fn path_arg(matches: &ArgMatches, name: &str) -> PathBuf {
     matches.get_one(name).cloned().unwrap_or_default()
 }
 
-/// The value of a text that the parser requires.
-fn text(matches: &ArgMatches, name: &str) -> String {
+/// The text argument `name`, which the parser requires.
+fn text_arg(matches: &ArgMatches, name: &str) -> String {
     matches.get_one(name).cloned().unwrap_or_default()
 }
 
-/// The value that a word stands for; the parser allows only the words of `all`.
-fn choice<T: Copy>(matches: &ArgMatches, name: &str, all: &[(&str, T)]) -> T {
-    let word = text(matches, name);
+/// Returns the value for the word given as argument `name`; the parser accepts only the words in
+/// `all`.
+fn choice_arg<T: Copy>(matches: &ArgMatches, name: &str, all: &[(&str, T)]) -> T {
+    let word = text_arg(matches, name);
     let found = all.iter().find(|(known, _)| *known == word);
     found.unwrap_or(&all[0]).1
 }
 
-/// What a flag chooses.
-fn flagged<T>(matches: &ArgMatches, flag: &str, without: T, with: T) -> T {
+/// Returns `with` if the flag is given, and `without` otherwise.
+fn select_by_flag<T>(matches: &ArgMatches, flag: &str, without: T, with: T) -> T {
     if matches.get_flag(flag) {
         with
     } else {
@@ -232,11 +235,12 @@
     }
 }
 
-fn wait(matches: &ArgMatches) -> Duration {
+/// The value of `--wait`.
+fn max_wait(matches: &ArgMatches) -> Duration {
     Duration::from_secs(matches.get_one("wait").copied().unwrap_or_default())
 }
 
-fn format(matches: &ArgMatches) -> Format {
+fn output_format(matches: &ArgMatches) -> Format {
     if matches.get_flag("json") {
         Format::Json
     } else {
--- a/src/bin/ragwortfold/clap_app.rs
+++ b/src/bin/ragwortfold/clap_app.rs
@@ -1,4 +1,4 @@
-//! The parser of the command line.
+//! Defines the command line parser.
 
 use std::net::IpAddr;
 use std::path::PathBuf;
@@ -7,12 +7,13 @@
 use clap::{value_parser, Arg, ArgAction, Command};
 use clap_complete::Shell;
 
-use crate::drain::Kind;
+use crate::drain::ResourceKind;
 
 /// The program's name.
 pub(crate) const NAME: &str = "ragwortfold";
 
-/// Flags of `entry` that override a value of the settings file: flag, path of the value, help.
+/// Flags of `entry` that override a value of the settings file: flag, path of the value in the
+/// settings, help text.
 pub(crate) const OVERRIDES: &[(&str, &str, &str)] = &[
     ("host", "host", "The host's name in the configuration"),
     (
@@ -44,7 +45,7 @@
     ("log-format", "log.format", "text or json"),
 ];
 
-/// The whole command line.
+/// Builds the parser of the whole command line.
 pub(crate) fn build() -> Command {
     Command::new(NAME)
         .version(env!("CARGO_PKG_VERSION"))
@@ -61,12 +62,12 @@
         )
         .arg_required_else_help(true)
         .args_conflicts_with_subcommands(true)
-        .arg(completions())
-        .arg(man())
-        .subcommand(entry())
-        .subcommand(config())
+        .arg(completions_arg())
+        .arg(man_arg())
+        .subcommand(entry_command())
+        .subcommand(config_command())
         .subcommand(
-            place(
+            drain_command(
                 "drain",
                 "Takes new work away from a target, zone, region or host",
             )
@@ -77,22 +78,22 @@
                  Exits with 3, before anything is changed, if what stays could not carry the work \
                  or the cap on shifts makes it take more than one window.",
             )
-            .arg(flag(
+            .arg(flag_arg(
                 "force",
                 "Begin even if it cannot be met within limits",
             )),
         )
-        .subcommand(place(
+        .subcommand(drain_command(
             "undrain",
             "Gives a target, zone, region or host work again",
         ))
-        .subcommand(status())
-        .subcommand(lookup())
-        .subcommand(explain())
-        .subcommand(demo())
+        .subcommand(status_command())
+        .subcommand(lookup_command())
+        .subcommand(explain_command())
+        .subcommand(demo_command())
 }
 
-fn completions() -> Arg {
+fn completions_arg() -> Arg {
     Arg::new("completions")
         .long("completions")
         .value_name("SHELL")
@@ -104,13 +105,13 @@
         )
 }
 
-fn man() -> Arg {
-    flag("man", "Print the man page")
+fn man_arg() -> Arg {
+    flag_arg("man", "Print the man page")
         .long_help("Print the man page, for instance:\n  ragwortfold --man > ragwortfold.1")
         .conflicts_with("completions")
 }
 
-fn entry() -> Command {
+fn entry_command() -> Command {
     let overrides = OVERRIDES.iter().map(|&(flag, _, help)| {
         Arg::new(flag)
             .long(flag)
@@ -125,7 +126,7 @@
              SIGHUP reads the log level again.",
         )
         .arg(
-            path(
+            path_arg(
                 "settings",
                 "FILE",
                 "The host's settings, JSON with comments",
@@ -136,7 +137,7 @@
         .args(overrides)
 }
 
-fn config() -> Command {
+fn config_command() -> Command {
     Command::new("config")
         .about("Checks, shows and publishes configuration folders")
         .long_about(
@@ -153,14 +154,14 @@
                     "Checks every value of a folder and prints all faults, each as \
                      FILE:LINE:COLUMN: PATH: PROBLEM. Exits with 2 if there are any.",
                 )
-                .arg(dir()),
+                .arg(dir_arg()),
         )
         .subcommand(
             Command::new("show")
                 .about("Prints the merged folder as JSON")
-                .arg(dir())
+                .arg(dir_arg())
                 .arg(
-                    flag("origin", "Say which file and line each value comes from").long_help(
+                    flag_arg("origin", "Say which file and line each value comes from").long_help(
                         "Say which file and line each value comes from, as a comment after it; \
                          the output can be read as a configuration file again",
                     ),
@@ -169,11 +170,11 @@
         .subcommand(
             Command::new("diff")
                 .about("Shows how a folder differs from the platform's configuration")
-                .arg(dir())
-                .arg(platform())
-                .arg(json()),
+                .arg(dir_arg())
+                .arg(platform_arg())
+                .arg(json_arg()),
         )
-        .subcommand(apply())
+        .subcommand(apply_command())
         .subcommand(
             Command::new("pull")
                 .about("Writes the platform's configuration to a folder")
@@ -183,20 +184,23 @@
                      says which revision that was. Files that were edited since the folder was \
                      pulled keep it from being written.",
                 )
-                .arg(dir())
-                .arg(platform())
-                .arg(flag("discard-edits", "Overwrite and remove edited files"))
-                .arg(json()),
+                .arg(dir_arg())
+                .arg(platform_arg())
+                .arg(flag_arg(
+                    "discard-edits",
+                    "Overwrite and remove edited files",
+                ))
+                .arg(json_arg()),
         )
         .subcommand(
             Command::new("history")
                 .about("Lists the revisions of the platform's configuration")
-                .arg(platform())
-                .arg(json()),
+                .arg(platform_arg())
+                .arg(json_arg()),
         )
 }
 
-fn apply() -> Command {
+fn apply_command() -> Command {
     Command::new("apply")
         .about("Makes a folder the next revision of the platform's configuration")
         .long_about(
@@ -208,14 +212,14 @@
              it is not, and with 2 when the configuration has faults.",
         )
         .arg(
-            dir()
+            dir_arg()
                 .required(false)
                 .required_unless_present("revert")
                 .conflicts_with("revert"),
         )
-        .arg(platform())
-        .arg(note())
-        .arg(author())
+        .arg(platform_arg())
+        .arg(note_arg())
+        .arg(author_arg())
         .arg(
             Arg::new("revert")
                 .long("revert")
@@ -224,21 +228,21 @@
                 .help("Take the files of revision N instead of a folder's"),
         )
         .arg(
-            flag("remove-missing", "Take the folder as the whole truth")
+            flag_arg("remove-missing", "Take the folder as the whole truth")
                 .long_help(
                     "Take the folder as the whole truth: files that it lacks are removed, and \
                      older texts come back, whatever others changed meanwhile",
                 )
                 .conflicts_with("revert"),
         )
-        .arg(wait(
+        .arg(wait_arg(
             "10",
             "How long to wait until hosts have it in force; 0 is not at all",
         ))
-        .arg(json())
+        .arg(json_arg())
 }
 
-fn wait(default: &'static str, help: &'static str) -> Arg {
+fn wait_arg(default: &'static str, help: &'static str) -> Arg {
     Arg::new("wait")
         .long("wait")
         .value_name("SECONDS")
@@ -247,14 +251,16 @@
         .help(help)
 }
 
-fn place(name: &'static str, about: &'static str) -> Command {
+fn drain_command(name: &'static str, about: &'static str) -> Command {
     Command::new(name)
         .about(about)
         .arg(
             Arg::new("kind")
                 .value_name("KIND")
                 .required(true)
-                .value_parser(PossibleValuesParser::new(Kind::ALL.map(|(word, _)| word)))
+                .value_parser(PossibleValuesParser::new(
+                    ResourceKind::ALL.map(|(name, _)| name),
+                ))
                 .help("What kind of place"),
         )
         .arg(
@@ -263,32 +269,32 @@
                 .required(true)
                 .help("Its name in the configuration"),
         )
-        .arg(platform())
-        .arg(note())
-        .arg(author())
-        .arg(wait(
+        .arg(platform_arg())
+        .arg(note_arg())
+        .arg(author_arg())
+        .arg(wait_arg(
             "60",
             "How long to wait until it is done; 0 is not at all",
         ))
-        .arg(json())
+        .arg(json_arg())
 }
 
-fn status() -> Command {
+fn status_command() -> Command {
     Command::new("status")
         .about("Prints what an entry host or the platform says of the system")
         .arg(
-            url("entry", "Ask this entry host")
+            url_arg("entry", "Ask this entry host")
                 .required_unless_present("platform")
                 .conflicts_with("platform"),
         )
-        .arg(url(
+        .arg(url_arg(
             "platform",
             "Read the configuration there and ask all its entry hosts",
         ))
-        .arg(json())
+        .arg(json_arg())
 }
 
-fn explain() -> Command {
+fn explain_command() -> Command {
     Command::new("explain")
         .about("Tells one request's story from the logs of hosts")
         .long_about(
@@ -312,10 +318,10 @@
         )
 }
 
-fn lookup() -> Command {
+fn lookup_command() -> Command {
     Command::new("lookup")
         .about("Asks an entry host which hosts a caller should use")
-        .arg(url("entry", "The entry host to ask").required(true))
+        .arg(url_arg("entry", "The entry host to ask").required(true))
         .arg(
             Arg::new("service")
                 .value_name("SERVICE")
@@ -329,11 +335,11 @@
                 .value_parser(value_parser!(IpAddr))
                 .help("The caller's address, if not this machine's"),
         )
-        .arg(json())
+        .arg(json_arg())
 }
 
 #[cfg(feature = "demo")]
-fn demo() -> Command {
+fn demo_command() -> Command {
     use crate::demo::{Customer, FAULTS};
     Command::new("demo")
         .about("Runs a whole system in this process and counts broken promises")
@@ -347,7 +353,7 @@
                 .value_name("CUSTOMER")
                 .default_value("quispe")
                 .value_parser(PossibleValuesParser::new(
-                    Customer::ALL.map(|(word, _)| word),
+                    Customer::ALL.map(|(name, _)| name),
                 ))
                 .help("Whose system"),
         )
@@ -382,12 +388,13 @@
                 .value_parser(PossibleValuesParser::new(FAULTS))
                 .help("The fault to inject"),
         )
-        .arg(json())
+        .arg(json_arg())
 }
 
-/// The subcommand of a build without it, which says so.
+/// The hidden subcommand of a build without the feature `demo`. It accepts any arguments, and
+/// running it reports that the demo is missing.
 #[cfg(not(feature = "demo"))]
-fn demo() -> Command {
+fn demo_command() -> Command {
     Command::new("demo")
         .about("Is not in this build")
         .hide(true)
@@ -399,7 +406,7 @@
         )
 }
 
-fn path(name: &'static str, value: &'static str, help: &'static str) -> Arg {
+fn path_arg(name: &'static str, value: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .value_name(value)
         .required(true)
@@ -407,39 +414,39 @@
         .help(help)
 }
 
-fn dir() -> Arg {
-    path("dir", "DIR", "The configuration folder")
+fn dir_arg() -> Arg {
+    path_arg("dir", "DIR", "The configuration folder")
 }
 
-fn url(name: &'static str, help: &'static str) -> Arg {
+fn url_arg(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name).long(name).value_name("URL").help(help)
 }
 
-fn platform() -> Arg {
-    url("platform", "The base URL of the platform's object API").required(true)
+fn platform_arg() -> Arg {
+    url_arg("platform", "The base URL of the platform's object API").required(true)
 }
 
-fn note() -> Arg {
+fn note_arg() -> Arg {
     Arg::new("note")
         .long("note")
         .value_name("TEXT")
         .help("Why, for the history")
 }
 
-fn author() -> Arg {
+fn author_arg() -> Arg {
     Arg::new("author")
         .long("author")
         .value_name("NAME")
         .help("Who, for the history")
 }
 
-fn flag(name: &'static str, help: &'static str) -> Arg {
+fn flag_arg(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .action(ArgAction::SetTrue)
         .help(help)
 }
 
-fn json() -> Arg {
-    flag("json", "Print JSON")
+fn json_arg() -> Arg {
+    flag_arg("json", "Print JSON")
 }
--- a/src/bin/ragwortfold/config.rs
+++ b/src/bin/ragwortfold/config.rs
@@ -18,32 +18,32 @@
 pub(crate) struct Show {
     /// The folder.
     pub(crate) dir: PathBuf,
-    /// Whether to say where values come from.
+    /// Whether to print the file and line of each value.
     pub(crate) origin: Origin,
 }
 
-/// Checks a folder and says what is in it.
+/// Checks a folder and prints how many records of each section it has.
 pub(crate) fn check(config: &Check) -> Result<(), Error> {
     let folder = config::read(&config.dir)?;
-    let (configuration, clients) = checked(&folder)?;
-    let summary = summary(&folder, &configuration, &clients);
+    let (configuration, clients) = merge_checked(&folder)?;
+    let summary = format_summary(&folder, &configuration, &clients);
     print(&format!("{}: {summary}\n", config.dir.display()))
 }
 
-/// Prints the merged folder, then its faults if it has any.
+/// Prints the merged folder and fails with its faults if it has any.
 pub(crate) fn show(config: &Show) -> Result<(), Error> {
     let folder = config::read(&config.dir)?;
     let text = folder.show(config.origin).map_err(config::Error::from)?;
     print(&text)?;
-    checked(&folder)?;
+    merge_checked(&folder)?;
     Ok(())
 }
 
-fn checked(folder: &Folder) -> Result<(Configuration, Arc<Clients>), Error> {
+fn merge_checked(folder: &Folder) -> Result<(Configuration, Arc<Clients>), Error> {
     Ok(folder.merged_with_clients().map_err(config::Error::from)?)
 }
 
-fn summary(folder: &Folder, configuration: &Configuration, clients: &Clients) -> String {
+fn format_summary(folder: &Folder, configuration: &Configuration, clients: &Clients) -> String {
     let counts = [
         (folder.files().len(), "files"),
         (configuration.regions.len(), "regions"),
@@ -54,6 +54,6 @@
         (clients.len(), "client blocks"),
         (configuration.links.len(), "links"),
     ];
-    let parts = counts.map(|(count, noun)| format!("{count} {noun}"));
-    format!("{}; no faults", parts.join(", "))
+    let columns = counts.map(|(count, noun)| format!("{count} {noun}"));
+    format!("{}; no faults", columns.join(", "))
 }
--- a/src/bin/ragwortfold/entry.rs
+++ b/src/bin/ragwortfold/entry.rs
@@ -1,4 +1,4 @@
-//! `ragwortfold entry`: runs the daemon.
+//! `ragwortfold entry`: runs an entry host.
 
 use std::path::PathBuf;
 
@@ -10,11 +10,11 @@
 pub(crate) struct Config {
     /// The settings file.
     pub(crate) settings: PathBuf,
-    /// What flags say instead of the file.
+    /// Values from flags, which override those of the file.
     pub(crate) overrides: Overrides,
 }
 
-/// Runs an entry host until it is told to stop.
+/// Runs an entry host until SIGTERM.
 pub(crate) fn run(config: &Config) -> Result<(), Error> {
     ragwortfold::entry::run(|| Ok(settings::read(&config.settings, &config.overrides)?))
 }
--- a/src/bin/ragwortfold/fetch.rs
+++ b/src/bin/ragwortfold/fetch.rs
@@ -1,45 +1,45 @@
-//! Small questions to a host or the platform over HTTP.
+//! Fetches JSON from a host or the platform over HTTP.
 
 use std::time::Duration;
 
 use serde_json::Value;
 
-/// How long one question may take.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Timeout of a request, from connecting to the end of the body.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A question that was not answered.
+/// A failed request.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Error {
-    /// No answer came.
+    /// The request failed without a complete response.
     #[error("{url}: {source}")]
-    Silent {
-        /// What was asked.
+    Transport {
+        /// The requested URL.
         url: String,
-        /// Why it failed.
+        /// The HTTP client's error.
         source: Box<ureq::Error>,
     },
-    /// The answer is not a success.
+    /// The status code is not 2xx.
     #[error("{url}: status {status}: {text}")]
-    Refused {
-        /// What was asked.
+    Status {
+        /// The requested URL.
         url: String,
         /// The status code.
         status: u16,
-        /// The body.
+        /// The response body.
         text: String,
     },
-    /// The answer is not JSON.
+    /// The response body is not JSON.
     #[error("{url}: not JSON: {source}")]
-    Garbage {
-        /// What was asked.
+    InvalidJson {
+        /// The requested URL.
         url: String,
-        /// Why it cannot be read.
+        /// The parser's error.
         source: serde_json::Error,
     },
 }
 
-/// A base URL that may lack its `http://`, made whole.
-pub(crate) fn base(url: &str) -> String {
+/// Returns a base URL without trailing slashes and with `http://` in front if it has no scheme.
+pub(crate) fn with_scheme(url: &str) -> String {
     let url = url.trim_end_matches('/');
     if url.contains("://") {
         url.into()
@@ -48,37 +48,42 @@
     }
 }
 
-/// Gets `path` under `base` as JSON. The base may lack its `http://`.
+/// Gets `path` under `base` as JSON. The base may lack the `http://`.
 pub(crate) fn get(base: &str, path: &str, query: &[(&str, &str)]) -> Result<Value, Error> {
-    get_within(base, path, query, PATIENCE)
+    get_with_timeout(base, path, query, DEFAULT_TIMEOUT)
 }
 
-/// Gets like [`get`], in no more than `time`.
-pub(crate) fn get_within(
+/// Like [`get`], with the given timeout.
+pub(crate) fn get_with_timeout(
     base: &str,
     path: &str,
     query: &[(&str, &str)],
-    time: Duration,
+    timeout: Duration,
 ) -> Result<Value, Error> {
-    let url = format!("{}{path}", self::base(base));
-    let (status, text) = ask(&url, query, time).map_err(|source| Error::Silent {
+    let url = format!("{}{path}", self::with_scheme(base));
+    let (status, text) = send_get(&url, query, timeout).map_err(|source| Error::Transport {
         url: url.clone(),
         source: Box::new(source),
     })?;
     if !(200..300).contains(&status) {
         let text = text.trim().into();
-        return Err(Error::Refused { url, status, text });
+        return Err(Error::Status { url, status, text });
     }
-    serde_json::from_str(&text).map_err(|source| Error::Garbage { url, source })
+    serde_json::from_str(&text).map_err(|source| Error::InvalidJson { url, source })
 }
 
-fn ask(url: &str, query: &[(&str, &str)], time: Duration) -> Result<(u16, String), ureq::Error> {
+/// Sends the request. Returns the status code and the body.
+fn send_get(
+    url: &str,
+    query: &[(&str, &str)],
+    timeout: Duration,
+) -> Result<(u16, String), ureq::Error> {
     let agent: ureq::Agent = ureq::Agent::config_builder()
-        .timeout_global(Some(time))
+        .timeout_global(Some(timeout))
         .http_status_as_error(false)
         .build()
         .into();
-    let mut answer = agent.get(url).query_pairs(query.iter().copied()).call()?;
-    let text = answer.body_mut().read_to_string()?;
-    Ok((answer.status().as_u16(), text))
+    let mut response = agent.get(url).query_pairs(query.iter().copied()).call()?;
+    let text = response.body_mut().read_to_string()?;
+    Ok((response.status().as_u16(), text))
 }
--- a/src/bin/ragwortfold/fleet.rs
+++ b/src/bin/ragwortfold/fleet.rs
@@ -1,4 +1,4 @@
-//! The entry hosts of a configuration, asked all together.
+//! Fetches the status of the entry hosts of a configuration, several hosts at a time.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -12,84 +12,86 @@
 
 use crate::fetch;
 
-/// How long one host may take to answer.
-const PATIENCE: Duration = Duration::from_secs(1);
-/// Hosts asked at once.
-const WORKERS: usize = 32;
-/// Pause between two rounds of questions.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Timeout of the request to one host.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
+/// The maximum number of concurrent requests.
+const MAX_CONCURRENT_REQUESTS: usize = 32;
+/// Pause between two rounds of requests while waiting.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a host says of itself at `/v1/status`, as far as it is used here.
+/// The status of a host as served at `/v1/status`, reduced to the fields that are used here.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
-pub(crate) struct Report {
-    /// The revision that it has in force.
+pub(crate) struct HostStatus {
+    /// The revision of the configuration that the host has in force.
     pub(crate) revision: u64,
-    /// When it was started.
+    /// The incarnation of the host, which identifies its start time.
     pub(crate) incarnation: u64,
-    /// Requests that it has not answered yet, whoever works on them.
+    /// Requests that the host has not answered yet, including those that it has forwarded to
+    /// another host or a target.
     pub(crate) in_flight: u64,
-    /// Whether it reads the platform for its zone.
+    /// Whether the host is the delegate that reads the platform for its zone.
     pub(crate) delegate: bool,
-    /// The epoch of the planner lease, if it holds that.
+    /// The epoch of the planner lease, if the host holds the lease.
     pub(crate) planner_epoch: Option<u64>,
-    /// Services with targets in its zone.
-    pub(crate) services: BTreeMap<String, Service>,
-    /// Shares of zones, by service and the callers' region.
+    /// Services with targets in the host's zone, by name.
+    pub(crate) services: BTreeMap<String, ServiceStatus>,
+    /// The share of requests for each zone, by service, region of the callers and zone.
     pub(crate) splits: BTreeMap<String, BTreeMap<String, BTreeMap<String, f64>>>,
 }
 
 /// A host's view of one service in its own zone.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
-pub(crate) struct Service {
-    /// The host's requests at targets.
+pub(crate) struct ServiceStatus {
+    /// Requests of this host that targets are processing.
     pub(crate) in_flight: u64,
-    /// Requests that wait.
+    /// Requests that wait in this host's queue.
     pub(crate) queued: u64,
-    /// The targets.
-    pub(crate) targets: BTreeMap<String, Target>,
+    /// The targets, by name.
+    pub(crate) targets: BTreeMap<String, TargetStatus>,
 }
 
 /// A host's view of one target.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
-pub(crate) struct Target {
-    /// The host's requests there.
+pub(crate) struct TargetStatus {
+    /// Requests of this host that the target is processing.
     pub(crate) in_flight: u64,
 }
 
-/// A host's answer, or why there is none.
-pub(crate) type Answer = Result<Report, String>;
+/// The status of a host, or the error message if it could not be fetched.
+pub(crate) type StatusResult = Result<HostStatus, String>;
 
-/// Asks these hosts, by name and address.
-pub(crate) fn ask(hosts: &BTreeMap<String, String>) -> BTreeMap<String, Answer> {
-    let list: Vec<(&String, &String)> = hosts.iter().collect();
+/// Fetches the status of all `hosts`, given as addresses by name.
+pub(crate) fn fetch_all(hosts: &BTreeMap<String, String>) -> BTreeMap<String, StatusResult> {
+    let host_list: Vec<(&String, &String)> = hosts.iter().collect();
     let next = AtomicUsize::new(0);
     let answers = Mutex::new(BTreeMap::new());
-    let work = || {
-        while let Some((name, address)) = list.get(next.fetch_add(1, Ordering::Relaxed)) {
-            let answer = report(address);
+    let worker = || {
+        while let Some((name, address)) = host_list.get(next.fetch_add(1, Ordering::Relaxed)) {
+            let answer = fetch_status(address);
             let mut answers = answers.lock().unwrap_or_else(PoisonError::into_inner);
             answers.insert((*name).clone(), answer);
         }
     };
     thread::scope(|scope| {
-        for _ in 0..list.len().min(WORKERS) {
-            scope.spawn(work);
+        for _ in 0..host_list.len().min(MAX_CONCURRENT_REQUESTS) {
+            scope.spawn(worker);
         }
     });
     answers.into_inner().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn report(address: &str) -> Answer {
-    let value: Value = fetch::get_within(address, "/v1/status", &[], PATIENCE)
+/// Fetches the status of one host.
+fn fetch_status(address: &str) -> StatusResult {
+    let value: Value = fetch::get_with_timeout(address, "/v1/status", &[], STATUS_TIMEOUT)
         .map_err(|error| error.to_string())?;
     serde_json::from_value(value).map_err(|error| error.to_string())
 }
 
-/// Names and addresses of the hosts that should run.
-pub(crate) fn hosts(configuration: &Configuration) -> BTreeMap<String, String> {
+/// The addresses of all hosts that are not off, by name.
+pub(crate) fn host_addresses(configuration: &Configuration) -> BTreeMap<String, String> {
     let running = configuration
         .hosts
         .iter()
@@ -99,52 +101,53 @@
         .collect()
 }
 
-/// How hosts came to what was waited for.
+/// The outcome of waiting until hosts meet a condition.
 #[derive(Debug)]
-pub(crate) struct Wait {
-    /// How long it took, or how long was waited.
-    pub(crate) took: Duration,
-    /// Hosts that did not come to it, and what they last said.
+pub(crate) struct WaitOutcome {
+    /// The time until all hosts met the condition or the wait was given up.
+    pub(crate) elapsed: Duration,
+    /// Hosts that did not meet the condition, each with the last reason.
     pub(crate) lagging: BTreeMap<String, String>,
 }
 
-/// Asks `hosts` again and again until `lag` has nothing to say of any answer, at most for `limit`.
-/// A host without an answer lags.
-pub(crate) fn wait(
+/// Polls `hosts` until each has met the condition once, but for no longer than about `max_wait`.
+/// `pending_reason` returns `None` for a host that meets the condition and the reason otherwise. A
+/// host whose status cannot be fetched does not meet it.
+pub(crate) fn poll_until_done(
     hosts: &BTreeMap<String, String>,
-    limit: Duration,
-    lag: impl Fn(&str, &Report) -> Option<String>,
-) -> Wait {
+    max_wait: Duration,
+    pending_reason: impl Fn(&str, &HostStatus) -> Option<String>,
+) -> WaitOutcome {
     let start = Instant::now();
-    let mut left = hosts.clone();
+    let mut remaining = hosts.clone();
     loop {
-        let lagging: BTreeMap<String, String> = ask(&left)
+        let lagging: BTreeMap<String, String> = fetch_all(&remaining)
             .into_iter()
             .filter_map(|(name, answer)| {
-                let why = match answer {
-                    Ok(report) => lag(&name, &report),
+                let reason = match answer {
+                    Ok(report) => pending_reason(&name, &report),
                     Err(error) => Some(error),
                 };
-                Some((name, why?))
+                Some((name, reason?))
             })
             .collect();
-        let took = start.elapsed();
-        if lagging.is_empty() || took >= limit {
-            return Wait { took, lagging };
+        let elapsed = start.elapsed();
+        if lagging.is_empty() || elapsed >= max_wait {
+            return WaitOutcome { elapsed, lagging };
         }
-        left.retain(|name, _| lagging.contains_key(name));
-        thread::sleep(PAUSE);
+        remaining.retain(|name, _| lagging.contains_key(name));
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
 /// Waits until `hosts` have `revision` or a later one in force.
-pub(crate) fn wait_revision(
+pub(crate) fn wait_for_revision(
     hosts: &BTreeMap<String, String>,
     revision: u64,
-    limit: Duration,
-) -> Wait {
-    wait(hosts, limit, |_, report| {
-        let lags = report.revision < revision;
-        lags.then(|| format!("has revision {}", report.revision))
+    max_wait: Duration,
+) -> WaitOutcome {
+    poll_until_done(hosts, max_wait, |_, report| {
+        let is_behind = report.revision < revision;
+        is_behind.then(|| format!("has revision {}", report.revision))
     })
 }
--- a/src/bin/ragwortfold/lookup.rs
+++ b/src/bin/ragwortfold/lookup.rs
@@ -1,24 +1,24 @@
-//! `ragwortfold lookup`: which entry hosts a caller should use.
+//! `ragwortfold lookup`: asks an entry host which entry hosts a caller should use.
 
 use crate::table::{self, Format};
 use crate::{fetch, print, Error};
 
 /// The arguments of `lookup`.
 pub(crate) struct Config {
-    /// The URL of an entry host.
+    /// The URL of the entry host that is asked.
     pub(crate) entry: String,
-    /// The service.
+    /// The service to look up.
     pub(crate) service: String,
-    /// The caller's address; none for this machine's.
+    /// The caller's address; if `None`, the host takes the address that the request comes from.
     pub(crate) client: Option<String>,
-    /// How the answer is printed.
+    /// The output format.
     pub(crate) format: Format,
 }
 
-/// Asks a host and prints its answer.
+/// Queries the entry host and prints the response.
 pub(crate) fn run(config: &Config) -> Result<(), Error> {
     let mut query = vec![("service", config.service.as_str())];
     query.extend(config.client.as_deref().map(|client| ("client", client)));
-    let answer = fetch::get(&config.entry, "/v1/entries", &query)?;
-    print(&table::text(&answer, config.format))
+    let response = fetch::get(&config.entry, "/v1/entries", &query)?;
+    print(&table::format_value(&response, config.format))
 }
--- a/src/bin/ragwortfold/main.rs
+++ b/src/bin/ragwortfold/main.rs
@@ -1,4 +1,4 @@
-//! The command line of ragwortfold.
+//! The `ragwortfold` command line program.
 
 mod app;
 mod clap_app;
@@ -23,23 +23,23 @@
 
 use app::{App, Config};
 
-/// Exit code when something failed while running.
-const FAILED: u8 = 1;
-/// Exit code when the arguments, the settings or the configuration are wrong.
-const WRONG: u8 = 2;
-/// Exit code when a drain is refused because it cannot be met within limits.
-const REFUSED: u8 = 3;
+/// Exit code when a command failed while it ran.
+const EXIT_FAILED: u8 = 1;
+/// Exit code when the arguments, the settings or the configuration are invalid.
+const EXIT_INVALID_INPUT: u8 = 2;
+/// Exit code when a drain is refused because the limits do not permit it.
+const EXIT_DRAIN_REFUSED: u8 = 3;
 
-/// What ends the program early.
+/// An error that ends the program.
 #[derive(Debug, thiserror::Error)]
 enum Error {
-    /// Files with faults, or that cannot be read.
+    /// Configuration or settings files have faults or cannot be read.
     #[error(transparent)]
     Config(#[from] ragwortfold::config::Error),
-    /// The daemon failed.
+    /// The entry host failed.
     #[error(transparent)]
     Entry(#[from] ragwortfold::entry::Error),
-    /// A host or the platform gave no answer.
+    /// A request to a host or the platform failed.
     #[error(transparent)]
     Fetch(#[from] fetch::Error),
     /// The platform's configuration could not be read or changed.
@@ -48,41 +48,42 @@
     /// A log could not be read.
     #[error(transparent)]
     Explain(#[from] ragwortfold::explain::Error),
-    /// No log names a request.
+    /// The logs have no line about the request.
     #[error("no line of these logs names the request '{0}'")]
-    Untold(std::sync::Arc<str>),
-    /// A place could not be drained.
+    UnknownRequest(std::sync::Arc<str>),
+    /// A target, zone, region or host could not be drained or undrained.
     #[error(transparent)]
     Drain(#[from] drain::Error),
-    /// The configuration cannot be laid out.
+    /// The catalog cannot be built from the configuration.
     #[error(transparent)]
     Catalog(#[from] ragwortfold::catalog::Error),
     /// The demo failed.
     #[cfg(feature = "demo")]
     #[error(transparent)]
     Demo(#[from] demo::Error),
-    /// The demo is not in this build.
+    /// The program was built without the feature `demo`.
     #[cfg(not(feature = "demo"))]
     #[error("demo: not in this build, which lacks the feature 'demo'")]
     Demo,
-    /// Standard output cannot be written.
+    /// Standard output could not be written.
     #[error("standard output: {0}")]
     Output(#[from] io::Error),
 }
 
 impl Error {
-    fn code(&self) -> u8 {
+    /// The exit code for this error.
+    fn exit_code(&self) -> u8 {
         match self {
-            Error::Config(_) | Error::Catalog(_) => WRONG,
-            Error::Publish(error) if error.is_fault() => WRONG,
-            Error::Drain(drain::Error::Limits { .. }) => REFUSED,
-            Error::Drain(error) if error.is_wrong() => WRONG,
-            _ => FAILED,
+            Error::Config(_) | Error::Catalog(_) => EXIT_INVALID_INPUT,
+            Error::Publish(error) if error.is_invalid_configuration() => EXIT_INVALID_INPUT,
+            Error::Drain(drain::Error::LimitsExceeded { .. }) => EXIT_DRAIN_REFUSED,
+            Error::Drain(error) if error.is_invalid_input() => EXIT_INVALID_INPUT,
+            _ => EXIT_FAILED,
         }
     }
 }
 
-/// Writes `text` to standard output. A reader that has seen enough is no error.
+/// Writes `text` to standard output. A broken pipe is not an error: the reader closed it early.
 fn print(text: &str) -> Result<(), Error> {
     let mut output = io::stdout().lock();
     let written = output.write_all(text.as_bytes());
@@ -94,8 +95,8 @@
 
 fn run() -> Result<(), Error> {
     match App::new().config() {
-        Config::Completions(shell) => help::completions(shell),
-        Config::Man => help::man(),
+        Config::Completions(shell) => help::print_completions(shell),
+        Config::Man => help::print_man_page(),
         Config::Entry(config) => entry::run(&config),
         Config::Check(config) => config::check(&config),
         Config::Show(config) => config::show(&config),
@@ -116,7 +117,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{error}");
-            ExitCode::from(error.code())
+            ExitCode::from(error.exit_code())
         }
     }
 }
--- a/src/bin/ragwortfold/overrides.rs
+++ b/src/bin/ragwortfold/overrides.rs
@@ -1,5 +1,5 @@
-//! The file that holds what `drain` overrides: one late file, so that the operators' own files keep
-//! their text and their comments.
+//! The configuration file that `drain` and `undrain` write. It sorts after the operators' own files
+//! and overrides them, so that those keep their text and their comments.
 
 use std::sync::Arc;
 
@@ -8,51 +8,54 @@
 use jsonc_parser::ParseOptions;
 use ragwortfold::border::configuration::State;
 
-/// Its name: files are merged in byte order of their names, and the last one wins.
-pub(crate) const FILE: &str = "zz-drain.json";
-/// A new file.
-const EMPTY: &str = "// Written by 'ragwortfold drain' and 'undrain'.\n{\n}\n";
-/// The key of a place's state.
-const STATE: &str = "state";
+/// The name of the file. Files are merged in byte order of their names, and later ones take
+/// precedence.
+pub(crate) const FILE_NAME: &str = "zz-drain.json";
+/// The text of a new file.
+const EMPTY_FILE: &str = "// Written by 'ragwortfold drain' and 'undrain'.\n{\n}\n";
+/// The key of the state in a record.
+const STATE_KEY: &str = "state";
 
-/// The text with the state of `section.name` set.
-pub(crate) fn set(
+/// Returns the text with the state of the record `section.name` set; without a text, that of a new
+/// file.
+pub(crate) fn set_state(
     text: Option<&str>,
     section: &str,
     name: &str,
     state: State,
 ) -> Result<Arc<str>, ParseError> {
-    let root = CstRootNode::parse(text.unwrap_or(EMPTY), &ParseOptions::default())?;
-    let place = root
+    let root = CstRootNode::parse(text.unwrap_or(EMPTY_FILE), &ParseOptions::default())?;
+    let record = root
         .object_value_or_set()
         .object_value_or_set(section)
         .object_value_or_set(name);
     let value = CstInputValue::String(state.to_string());
-    match place.get(STATE) {
+    match record.get(STATE_KEY) {
         Some(property) => property.set_value(value),
         None => {
-            place.append(STATE, value);
+            record.append(STATE_KEY, value);
         }
     }
     Ok(root.to_string().into())
 }
 
-/// The text without the state of `section.name`; none if nothing else is in the file.
-pub(crate) fn remove(
+/// Returns the text without the state of the record `section.name`, or `None` if the file has no
+/// other content.
+pub(crate) fn remove_state(
     text: &str,
     section: &str,
     name: &str,
 ) -> Result<Option<Arc<str>>, ParseError> {
     let root = CstRootNode::parse(text, &ParseOptions::default())?;
-    let top = root.object_value_or_set();
-    if let Some(places) = top.object_value(section) {
-        if let Some(place) = places.object_value(name) {
-            remove_property(&place, STATE);
-            remove_if_empty(&places, name, &place);
+    let root_object = root.object_value_or_set();
+    if let Some(records) = root_object.object_value(section) {
+        if let Some(record) = records.object_value(name) {
+            remove_property(&record, STATE_KEY);
+            remove_if_empty(&records, name, &record);
         }
-        remove_if_empty(&top, section, &places);
+        remove_if_empty(&root_object, section, &records);
     }
-    let is_empty = top.properties().is_empty();
+    let is_empty = root_object.properties().is_empty();
     Ok((!is_empty).then(|| root.to_string().into()))
 }
 
--- a/src/bin/ragwortfold/publish.rs
+++ b/src/bin/ragwortfold/publish.rs
@@ -18,85 +18,85 @@
 };
 use serde_json::{json, Value};
 
-use crate::fleet::{self, Wait};
+use crate::fleet::{self, WaitOutcome};
 use crate::table::{self, Format};
 use crate::{fetch, print, Error as Failure};
 
-/// Characters of a change's identity that lists show.
-const SHORT_ID: usize = 12;
+/// The number of characters of a change's id that the history shows.
+const HISTORY_ID_CHARS: usize = 12;
 
 /// The arguments of the subcommands that talk to the platform.
 pub(crate) struct Config {
     /// The base URL of the platform's object API.
     pub(crate) platform: String,
-    /// What to do there.
+    /// What to do with it.
     pub(crate) action: Action,
-    /// How results are printed.
+    /// The output format.
     pub(crate) format: Format,
 }
 
 /// What to do with the configuration on the platform.
 pub(crate) enum Action {
-    /// Show how a folder differs from it.
+    /// Show the differences between a folder and the configuration on the platform.
     Diff {
         /// The folder.
         dir: PathBuf,
     },
-    /// Make a folder, or an earlier revision, its next revision.
+    /// Publish a folder or an earlier revision as the next revision.
     Apply {
-        /// Where its files come from.
+        /// The source of the files.
         source: Source,
-        /// Why.
+        /// The reason, for the history.
         note: Option<String>,
-        /// Who.
+        /// The author, for the history.
         author: Option<String>,
-        /// How long to wait until hosts have it in force.
-        wait: Duration,
+        /// The maximum time to wait until the hosts have the revision in force. Zero does not wait.
+        max_wait: Duration,
     },
-    /// Write its files to a folder.
+    /// Write the files of the revision in force to a folder.
     Pull {
         /// The folder.
         dir: PathBuf,
-        /// What becomes of edited files.
+        /// What to do with edited files.
         edits: Edits,
     },
-    /// List its revisions.
+    /// List the revisions.
     History,
 }
 
-/// Where the files of a new revision come from.
+/// The source of the files of a new revision.
 pub(crate) enum Source {
-    /// A folder, and whether it may undo what it does not know of.
+    /// A folder, and whether it may undo changes that it was not pulled with.
     Folder(PathBuf, Undo),
     /// An earlier revision.
     Revision(u64),
 }
 
-/// What becomes of edited files in a folder that is written.
+/// What to do with files of a folder that were edited since it was pulled.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Edits {
-    /// They keep the folder from being written.
+    /// Keep them: nothing is written, and the command fails.
     Keep,
-    /// They are overwritten.
+    /// Overwrite or remove them.
     Discard,
 }
 
-/// What keeps the configuration on the platform from being read or changed.
+/// An error when reading or changing the configuration on the platform.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Error {
-    /// Others changed the same files.
+    /// Another change of the same files was published.
     #[error(
         "conflict, nothing was published:\n{0}\n\
          Pull into an empty folder, bring your change in there and apply that."
     )]
     Conflict(publication::Error),
-    /// The folder with the changes of others has faults.
+    /// The configuration with the other published changes merged in has faults.
     #[error("with the changes of others there are faults, nothing was published:\n{0}")]
     Faults(Arc<str>),
-    /// The folder was never pulled and would undo something.
+    /// The folder has no marker of a pull, and would undo published changes.
     #[error("{0}, or apply with --remove-missing")]
     Unpulled(publication::Error),
-    /// The publication failed otherwise.
+    /// Any other error of the publication.
     #[error(transparent)]
     Publication(publication::Error),
     /// A folder cannot be read or written.
@@ -104,10 +104,10 @@
     Folder {
         /// The file or folder.
         path: String,
-        /// Why not.
+        /// The I/O error.
         source: io::Error,
     },
-    /// Pulling would overwrite edits.
+    /// The pull would overwrite edited files.
     #[error(
         "{dir}: edited since it was pulled, nothing was written: {files}\n\
          Apply these edits, or pull with --discard-edits."
@@ -115,17 +115,17 @@
     Edited {
         /// The folder.
         dir: String,
-        /// The files.
+        /// The names of the edited files, separated by commas.
         files: String,
     },
-    /// There is no configuration yet.
+    /// No revision has been published yet.
     #[error("the platform has no configuration yet")]
-    Nothing,
+    NoConfiguration,
 }
 
 impl Error {
-    /// Whether the configuration itself is wrong.
-    pub(crate) fn is_fault(&self) -> bool {
+    /// Whether the configuration itself has faults.
+    pub(crate) fn is_invalid_configuration(&self) -> bool {
         matches!(self, Self::Faults(_))
     }
 }
@@ -150,23 +150,23 @@
             source,
             note,
             author,
-            wait,
+            max_wait,
         } => {
-            let signature = sign(author.as_deref(), note.as_deref());
-            apply(&publication, source, &signature, *wait, config.format)
+            let signature = sign_change(author.as_deref(), note.as_deref());
+            apply(&publication, source, &signature, *max_wait, config.format)
         }
         Action::Pull { dir, edits } => pull(&publication, dir, *edits, config.format),
         Action::History => history(&publication, config.format),
     }
 }
 
-/// The publication on a platform.
+/// Creates the client that reads and publishes revisions on a platform.
 pub(crate) fn connect(platform: &str) -> Publication {
-    Publication::new(Guard::new(Client::new(&fetch::base(platform))))
+    Publication::new(Guard::new(Client::new(&fetch::with_scheme(platform))))
 }
 
-/// The signature of a change made now.
-pub(crate) fn sign(author: Option<&str>, note: Option<&str>) -> Signature {
+/// The signature of a change made now. The author defaults to the environment variable `USER`.
+pub(crate) fn sign_change(author: Option<&str>, note: Option<&str>) -> Signature {
     let user = || std::env::var("USER").ok().filter(|user| !user.is_empty());
     let author = author.map(str::to_owned).or_else(user);
     Signature {
@@ -176,41 +176,44 @@
     }
 }
 
-/// The check that a revision must pass before it is published.
-pub(crate) fn check(files: &Files) -> Result<(), config::Faults> {
+/// Checks the files of a revision before it is published.
+pub(crate) fn check_files(files: &Files) -> Result<(), config::Faults> {
     Folder::with_files(files.clone())
         .merged_with_clients()
         .map(drop)
 }
 
-/// The revision in force.
-pub(crate) fn in_force(publication: &Publication) -> Result<Fetched, Error> {
-    publication.pull()?.ok_or(Error::Nothing)
+/// Reads the revision in force.
+pub(crate) fn pull_current(publication: &Publication) -> Result<Fetched, Error> {
+    publication.pull()?.ok_or(Error::NoConfiguration)
 }
 
-/// The configuration that a revision's files make together.
-pub(crate) fn configuration(fetched: &Fetched) -> Result<Configuration, Failure> {
-    let parts = Folder::with_files(fetched.files.clone()).merged_with_clients();
-    Ok(parts.map_err(config::Error::from)?.0)
+/// Merges and checks the files of a revision.
+pub(crate) fn merge_files(fetched: &Fetched) -> Result<Configuration, Failure> {
+    let merged = Folder::with_files(fetched.files.clone()).merged_with_clients();
+    Ok(merged.map_err(config::Error::from)?.0)
 }
 
 fn diff(publication: &Publication, dir: &Path, format: Format) -> Result<(), Failure> {
     let folder = config::read(dir)?;
     let found = publication.diff(folder.files()).map_err(Error::from)?;
     match format {
-        Format::Json => print(&table::text(&differences(&found), format)),
-        Format::Table => found.iter().try_for_each(|one| print(&one.text)),
+        Format::Json => print(&table::format_value(&differences_json(&found), format)),
+        Format::Table => found
+            .iter()
+            .try_for_each(|difference| print(&difference.text)),
     }
 }
 
-fn differences(found: &[Difference]) -> Value {
-    let list = found.iter().map(|one| {
-        let kind = match one.kind {
+/// The differences as JSON.
+fn differences_json(found: &[Difference]) -> Value {
+    let list = found.iter().map(|difference| {
+        let kind = match difference.kind {
             Kind::Added => "added",
             Kind::Removed => "removed",
             Kind::Changed => "changed",
         };
-        json!({"file": one.file, "kind": kind, "diff": one.text})
+        json!({"file": difference.file, "kind": kind, "diff": difference.text})
     });
     list.collect()
 }
@@ -219,26 +222,30 @@
     publication: &Publication,
     source: &Source,
     signature: &Signature,
-    wait: Duration,
+    max_wait: Duration,
     format: Format,
 ) -> Result<(), Failure> {
     let applied = match source {
         Source::Folder(dir, undo) => apply_folder(publication, dir, *undo, signature)?,
         Source::Revision(revision) => publication
-            .revert(*revision, signature, check)
+            .revert(*revision, signature, check_files)
             .map_err(Error::from)?,
     };
     if format == Format::Table {
         print(&applied_text(&applied))?;
     }
-    let waited = wait_in_force(publication, &applied, wait);
+    let waited = wait_in_force(publication, &applied, max_wait);
     match (format, &waited) {
-        (Format::Json, _) => print(&table::text(&report(&applied, waited.as_ref()), format)),
-        (Format::Table, Some(waited)) => print(&in_force_text(waited)),
+        (Format::Json, _) => print(&table::format_value(
+            &applied_json(&applied, waited.as_ref()),
+            format,
+        )),
+        (Format::Table, Some(waited)) => print(&rollout_text(waited)),
         (Format::Table, None) => Ok(()),
     }
 }
 
+/// Publishes a folder and updates its marker.
 fn apply_folder(
     publication: &Publication,
     dir: &Path,
@@ -253,34 +260,39 @@
         (_, undo) => Base::Head(undo),
     };
     let applied = publication
-        .apply(folder.files(), &base, signature, check)
+        .apply(folder.files(), &base, signature, check_files)
         .map_err(Error::from)?;
     marker::write(dir, &applied.marker).map_err(folder_error(dir))?;
     Ok(applied)
 }
 
-/// Waits until the hosts of the configuration have a revision in force. None without a wait, or
-/// when the configuration cannot be read back.
-fn wait_in_force(publication: &Publication, applied: &Applied, wait: Duration) -> Option<Arrival> {
-    if wait.is_zero() {
+/// Waits until the hosts of the configuration have the revision in force. Returns `None` if
+/// `max_wait` is zero or the configuration cannot be read back.
+fn wait_in_force(
+    publication: &Publication,
+    applied: &Applied,
+    max_wait: Duration,
+) -> Option<Rollout> {
+    if max_wait.is_zero() {
         return None;
     }
     let fetched = publication.pull().ok()??;
-    let hosts = fleet::hosts(&configuration(&fetched).ok()?);
-    let waited = fleet::wait_revision(&hosts, applied.revision, wait);
-    Some(Arrival {
+    let hosts = fleet::host_addresses(&merge_files(&fetched).ok()?);
+    let waited = fleet::wait_for_revision(&hosts, applied.revision, max_wait);
+    Some(Rollout {
         hosts: hosts.len(),
         waited,
     })
 }
 
-/// How a revision came into force.
-struct Arrival {
+/// The outcome of waiting until the hosts have a revision in force.
+struct Rollout {
+    /// The number of hosts that were polled.
     hosts: usize,
-    waited: Wait,
+    waited: WaitOutcome,
 }
 
-/// Says what a publication did.
+/// Formats the result of a publication as text.
 pub(crate) fn applied_text(applied: &Applied) -> String {
     let revision = applied.revision;
     if applied.effect == Effect::Unchanged {
@@ -296,22 +308,24 @@
     text
 }
 
-fn in_force_text(arrival: &Arrival) -> String {
-    let Arrival { hosts, waited } = arrival;
-    let took = waited.took.as_millis();
+/// Formats the outcome of waiting for the hosts as text.
+fn rollout_text(rollout: &Rollout) -> String {
+    let Rollout { hosts, waited } = rollout;
+    let elapsed = waited.elapsed.as_millis();
     if waited.lagging.is_empty() {
-        return format!("in force on all {hosts} hosts after {took} ms\n");
+        return format!("in force on all {hosts} hosts after {elapsed} ms\n");
     }
-    let there = hosts - waited.lagging.len();
-    let mut text = format!("in force on {there} of {hosts} hosts after {took} ms; behind:\n");
-    for (host, why) in &waited.lagging {
-        let _ = writeln!(text, "  {host}: {why}");
+    let in_force_count = hosts - waited.lagging.len();
+    let mut text =
+        format!("in force on {in_force_count} of {hosts} hosts after {elapsed} ms; behind:\n");
+    for (host, reason) in &waited.lagging {
+        let _ = writeln!(text, "  {host}: {reason}");
     }
     text
 }
 
-/// What a publication did, as JSON.
-fn report(applied: &Applied, arrival: Option<&Arrival>) -> Value {
+/// The result of a publication and of the wait as JSON.
+fn applied_json(applied: &Applied, rollout: Option<&Rollout>) -> Value {
     let effect = match applied.effect {
         Effect::New => "new",
         Effect::Unchanged => "unchanged",
@@ -326,39 +340,40 @@
         "answer": answer,
         "files": applied.files,
     });
-    if let Some(Arrival { hosts, waited }) = arrival {
+    if let Some(Rollout { hosts, waited }) = rollout {
         report["in_force"] = json!({
             "hosts": hosts,
-            "waited_ms": waited.took.as_millis() as u64,
+            "waited_ms": waited.elapsed.as_millis() as u64,
             "lagging": waited.lagging,
         });
     }
     report
 }
 
+/// Replaces the files of a folder with those of the revision in force.
 fn pull(
     publication: &Publication,
     dir: &Path,
     edits: Edits,
     format: Format,
 ) -> Result<(), Failure> {
-    let fetched = in_force(publication)?;
-    let held = held(dir)?;
+    let fetched = pull_current(publication)?;
+    let old_files = read_local_files(dir)?;
     if edits == Edits::Keep {
-        refuse_edits(dir, &held, &fetched)?;
+        reject_edits(dir, &old_files, &fetched)?;
     }
-    write(dir, &held, &fetched)?;
+    write_files(dir, &old_files, &fetched)?;
     let count = fetched.files.len();
     let revision = fetched.revision;
     let report = match format {
-        Format::Json => table::text(&json!({"revision": revision, "files": count}), format),
+        Format::Json => table::format_value(&json!({"revision": revision, "files": count}), format),
         Format::Table => format!("{}: revision {revision}, {count} files\n", dir.display()),
     };
     print(&report)
 }
 
-/// The files of a folder that may be missing or empty.
-fn held(dir: &Path) -> Result<Files, Failure> {
+/// Reads the files of a folder. Creates the folder if it does not exist; it may be empty.
+fn read_local_files(dir: &Path) -> Result<Files, Failure> {
     fs::create_dir_all(dir).map_err(folder_error(dir))?;
     match config::read(dir) {
         Ok(folder) => Ok(folder.files().clone()),
@@ -367,11 +382,14 @@
     }
 }
 
-fn refuse_edits(dir: &Path, held: &Files, fetched: &Fetched) -> Result<(), Error> {
+/// Fails if files of the folder were edited since it was pulled and differ from those to be
+/// written.
+fn reject_edits(dir: &Path, old_files: &Files, fetched: &Fetched) -> Result<(), Error> {
     let base = marker::read(dir).map_err(folder_error(dir))?;
-    let is_lost = |name: &String| held.get(name.as_str()) != fetched.files.get(name.as_str());
-    let mut edited = marker::edited(held, base.as_ref());
-    edited.retain(is_lost);
+    let is_overwritten =
+        |name: &String| old_files.get(name.as_str()) != fetched.files.get(name.as_str());
+    let mut edited = marker::edited(old_files, base.as_ref());
+    edited.retain(is_overwritten);
     if edited.is_empty() {
         return Ok(());
     }
@@ -381,14 +399,14 @@
     })
 }
 
-/// Makes a folder that holds `held` hold just `fetched`. The marker comes last: a folder that was
-/// written in part is seen as edited.
-fn write(dir: &Path, held: &Files, fetched: &Fetched) -> Result<(), Error> {
+/// Writes the files of `fetched` to a folder that has the files `old_files`, and removes those
+/// that `fetched` lacks. The marker is written last, so that a partially written folder counts as edited.
+fn write_files(dir: &Path, old_files: &Files, fetched: &Fetched) -> Result<(), Error> {
     for (name, text) in &fetched.files {
         let path = dir.join(&**name);
         fs::write(&path, text.as_bytes()).map_err(folder_error(&path))?;
     }
-    for name in held
+    for name in old_files
         .keys()
         .filter(|name| !fetched.files.contains_key(*name))
     {
@@ -398,6 +416,7 @@
     marker::write(dir, &marker::of(fetched)).map_err(folder_error(dir))
 }
 
+/// Returns a function that converts an I/O error on `path`.
 fn folder_error(path: &Path) -> impl FnOnce(io::Error) -> Error + '_ {
     |source| Error::Folder {
         path: path.display().to_string(),
@@ -408,33 +427,36 @@
 fn history(publication: &Publication, format: Format) -> Result<(), Failure> {
     let steps = publication.history().map_err(Error::from)?;
     match format {
-        Format::Json => print(&table::text(&json!(steps), format)),
+        Format::Json => print(&table::format_value(&json!(steps), format)),
         Format::Table => {
-            let rows: Vec<Vec<String>> = std::iter::once(HEADS.map(str::to_owned).to_vec())
-                .chain(steps.iter().map(row))
-                .collect();
-            print(&table::aligned(&rows))
+            let rows: Vec<Vec<String>> =
+                std::iter::once(HISTORY_COLUMNS.map(str::to_owned).to_vec())
+                    .chain(steps.iter().map(history_row))
+                    .collect();
+            print(&table::align_columns(&rows))
         }
     }
 }
 
-/// The columns of the history.
-const HEADS: [&str; 6] = ["revision", "time", "author", "change", "files", "note"];
+/// The column headers of the history.
+const HISTORY_COLUMNS: [&str; 6] = ["revision", "time", "author", "change", "files", "note"];
 
-fn row(step: &Step) -> Vec<String> {
+/// The cells of one revision in the history.
+fn history_row(step: &Step) -> Vec<String> {
     let change = &step.change;
     vec![
         step.revision.to_string(),
-        time(change.time),
+        format_time(change.time),
         change.author.clone(),
-        change.id.chars().take(SHORT_ID).collect(),
+        change.id.chars().take(HISTORY_ID_CHARS).collect(),
         step.files.join(" "),
         change.note.clone(),
     ]
 }
 
-/// Milliseconds since the Unix epoch in UTC.
-fn time(ms: impl TryInto<i64>) -> String {
+/// Formats a time, given in milliseconds since the Unix epoch, as RFC 3339 in UTC. Returns an empty
+/// string if it is out of range.
+fn format_time(ms: impl TryInto<i64>) -> String {
     let time = ms.try_into().ok().and_then(DateTime::from_timestamp_millis);
     time.map_or_else(String::new, |time| {
         time.to_rfc3339_opts(SecondsFormat::Secs, true)
--- a/src/bin/ragwortfold/room.rs
+++ b/src/bin/ragwortfold/room.rs
@@ -1,4 +1,5 @@
-//! Whether what stays can carry the work of what leaves, within the limits.
+//! Checks whether the targets that remain after a drain can take over its requests within the
+//! limits.
 
 use std::collections::BTreeMap;
 use std::thread;
@@ -7,130 +8,141 @@
 use ragwortfold::border::configuration::{Configuration, State};
 use ragwortfold::catalog::{self, Catalog, Service, ServiceKey, ZoneKey};
 
-use crate::drain::Leaving;
-use crate::fleet::{self, Report};
+use crate::drain::DrainSet;
+use crate::fleet::{self, HostStatus};
 
-/// Times that hosts are asked how much is in flight; the largest answer counts.
+/// How many times the requests in flight are sampled; the largest sample counts.
 const SAMPLES: usize = 3;
-/// Pause between them.
-const PAUSE: Duration = Duration::from_millis(100);
-/// Shares below this are rounding errors.
-const TINY: f64 = 1e-6;
+/// Pause between two samples.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
+/// Shares below this are considered rounding errors; also the smallest divisor.
+const ROUNDING_ERROR: f64 = 1e-6;
 
-/// What stands against a drain; nothing if it can be met.
-pub(crate) fn problems(
+/// The reasons against a drain; empty if the limits permit it.
+pub(crate) fn drain_problems(
     configuration: &Configuration,
-    leaving: &Leaving,
+    drain_set: &DrainSet,
 ) -> Result<Vec<String>, catalog::Error> {
     let catalog = Catalog::default().with_revision(1, configuration)?;
     let load = Load::measure(configuration);
-    let mut problems = lonely_zones(configuration, leaving);
+    let mut problems = hostless_zone_problems(configuration, drain_set);
     for (key, service) in catalog.services() {
-        let site = Sites::new(&catalog, key, leaving);
-        if site.leaving.is_empty() {
+        let service_slots = ServiceSlots::new(&catalog, key, drain_set);
+        if service_slots.drained.is_empty() {
             continue;
         }
-        problems.extend(too_little(&catalog, service, &site, &load));
-        problems.extend(too_slow(&catalog, service, &site, &load, leaving));
+        problems.extend(capacity_problem(&catalog, service, &service_slots, &load));
+        problems.extend(shift_problem(
+            &catalog,
+            service,
+            &service_slots,
+            &load,
+            drain_set,
+        ));
     }
     Ok(problems)
 }
 
-/// Zones with targets whose last serving host leaves.
-fn lonely_zones(configuration: &Configuration, leaving: &Leaving) -> Vec<String> {
+/// Problems of zones that have targets and whose last serving host is drained.
+fn hostless_zone_problems(configuration: &Configuration, drain_set: &DrainSet) -> Vec<String> {
     let mut problems = Vec::new();
-    for name in &leaving.hosts {
+    for name in &drain_set.hosts {
         let zone = &configuration.hosts[name].availability_zone;
-        let stays = configuration.hosts.iter().any(|(host, record)| {
-            let is_there = record.availability_zone == *zone && record.state == State::Serving;
-            is_there && !leaving.hosts.contains(host)
+        let has_remaining_host = configuration.hosts.iter().any(|(host, record)| {
+            let is_serving_in_zone =
+                record.availability_zone == *zone && record.state == State::Serving;
+            is_serving_in_zone && !drain_set.hosts.contains(host)
         });
         let mut targets = configuration.targets.values();
-        if !stays && targets.any(|target| target.availability_zone == *zone) {
+        if !has_remaining_host && targets.any(|target| target.availability_zone == *zone) {
             problems.push(format!("{name} is the last serving host of {zone}"));
         }
     }
     problems
 }
 
-/// What hosts say of requests and splits.
+/// The requests and traffic splits that the hosts report.
 struct Load {
-    /// Requests in flight or waiting, by service and zone.
-    work: BTreeMap<(String, String), u64>,
-    /// The largest share that any host gives a zone, by service, callers' region and zone.
+    /// Requests in flight or queued, by service and zone.
+    requests: BTreeMap<(String, String), u64>,
+    /// The largest share of requests that any host assigns to a zone, by service, region of the
+    /// callers and zone.
     shares: BTreeMap<(String, String, String), f64>,
 }
 
 impl Load {
+    /// Samples the status of all hosts that answer.
     fn measure(configuration: &Configuration) -> Self {
-        let hosts = fleet::hosts(configuration);
+        let hosts = fleet::host_addresses(configuration);
         let mut load = Self {
-            work: BTreeMap::new(),
+            requests: BTreeMap::new(),
             shares: BTreeMap::new(),
         };
         for sample in 0..SAMPLES {
             if sample > 0 {
-                thread::sleep(PAUSE);
+                thread::sleep(SAMPLE_INTERVAL);
             }
-            let mut work = BTreeMap::new();
-            for (host, answer) in fleet::ask(&hosts) {
+            let mut sample_requests = BTreeMap::new();
+            for (host, answer) in fleet::fetch_all(&hosts) {
                 let Ok(report) = answer else { continue };
                 let zone = &configuration.hosts[&host].availability_zone;
-                count(&mut work, zone, &report);
-                load.note_shares(&report);
+                add_requests(&mut sample_requests, zone, &report);
+                load.merge_shares(&report);
             }
-            for (place, count) in work {
-                let most = load.work.entry(place).or_default();
-                *most = count.max(*most);
+            for (key, count) in sample_requests {
+                let max = load.requests.entry(key).or_default();
+                *max = count.max(*max);
             }
         }
         load
     }
 
-    fn note_shares(&mut self, report: &Report) {
+    /// Merges the splits of one host into `shares`.
+    fn merge_shares(&mut self, report: &HostStatus) {
         for (service, localities) in &report.splits {
             for (locality, zones) in localities {
                 for (zone, &share) in zones {
-                    let place = (service.clone(), locality.clone(), zone.clone());
-                    let most = self.shares.entry(place).or_default();
-                    *most = share.max(*most);
+                    let key = (service.clone(), locality.clone(), zone.clone());
+                    let max = self.shares.entry(key).or_default();
+                    *max = share.max(*max);
                 }
             }
         }
     }
 
-    /// Requests of a service in a zone.
-    fn in_zone(&self, service: &str, zone: &str) -> u64 {
-        let place = (service.to_owned(), zone.to_owned());
-        self.work.get(&place).copied().unwrap_or_default()
+    /// The number of requests of a service in a zone.
+    fn requests_in_zone(&self, service: &str, zone: &str) -> u64 {
+        let key = (service.to_owned(), zone.to_owned());
+        self.requests.get(&key).copied().unwrap_or_default()
     }
 
-    /// Requests of a service.
-    fn of(&self, service: &str) -> u64 {
-        let places = self.work.iter();
-        let own = places.filter(|((name, _), _)| name == service);
-        own.map(|(_, count)| count).sum()
+    /// The number of requests of a service in all zones.
+    fn requests_of(&self, service: &str) -> u64 {
+        let entries = self.requests.iter();
+        let service_requests = entries.filter(|((name, _), _)| name == service);
+        service_requests.map(|(_, count)| count).sum()
     }
 }
 
-fn count(work: &mut BTreeMap<(String, String), u64>, zone: &str, report: &Report) {
+/// Adds the requests that one host of `zone` reports to `requests`.
+fn add_requests(requests: &mut BTreeMap<(String, String), u64>, zone: &str, report: &HostStatus) {
     for (service, record) in &report.services {
-        let place = (service.clone(), zone.to_owned());
-        *work.entry(place).or_default() += record.in_flight + record.queued;
+        let key = (service.clone(), zone.to_owned());
+        *requests.entry(key).or_default() += record.in_flight + record.queued;
     }
 }
 
-/// Serving slots of a service, by zone.
-struct Sites {
-    leaving: BTreeMap<ZoneKey, u32>,
-    staying: BTreeMap<ZoneKey, u32>,
+/// The slots of a service's serving targets by zone, separated into drained and remaining targets.
+struct ServiceSlots {
+    drained: BTreeMap<ZoneKey, u32>,
+    remaining: BTreeMap<ZoneKey, u32>,
 }
 
-impl Sites {
-    fn new(catalog: &Catalog, service: ServiceKey, leaving: &Leaving) -> Self {
-        let mut sites = Self {
-            leaving: BTreeMap::new(),
-            staying: BTreeMap::new(),
+impl ServiceSlots {
+    fn new(catalog: &Catalog, service: ServiceKey, drain_set: &DrainSet) -> Self {
+        let mut service_slots = Self {
+            drained: BTreeMap::new(),
+            remaining: BTreeMap::new(),
         };
         for (zone, site) in catalog.sites(service) {
             for &key in &site.targets {
@@ -138,68 +150,80 @@
                     continue;
                 }
                 let target = catalog.target(key);
-                let side = if leaving.targets.contains(&*target.name) {
-                    &mut sites.leaving
+                let slots = if drain_set.targets.contains(&*target.name) {
+                    &mut service_slots.drained
                 } else {
-                    &mut sites.staying
+                    &mut service_slots.remaining
                 };
-                *side.entry(zone).or_default() += target.slots;
+                *slots.entry(zone).or_default() += target.slots;
             }
         }
-        sites
+        service_slots
     }
 
-    /// Requests that the staying targets of a zone may carry.
-    fn room(&self, catalog: &Catalog, zone: ZoneKey) -> f64 {
-        let slots = self.staying.get(&zone).copied().unwrap_or_default();
+    /// The number of requests that the remaining targets of a zone may process at the configured
+    /// utilization.
+    fn capacity(&self, catalog: &Catalog, zone: ZoneKey) -> f64 {
+        let slots = self.remaining.get(&zone).copied().unwrap_or_default();
         f64::from(slots) * catalog.limits().utilization
     }
 }
 
-/// Whether the work of a service is more than its staying targets may carry.
-fn too_little(catalog: &Catalog, service: &Service, sites: &Sites, load: &Load) -> Option<String> {
+/// Returns a problem if a service has more requests than its remaining targets may process.
+fn capacity_problem(
+    catalog: &Catalog,
+    service: &Service,
+    service_slots: &ServiceSlots,
+    load: &Load,
+) -> Option<String> {
     let name = &service.name;
-    let slots: u32 = sites.staying.values().sum();
+    let slots: u32 = service_slots.remaining.values().sum();
     if slots == 0 {
         return Some(format!("{name}: no serving target stays"));
     }
     let utilization = catalog.limits().utilization;
-    let room = f64::from(slots) * utilization;
-    let work = load.of(name);
-    let is_short = work as f64 > room;
-    is_short.then(|| {
+    let capacity = f64::from(slots) * utilization;
+    let requests = load.requests_of(name);
+    let is_exceeded = requests as f64 > capacity;
+    is_exceeded.then(|| {
         format!(
-            "{name}: {work} requests are in flight or wait, and {slots} slots at utilization \
-             {utilization} may carry {room:.0}"
+            "{name}: {requests} requests are in flight or wait, and {slots} slots at utilization \
+             {utilization} may carry {capacity:.0}"
         )
     })
 }
 
-/// Whether the service's traffic needs more than one window of its cap to move away.
-fn too_slow(
+/// Returns a problem if moving the service's traffic away takes more than one window of its cap on
+/// shifts.
+fn shift_problem(
     catalog: &Catalog,
     service: &Service,
-    sites: &Sites,
+    service_slots: &ServiceSlots,
     load: &Load,
-    leaving: &Leaving,
+    drain_set: &DrainSet,
 ) -> Option<String> {
-    let mut moves: BTreeMap<&str, f64> = BTreeMap::new();
-    for &zone in sites.leaving.keys() {
+    let mut moved_shares: BTreeMap<&str, f64> = BTreeMap::new();
+    for &zone in service_slots.drained.keys() {
         let name = &catalog.zone(zone).name;
-        let part = if leaving.zones.contains(&**name) {
+        let moved_part = if drain_set.zones.contains(&**name) {
             1.0
         } else {
-            excess(load.in_zone(&service.name, name), sites.room(catalog, zone))
+            excess_share(
+                load.requests_in_zone(&service.name, name),
+                service_slots.capacity(catalog, zone),
+            )
         };
-        for ((of, locality, to), share) in &load.shares {
-            if **of == *service.name && **to == **name {
-                *moves.entry(locality).or_default() += part * share;
+        for ((service_name, locality, zone_name), share) in &load.shares {
+            if **service_name == *service.name && **zone_name == **name {
+                *moved_shares.entry(locality).or_default() += moved_part * share;
             }
         }
     }
-    let (locality, share) = moves.into_iter().max_by(|a, b| a.1.total_cmp(&b.1))?;
+    let (locality, share) = moved_shares
+        .into_iter()
+        .max_by(|a, b| a.1.total_cmp(&b.1))?;
     let cap = service.shift;
-    let windows = (share / cap.share - TINY).ceil();
+    let windows = (share / cap.share - ROUNDING_ERROR).ceil();
     (windows > 1.0).then(|| {
         format!(
             "{}: {share:.2} of the traffic from {locality} has to move, and {} may move in {} s: \
@@ -212,10 +236,10 @@
     })
 }
 
-/// The part of a zone's work that its room cannot carry.
-fn excess(work: u64, room: f64) -> f64 {
-    if room <= 0.0 {
+/// The share of a zone's requests that exceeds its capacity, from 0 to 1.
+fn excess_share(requests: u64, capacity: f64) -> f64 {
+    if capacity <= 0.0 {
         return 1.0;
     }
-    (1.0 - room / (work as f64).max(TINY)).max(0.0)
+    (1.0 - capacity / (requests as f64).max(ROUNDING_ERROR)).max(0.0)
 }
--- a/src/bin/ragwortfold/status.rs
+++ b/src/bin/ragwortfold/status.rs
@@ -1,47 +1,47 @@
-//! `ragwortfold status`: what a host says of the system, or what all hosts say.
+//! `ragwortfold status`: the status that one entry host reports, or a summary of all hosts.
 
 use std::collections::BTreeMap;
 
 use ragwortfold::border::configuration::Configuration;
 use serde_json::{json, Value};
 
-use crate::fleet::{self, Answer};
+use crate::fleet::{self, StatusResult};
 use crate::table::{self, Format};
 use crate::{fetch, print, publish, Error};
 
 /// The arguments of `status`.
 pub(crate) struct Config {
-    /// Whom to ask.
-    pub(crate) from: From,
-    /// How the answer is printed.
+    /// The source of the status.
+    pub(crate) source: StatusSource,
+    /// The output format.
     pub(crate) format: Format,
 }
 
-/// Whom to ask.
-pub(crate) enum From {
+/// The source of the status.
+pub(crate) enum StatusSource {
     /// An entry host, by its URL.
     Entry(String),
     /// All entry hosts of the configuration on a platform, by its URL.
     Platform(String),
 }
 
-/// Asks and prints.
+/// Fetches and prints the status.
 pub(crate) fn run(config: &Config) -> Result<(), Error> {
-    let answer = match &config.from {
-        From::Entry(url) => fetch::get(url, "/v1/status", &[])?,
-        From::Platform(url) => all(url)?,
+    let answer = match &config.source {
+        StatusSource::Entry(url) => fetch::get(url, "/v1/status", &[])?,
+        StatusSource::Platform(url) => fetch_summary(url)?,
     };
-    print(&table::text(&answer, config.format))
+    print(&table::format_value(&answer, config.format))
 }
 
-/// What all hosts say, as one value.
-fn all(platform: &str) -> Result<Value, Error> {
-    let fetched = publish::in_force(&publish::connect(platform))?;
-    let configuration = publish::configuration(&fetched)?;
-    let answers = fleet::ask(&fleet::hosts(&configuration));
-    let listed = listed(platform);
+/// Fetches the status of all hosts and returns a summary as JSON.
+fn fetch_summary(platform: &str) -> Result<Value, Error> {
+    let fetched = publish::pull_current(&publish::connect(platform))?;
+    let configuration = publish::merge_files(&fetched)?;
+    let answers = fleet::fetch_all(&fleet::host_addresses(&configuration));
+    let listed_states = fetch_listed_states(platform);
     let revision = fetched.revision;
-    let hosts = hosts(&configuration, &answers, &listed, revision);
+    let hosts = hosts_json(&configuration, &answers, &listed_states, revision);
     let behind = answers
         .values()
         .filter(|answer| !answer.as_ref().is_ok_and(|a| a.revision >= revision));
@@ -50,12 +50,13 @@
         "hosts_in_force": answers.len() - behind.count(),
         "hosts_asked": answers.len(),
         "hosts": hosts,
-        "targets": targets(&configuration, &answers),
+        "targets": targets_json(&configuration, &answers),
     }))
 }
 
-/// What the platform's list, which lags, says of each host; empty without one.
-fn listed(platform: &str) -> BTreeMap<String, String> {
+/// The state of each host in the platform's list, which may be out of date. Empty if the list
+/// cannot be fetched.
+fn fetch_listed_states(platform: &str) -> BTreeMap<String, String> {
     let Ok(list) = fetch::get(platform, "/v1/hosts", &[]) else {
         return BTreeMap::new();
     };
@@ -66,10 +67,11 @@
         .collect()
 }
 
-fn hosts(
+/// The configured hosts with their state and reported status, by name.
+fn hosts_json(
     configuration: &Configuration,
-    answers: &BTreeMap<String, Answer>,
-    listed: &BTreeMap<String, String>,
+    answers: &BTreeMap<String, StatusResult>,
+    listed_states: &BTreeMap<String, String>,
     revision: u64,
 ) -> Value {
     let records = configuration.hosts.iter().map(|(name, host)| {
@@ -77,7 +79,7 @@
             "availability_zone": host.availability_zone,
             "address": host.address,
             "state": host.state,
-            "listed": listed.get(name),
+            "listed": listed_states.get(name),
         });
         match answers.get(name) {
             Some(Ok(report)) => {
@@ -96,8 +98,9 @@
     records.collect::<serde_json::Map<_, _>>().into()
 }
 
-/// Requests at each target, of all hosts that answered.
-fn targets(configuration: &Configuration, answers: &BTreeMap<String, Answer>) -> Value {
+/// The configured targets with the number of requests in flight from all hosts that answered, by
+/// name.
+fn targets_json(configuration: &Configuration, answers: &BTreeMap<String, StatusResult>) -> Value {
     let mut in_flight: BTreeMap<&str, u64> = BTreeMap::new();
     for report in answers.values().flatten() {
         for (name, target) in report.services.values().flat_map(|s| &s.targets) {
--- a/src/bin/ragwortfold/table.rs
+++ b/src/bin/ragwortfold/table.rs
@@ -1,45 +1,50 @@
-//! JSON as small tables for people.
+//! Formats JSON values as text tables.
 
 use std::collections::BTreeSet;
 
 use serde_json::{Map, Value};
 
-/// How results are printed.
+/// The output format of results.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Format {
-    /// As tables.
+    /// Text tables.
     Table,
-    /// As the JSON that came.
+    /// The JSON value itself, pretty-printed.
     Json,
 }
 
-/// Spaces between columns.
-const GAP: usize = 2;
+/// The number of spaces between columns.
+const COLUMN_GAP: usize = 2;
 
-/// Prints a JSON value in a format.
-pub(crate) fn text(value: &Value, format: Format) -> String {
+/// Formats a JSON value as JSON or as tables.
+pub(crate) fn format_value(value: &Value, format: Format) -> String {
     match format {
         Format::Json => format!("{value:#}\n"),
-        Format::Table => tables("", value),
+        Format::Table => format_tables("", value),
     }
 }
 
-/// Scalars of an object as lines of key and value, then each list or object inside as its own
-/// table.
-fn tables(name: &str, value: &Value) -> String {
+/// Formats the scalars of an object as lines of key and value, followed by a separate table for
+/// each nested list or object. `name` is the title of the table, empty for the root.
+fn format_tables(name: &str, value: &Value) -> String {
     match value {
         Value::Object(map) if is_table(map.values()) => {
             let rows = map.iter().map(|(key, row)| (Some(key.as_str()), row));
-            let own = titled(name, &grid(rows.collect()));
-            map.iter()
-                .fold(own, |text, (key, row)| inner(text, &join(name, key), row))
+            let table = with_title(name, &format_rows(rows.collect()));
+            map.iter().fold(table, |text, (key, row)| {
+                append_nested_tables(text, &join_path(name, key), row)
+            })
         }
-        Value::Object(map) => object(name, map),
-        Value::Array(rows) => titled(name, &grid(rows.iter().map(|row| (None, row)).collect())),
-        scalar => format!("{}\n", cell(scalar)),
+        Value::Object(map) => format_object(name, map),
+        Value::Array(rows) => with_title(
+            name,
+            &format_rows(rows.iter().map(|row| (None, row)).collect()),
+        ),
+        scalar => format!("{}\n", format_cell(scalar)),
     }
 }
 
+/// Whether there are values and all of them are objects, so that they can be rows of one table.
 fn is_table<'v>(mut values: impl Iterator<Item = &'v Value>) -> bool {
     let mut count = 0;
     values.all(|value| {
@@ -48,21 +53,23 @@
     }) && count > 0
 }
 
-fn object(name: &str, map: &Map<String, Value>) -> String {
+/// Formats an object as lines of its scalars, followed by tables of its nested values.
+fn format_object(name: &str, map: &Map<String, Value>) -> String {
     let (inner_tables, scalars): (Vec<_>, Vec<_>) = map
         .iter()
         .partition(|(_, value)| value.is_object() || value.is_array());
     let lines: Vec<Vec<String>> = scalars
         .iter()
-        .map(|(key, value)| vec![(*key).clone(), cell(value)])
+        .map(|(key, value)| vec![(*key).clone(), format_cell(value)])
         .collect();
-    let text = titled(name, &aligned(&lines));
+    let text = with_title(name, &align_columns(&lines));
     inner_tables.into_iter().fold(text, |text, (key, value)| {
-        append(text, &tables(&join(name, key), value))
+        append_table(text, &format_tables(&join_path(name, key), value))
     })
 }
 
-fn join(name: &str, key: &str) -> String {
+/// Returns the dotted path of `key` under `name`.
+fn join_path(name: &str, key: &str) -> String {
     if name.is_empty() {
         key.into()
     } else {
@@ -70,28 +77,30 @@
     }
 }
 
-/// Text with the tables in a row after it.
-fn inner(text: String, name: &str, row: &Value) -> String {
+/// Appends the tables of the objects nested in `row` to `text`.
+fn append_nested_tables(text: String, name: &str, row: &Value) -> String {
     let Value::Object(row) = row else {
         return text;
     };
     if is_table(row.values()) {
-        return append(text, &tables(name, &Value::Object(row.clone())));
+        return append_table(text, &format_tables(name, &Value::Object(row.clone())));
     }
     let nested = row.iter().filter(|(_, value)| value.is_object());
     nested.fold(text, |text, (key, value)| {
-        append(text, &tables(&join(name, key), value))
+        append_table(text, &format_tables(&join_path(name, key), value))
     })
 }
 
-fn append(mut text: String, table: &str) -> String {
+/// Appends a table after an empty line.
+fn append_table(mut text: String, table: &str) -> String {
     if !text.is_empty() && !table.is_empty() {
         text.push('\n');
     }
     text + table
 }
 
-fn titled(name: &str, body: &str) -> String {
+/// Puts the line `name:` before a body, unless one of them is empty.
+fn with_title(name: &str, body: &str) -> String {
     match (name, body) {
         (_, "") => String::new(),
         ("", body) => body.into(),
@@ -99,56 +108,60 @@
     }
 }
 
-/// Rows of objects under one head; rows of scalars without one.
-fn grid(rows: Vec<(Option<&str>, &Value)>) -> String {
-    let heads: BTreeSet<&str> = rows
+/// Formats rows as aligned columns. Rows that are objects get a header line with all their keys;
+/// rows of scalars have none.
+fn format_rows(rows: Vec<(Option<&str>, &Value)>) -> String {
+    let column_keys: BTreeSet<&str> = rows
         .iter()
         .filter_map(|(_, row)| row.as_object())
         .flat_map(|row| row.iter().filter(|(_, value)| !value.is_object()))
         .map(|(key, _)| key.as_str())
         .collect();
-    if heads.is_empty() && rows.iter().any(|(_, row)| row.is_object()) {
+    if column_keys.is_empty() && rows.iter().any(|(_, row)| row.is_object()) {
         return String::new();
     }
     let has_names = rows.iter().any(|(name, _)| name.is_some());
     let mut lines = Vec::with_capacity(rows.len() + 1);
-    if !heads.is_empty() {
-        let first = has_names.then(|| "name".to_owned());
-        let others = heads.iter().map(|&head| head.to_owned());
-        lines.push(first.into_iter().chain(others).collect());
+    if !column_keys.is_empty() {
+        let name_cell = has_names.then(|| "name".to_owned());
+        let other_cells = column_keys.iter().map(|&key| key.to_owned());
+        lines.push(name_cell.into_iter().chain(other_cells).collect());
     }
     for (name, row) in rows {
-        let first = name.map(str::to_owned);
-        let others: Vec<String> = match row.as_object() {
-            Some(row) => heads
+        let name_cell = name.map(str::to_owned);
+        let other_cells: Vec<String> = match row.as_object() {
+            Some(row) => column_keys
                 .iter()
-                .map(|&head| row.get(head).map_or(String::new(), cell))
+                .map(|&key| row.get(key).map_or(String::new(), format_cell))
                 .collect(),
-            None => vec![cell(row)],
+            None => vec![format_cell(row)],
         };
-        lines.push(first.into_iter().chain(others).collect());
+        lines.push(name_cell.into_iter().chain(other_cells).collect());
     }
-    aligned(&lines)
+    align_columns(&lines)
 }
 
-fn cell(value: &Value) -> String {
+/// Formats a value as one cell.
+fn format_cell(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Null => "-".into(),
-        Value::Number(number) if number.is_f64() => float(number.as_f64().unwrap_or_default()),
+        Value::Number(number) if number.is_f64() => {
+            format_float(number.as_f64().unwrap_or_default())
+        }
         other => other.to_string(),
     }
 }
 
-/// A number with no more decimals than people read.
-fn float(number: f64) -> String {
+/// Formats a number with at most 3 decimals and without trailing zeros.
+fn format_float(number: f64) -> String {
     let text = format!("{number:.3}");
     let text = text.trim_end_matches('0').trim_end_matches('.');
     text.to_owned()
 }
 
-/// Lines of cells, each column as wide as its widest cell.
-pub(crate) fn aligned(lines: &[Vec<String>]) -> String {
+/// Formats lines of cells, with each column as wide as its widest cell.
+pub(crate) fn align_columns(lines: &[Vec<String>]) -> String {
     let columns = lines.iter().map(Vec::len).max().unwrap_or(0);
     let width = |column: usize| {
         let cells = lines.iter().filter_map(|line| line.get(column));
@@ -159,7 +172,7 @@
     for line in lines {
         let cells = line.iter().zip(&widths);
         let padded: String = cells
-            .map(|(cell, &width)| format!("{cell:<0$}", width + GAP))
+            .map(|(cell, &width)| format!("{cell:<0$}", width + COLUMN_GAP))
             .collect();
         text.push_str(padded.trim_end());
         text.push('\n');
