--- a/src/bin/ragwortfold/main.rs
+++ b/src/bin/ragwortfold/main.rs
@@ -1,6 +1,7 @@
 //! The `ragwortfold` command line program.
 
 mod app;
+mod capacity;
 mod clap_app;
 mod config;
 #[cfg(feature = "demo")]
@@ -14,7 +15,6 @@
 mod lookup;
 mod overrides;
 mod publish;
-mod room;
 mod status;
 mod table;
 
