--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,4 +1,4 @@
-//! Folders and settings: merging, and what is told of wrong values.
+//! Tests of configuration folders and settings: merging, and faults of invalid values.
 
 #![allow(clippy::unwrap_used)]
 
@@ -14,7 +14,7 @@
 use ragwortfold::config::settings::{self, Overrides};
 use ragwortfold::config::{self, Faults, Folder, Origin, MAX_FILE_BYTES};
 
-/// A right configuration, two regions of one zone each.
+/// A valid configuration with two regions of one zone each.
 const BASE: &str = r#"{
   "regions": {"north": {}, "south": {}},
   "availability_zones": {"north-a": {"region": "north"}, "south-a": {"region": "south"}},
@@ -35,36 +35,36 @@
     Folder::with_files(files.collect())
 }
 
-/// What is told of `late`, a file that overrides the right configuration.
-fn told(late: &str) -> Vec<String> {
-    let folder = folder(&[("a.json", BASE), ("b.json", late)]);
-    lines(config::check(&folder).map(|_| ()))
+/// The faults reported when the file `override_text` overrides [`BASE`].
+fn faults_with_override(override_text: &str) -> Vec<String> {
+    let folder = folder(&[("a.json", BASE), ("b.json", override_text)]);
+    fault_lines(config::check(&folder).map(|_| ()))
 }
 
-fn lines(checked: Result<(), Faults>) -> Vec<String> {
-    let faults = checked.err().map_or(Vec::new(), |faults| faults.0);
+fn fault_lines(result: Result<(), Faults>) -> Vec<String> {
+    let faults = result.err().map_or(Vec::new(), |faults| faults.0);
     faults.iter().map(ToString::to_string).collect()
 }
 
-/// Cases of a late file and the faults told of the folder.
+/// Test cases: a file that overrides [`BASE`], and the faults reported for the folder.
 macro_rules! faults {
-    ($($name:ident: $late:expr => [$($fault:expr),* $(,)?];)*) => {$(
+    ($($name:ident: $override_text:expr => [$($fault:expr),* $(,)?];)*) => {$(
         #[test]
         fn $name() {
-            let wanted: &[&str] = &[$($fault),*];
-            assert_eq!(told($late), wanted);
+            let expected: &[&str] = &[$($fault),*];
+            assert_eq!(faults_with_override($override_text), expected);
         }
     )*};
 }
 
 faults! {
-    right: "{}" => [];
+    valid: "{}" => [];
     empty_file: "// nothing yet" => [];
     unknown_section: r#"{"target": {}}"# =>
         ["b.json:1:2: target: is an unknown key; did you mean 'targets'?"];
     unknown_key: r#"{"targets": {"look-1": {"slot": 4}}}"# =>
         ["b.json:1:25: targets.look-1.slot: is an unknown key; did you mean 'slots'?"];
-    unknown_key_like_nothing: r#"{"targets": {"look-1": {"zzz": 4}}}"# =>
+    unknown_key_without_suggestion: r#"{"targets": {"look-1": {"zzz": 4}}}"# =>
         ["b.json:1:25: targets.look-1.zzz: is an unknown key"];
     missing_key: r#"{"targets": {"look-1": {"slots": null}}}"# =>
         ["b.json:1:24: targets.look-1: 'slots' is missing"];
@@ -138,7 +138,7 @@
         ["a.json:8:16: services.lookups: cannot be reached from 'south': no targets there and no link"];
     service_without_targets: r#"{"services": {"bookings": {"class": "booking"}}}"# =>
         ["b.json:1:15: services.bookings: has no targets"];
-    an_overridden_record_stands_where_it_was_last_named:
+    an_overridden_record_is_reported_where_it_was_last_given:
         r#"{"services": {"lookups": {"priority": 1}}, "targets": null}"# =>
         ["b.json:1:15: services.lookups: has no targets"];
     unknown_cap: r#"{"limits": {"shift": {"lookup": {"share": 0.1, "window_s": 1}}}}"# =>
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn faults_of_all_files_are_told_at_once_in_order() {
+fn faults_of_all_files_are_reported_together_in_order() {
     let folder = folder(&[
         (
             "a.json",
@@ -159,29 +159,29 @@
         ),
         ("b.json", "\n{\"services\": {\"s\": {}}}"),
     ]);
-    let wanted = [
+    let expected = [
         "a.json:2:29: limits.utilization: 2 is not from 0.05 to 1",
         "a.json:3:14: regions: expected an object, found a number",
         "b.json:2:15: services.s: has no targets",
         "b.json:2:20: services.s: 'class' is missing",
     ];
-    assert_eq!(lines(config::check(&folder).map(|_| ())), wanted);
+    assert_eq!(fault_lines(config::check(&folder).map(|_| ())), expected);
 }
 
 #[test]
-fn syntax_errors_of_all_files_are_told_at_once() {
+fn syntax_errors_of_all_files_are_reported_together() {
     let folder = folder(&[("a.json", "{"), ("b.json", "{}"), ("c.json", "]")]);
-    assert_eq!(lines(config::check(&folder).map(|_| ())).len(), 2);
+    assert_eq!(fault_lines(config::check(&folder).map(|_| ())).len(), 2);
 }
 
 #[test]
-fn a_file_larger_than_the_platform_takes_is_a_fault() {
+fn a_file_larger_than_the_platform_accepts_is_a_fault() {
     let text = format!("{{}}{}", " ".repeat(MAX_FILE_BYTES));
-    let told = told(&text);
-    assert_eq!(told, ["b.json:1:1: has more than 1000000 bytes"]);
+    let faults = faults_with_override(&text);
+    assert_eq!(faults, ["b.json:1:1: has more than 1000000 bytes"]);
 }
 
-/// Cases of files and what they make together.
+/// Test cases: files and the result of merging them.
 macro_rules! merges {
     ($($name:ident: [$($file:expr),*] => $merged:expr;)*) => {$(
         #[test]
@@ -192,8 +192,8 @@
             let folder = Folder::with_files(files.collect());
             let shown = folder.show(Origin::Hidden).unwrap();
             let shown: serde_json::Value = serde_json::from_str(&shown).unwrap();
-            let wanted: serde_json::Value = serde_json::from_str($merged).unwrap();
-            assert_eq!(shown, wanted);
+            let expected: serde_json::Value = serde_json::from_str($merged).unwrap();
+            assert_eq!(shown, expected);
         }
     )*};
 }
@@ -206,7 +206,7 @@
     a_scalar_replaces_an_object: [r#"{"a": {"x": 1}}"#, r#"{"a": 2}"#] => r#"{"a": 2}"#;
     an_object_replaces_a_scalar: [r#"{"a": 2}"#, r#"{"a": {"x": 1}}"#] => r#"{"a": {"x": 1}}"#;
     null_removes: [r#"{"a": {"x": 1, "y": 2}}"#, r#"{"a": {"x": null}}"#] => r#"{"a": {"y": 2}}"#;
-    null_removes_nothing: [r#"{"a": {"z": null}, "b": null}"#] => r#"{"a": {}}"#;
+    null_without_an_earlier_value_is_dropped: [r#"{"a": {"z": null}, "b": null}"#] => r#"{"a": {}}"#;
     a_value_after_null_is_new: [r#"{"a": {"x": 1}}"#, r#"{"a": null}"#, r#"{"a": {"y": 2}}"#] =>
         r#"{"a": {"y": 2}}"#;
     null_after_an_object: [r#"{"a": {"x": 1}}"#, r#"{"a": {"y": 2}}"#, r#"{"a": null}"#] => "{}";
@@ -224,9 +224,9 @@
 
 #[test]
 fn files_merge_in_byte_order_of_their_names() {
-    let early = r#"{"limits": {"utilization": 0.5}}"#;
-    let late = r#"{"limits": {"utilization": 0.6}}"#;
-    let folder = folder(&[("a.json", early), ("B.json", late)]);
+    let lower_case_file = r#"{"limits": {"utilization": 0.5}}"#;
+    let upper_case_file = r#"{"limits": {"utilization": 0.6}}"#;
+    let folder = folder(&[("a.json", lower_case_file), ("B.json", upper_case_file)]);
     assert_eq!(folder.merged().unwrap().limits.utilization, 0.5);
 }
 
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn examples_have_the_sizes_of_the_brief() {
+fn examples_have_the_expected_sizes() {
     for (name, targets) in [("quispe", [20, 12, 12]), ("caroni", [25, 12, 12])] {
         let configuration = example(name).merged().unwrap();
         assert_eq!(configuration.regions.len(), 3);
@@ -257,13 +257,13 @@
 }
 
 #[test]
-fn shown_origins_are_right_and_read_as_a_configuration() {
+fn shown_origins_are_correct_and_parse_as_a_configuration() {
     let folder = example("quispe");
     let shown = folder.show(Origin::Shown).unwrap();
     assert!(shown.contains("\"latency_ms\": 55, // 50-links.json:4\n"));
-    let again = Folder::with_files(BTreeMap::from([("x.json".into(), shown.into())]));
+    let reparsed = Folder::with_files(BTreeMap::from([("x.json".into(), shown.into())]));
     let plain = folder.show(Origin::Hidden).unwrap();
-    assert_eq!(again.show(Origin::Hidden).unwrap(), plain);
+    assert_eq!(reparsed.show(Origin::Hidden).unwrap(), plain);
     serde_json::from_str::<serde_json::Value>(&plain).unwrap();
 }
 
@@ -275,8 +275,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// A text with a part replaced by another part of it is checked without a panic, and each
-    /// fault has a place in the text.
+    /// Checking a text with a part replaced by another part of it does not panic, and each fault
+    /// has a position in the text.
     #[test]
     fn damaged_text_is_checked(cut in 0..BASE.len(), len in 0..40_usize, from in 0..BASE.len()) {
         let end = (cut + len).min(BASE.len());
@@ -290,7 +290,7 @@
     }
 }
 
-/// Right settings, to which cases add.
+/// Valid settings, which test cases override.
 const SETTINGS: &str = r#"{
   "host": "ent-1", "availability_zone": "north-a", // who
   "listen": "127.0.0.1:7001", "peer_listen": "127.0.0.1:7101",
@@ -307,20 +307,20 @@
     }
 }
 
-/// Cases of overrides and the faults told of the settings.
+/// Test cases: settings with overrides, and the faults reported for them.
 macro_rules! settings_faults {
     ($($name:ident: $text:expr, $overrides:expr => [$($fault:expr),*];)*) => {$(
         #[test]
         fn $name() {
-            let wanted: &[&str] = &[$($fault),*];
+            let expected: &[&str] = &[$($fault),*];
             let read = settings::with_text("s.json", $text, &overrides(&$overrides));
-            assert_eq!(lines(read.map(|_| ())), wanted);
+            assert_eq!(fault_lines(read.map(|_| ())), expected);
         }
     )*};
 }
 
 settings_faults! {
-    settings_right: SETTINGS, [] => [];
+    settings_valid: SETTINGS, [] => [];
     settings_any_port: SETTINGS, [("listen", "127.0.0.1:0"), ("peer_listen", "127.0.0.1:0")] => [];
     settings_missing: "\n{\"host\": \"a\"}", [] => [
         "s.json:2:1: 'availability_zone' is missing", "s.json:2:1: 'listen' is missing",
@@ -343,7 +343,7 @@
 }
 
 #[test]
-fn overrides_go_before_the_file() {
+fn overrides_take_precedence_over_the_file() {
     let overrides = overrides(&[("log.level", "debug"), ("host", "ent-9")]);
     let settings = settings::with_text("s.json", SETTINGS, &overrides).unwrap();
     assert_eq!(settings.host, "ent-9");
@@ -352,36 +352,43 @@
     assert_eq!(settings.pool.lookup_workers.get(), 4);
 }
 
-/// The right configuration with client blocks in a file of their own, and another small file.
-fn split_folder(blocks: &str, small: &str) -> Folder {
-    let places = BASE.replace("\"clients\"", "\"x\"").replace(
+/// The configuration [`BASE`] with its client blocks in a separate file, and a third file.
+fn split_folder(blocks: &str, third_file: &str) -> Folder {
+    let base_without_clients = BASE.replace("\"clients\"", "\"x\"").replace(
         r#""x": {"10.1.0.0/16": {"region": "north"}, "10.2.0.0/16": {"region": "south"}},"#,
         "",
     );
-    folder(&[("a.json", &places), ("b.json", blocks), ("c.json", small)])
+    folder(&[
+        ("a.json", &base_without_clients),
+        ("b.json", blocks),
+        ("c.json", third_file),
+    ])
 }
 
 const BLOCKS: &str =
     r#"{"clients": {"10.2.0.0/16": {"region": "south"}, "10.1.0.0/16": {"region": "north"}}}"#;
 
-/// Cases of a folder's next files, and whether its checked client blocks are used again. Whatever
-/// is used again, the result is that of a folder made afresh.
+/// Test cases: the updated files of a folder, and whether its checked client blocks are reused. In
+/// each case the result equals that of a newly created folder.
 macro_rules! updates {
-    ($($name:ident: $blocks:expr, $small:expr => $same:expr;)*) => {$(
+    ($($name:ident: $blocks:expr, $third_file:expr => $is_reused:expr;)*) => {$(
         #[test]
         fn $name() {
             let first = split_folder(BLOCKS, "{}");
             let (_, before) = first.merged_with_clients().unwrap();
-            let fresh = split_folder($blocks, $small);
+            let fresh = split_folder($blocks, $third_file);
             let next = first.updated(fresh.files().clone());
-            let faults = (lines(next.merged_with_clients().map(|_| ())), lines(fresh.merged_with_clients().map(|_| ())));
+            let faults = (
+                fault_lines(next.merged_with_clients().map(|_| ())),
+                fault_lines(fresh.merged_with_clients().map(|_| ())),
+            );
             assert_eq!(faults.0, faults.1);
             if let Ok((configuration, clients)) = next.merged_with_clients() {
-                let (wanted, wanted_clients) = fresh.merged_with_clients().unwrap();
+                let (expected, expected_clients) = fresh.merged_with_clients().unwrap();
                 let json = |value| serde_json::to_value(value).unwrap();
-                assert_eq!(json(&configuration), json(&wanted));
-                assert_eq!(clients, wanted_clients);
-                assert_eq!(Arc::ptr_eq(&before, &clients), $same);
+                assert_eq!(json(&configuration), json(&expected));
+                assert_eq!(clients, expected_clients);
+                assert_eq!(Arc::ptr_eq(&before, &clients), $is_reused);
             }
         }
     )*};
@@ -411,13 +418,13 @@
         ("b.json", blocks),
     ]);
     let next = first.updated(fresh.files().clone());
-    let wanted = "b.json:1:40: clients.10.3.0.0/16.region: no 'west' in regions";
-    let told = lines(next.merged_with_clients().map(|_| ()));
-    assert!(told[0].starts_with(wanted), "{told:?}");
+    let expected = "b.json:1:40: clients.10.3.0.0/16.region: no 'west' in regions";
+    let faults = fault_lines(next.merged_with_clients().map(|_| ()));
+    assert!(faults[0].starts_with(expected), "{faults:?}");
 }
 
 #[test]
-fn client_blocks_are_in_rising_order_with_their_regions() {
+fn client_blocks_are_in_ascending_order_with_their_regions() {
     let (configuration, clients) = split_folder(BLOCKS, "{}").merged_with_clients().unwrap();
     let blocks = clients
         .iter()
