--- a/src/bin/ragwortfold/capacity.rs
+++ b/src/bin/ragwortfold/capacity.rs
@@ -83,11 +83,11 @@
                 thread::sleep(SAMPLE_INTERVAL);
             }
             let mut sample_requests = BTreeMap::new();
-            for (host, answer) in fleet::fetch_all(&hosts) {
-                let Ok(report) = answer else { continue };
+            for (host, result) in fleet::fetch_all(&hosts) {
+                let Ok(status) = result else { continue };
                 let zone = &configuration.hosts[&host].availability_zone;
-                add_requests(&mut sample_requests, zone, &report);
-                load.merge_shares(&report);
+                add_requests(&mut sample_requests, zone, &status);
+                load.merge_shares(&status);
             }
             for (key, count) in sample_requests {
                 let max = load.requests.entry(key).or_default();
@@ -98,8 +98,8 @@
     }
 
     /// Merges the splits of one host into `shares`.
-    fn merge_shares(&mut self, report: &HostStatus) {
-        for (service, localities) in &report.splits {
+    fn merge_shares(&mut self, status: &HostStatus) {
+        for (service, localities) in &status.splits {
             for (locality, zones) in localities {
                 for (zone, &share) in zones {
                     let key = (service.clone(), locality.clone(), zone.clone());
@@ -125,8 +125,8 @@
 }
 
 /// Adds the requests that one host of `zone` reports to `requests`.
-fn add_requests(requests: &mut BTreeMap<(String, String), u64>, zone: &str, report: &HostStatus) {
-    for (service, record) in &report.services {
+fn add_requests(requests: &mut BTreeMap<(String, String), u64>, zone: &str, status: &HostStatus) {
+    for (service, record) in &status.services {
         let key = (service.clone(), zone.to_owned());
         *requests.entry(key).or_default() += record.in_flight + record.queued;
     }
--- a/src/bin/ragwortfold/drain.rs
+++ b/src/bin/ragwortfold/drain.rs
@@ -90,7 +90,7 @@
     Unknown {
         /// The configuration's section.
         section: &'static str,
-        /// The name polled_hosts for.
+        /// The requested name.
         name: String,
         /// The names in the section, separated by commas.
         known: String,
@@ -203,17 +203,17 @@
 
     /// Why the drain is not complete on a host: an older revision or requests in flight. `None` if
     /// it is complete.
-    fn pending_work(&self, host: &str, revision: u64, report: &HostStatus) -> Option<String> {
-        if report.revision < revision {
-            return Some(format!("has revision {}", report.revision));
+    fn pending_work(&self, host: &str, revision: u64, status: &HostStatus) -> Option<String> {
+        if status.revision < revision {
+            return Some(format!("has revision {}", status.revision));
         }
-        let targets = report.services.values().flat_map(|s| &s.targets);
+        let targets = status.services.values().flat_map(|s| &s.targets);
         let at_targets: u64 = targets
             .filter(|(target, _)| self.targets.contains(*target))
             .map(|(_, target)| target.in_flight)
             .sum();
         let own_requests = if self.hosts.contains(host) {
-            report.in_flight
+            status.in_flight
         } else {
             0
         };
@@ -386,7 +386,7 @@
         )
     } else {
         let pending_work =
-            |host: &str, report: &HostStatus| drain_set.pending_work(host, revision, report);
+            |host: &str, status: &HostStatus| drain_set.pending_work(host, revision, status);
         fleet::poll_until_done(&drain_set.polled_hosts, config.max_wait, pending_work)
     };
     print_outcome(config, revision, Some(&outcome))?;
--- a/src/bin/ragwortfold/fleet.rs
+++ b/src/bin/ragwortfold/fleet.rs
@@ -67,12 +67,12 @@
 pub(crate) fn fetch_all(hosts: &BTreeMap<String, String>) -> BTreeMap<String, StatusResult> {
     let host_list: Vec<(&String, &String)> = hosts.iter().collect();
     let next = AtomicUsize::new(0);
-    let answers = Mutex::new(BTreeMap::new());
+    let results = Mutex::new(BTreeMap::new());
     let worker = || {
         while let Some((name, address)) = host_list.get(next.fetch_add(1, Ordering::Relaxed)) {
-            let answer = fetch_status(address);
-            let mut answers = answers.lock().unwrap_or_else(PoisonError::into_inner);
-            answers.insert((*name).clone(), answer);
+            let result = fetch_status(address);
+            let mut results = results.lock().unwrap_or_else(PoisonError::into_inner);
+            results.insert((*name).clone(), result);
         }
     };
     thread::scope(|scope| {
@@ -80,7 +80,7 @@
             scope.spawn(worker);
         }
     });
-    answers.into_inner().unwrap_or_else(PoisonError::into_inner)
+    results.into_inner().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// Fetches the status of one host.
@@ -123,9 +123,9 @@
     loop {
         let lagging: BTreeMap<String, String> = fetch_all(&remaining)
             .into_iter()
-            .filter_map(|(name, answer)| {
-                let reason = match answer {
-                    Ok(report) => pending_reason(&name, &report),
+            .filter_map(|(name, result)| {
+                let reason = match result {
+                    Ok(status) => pending_reason(&name, &status),
                     Err(error) => Some(error),
                 };
                 Some((name, reason?))
@@ -146,8 +146,8 @@
     revision: u64,
     max_wait: Duration,
 ) -> WaitOutcome {
-    poll_until_done(hosts, max_wait, |_, report| {
-        let is_behind = report.revision < revision;
-        is_behind.then(|| format!("has revision {}", report.revision))
+    poll_until_done(hosts, max_wait, |_, status| {
+        let is_behind = status.revision < revision;
+        is_behind.then(|| format!("has revision {}", status.revision))
     })
 }
--- a/src/bin/ragwortfold/publish.rs
+++ b/src/bin/ragwortfold/publish.rs
@@ -66,7 +66,7 @@
 
 /// The source of the files of a new revision.
 pub(crate) enum Source {
-    /// A folder, and whether it may undo changes that it was not pulled with.
+    /// A folder, and whether it may undo published changes that it does not contain.
     Folder(PathBuf, Undo),
     /// An earlier revision.
     Revision(u64),
--- a/src/bin/ragwortfold/status.rs
+++ b/src/bin/ragwortfold/status.rs
@@ -38,19 +38,19 @@
 fn fetch_summary(platform: &str) -> Result<Value, Error> {
     let fetched = publish::pull_current(&publish::connect(platform))?;
     let configuration = publish::merge_files(&fetched)?;
-    let answers = fleet::fetch_all(&fleet::host_addresses(&configuration));
+    let results = fleet::fetch_all(&fleet::host_addresses(&configuration));
     let listed_states = fetch_listed_states(platform);
     let revision = fetched.revision;
-    let hosts = hosts_json(&configuration, &answers, &listed_states, revision);
-    let behind = answers
+    let hosts = hosts_json(&configuration, &results, &listed_states, revision);
+    let behind = results
         .values()
-        .filter(|answer| !answer.as_ref().is_ok_and(|a| a.revision >= revision));
+        .filter(|result| !result.as_ref().is_ok_and(|a| a.revision >= revision));
     Ok(json!({
         "revision": revision,
-        "hosts_in_force": answers.len() - behind.count(),
-        "hosts_asked": answers.len(),
+        "hosts_in_force": results.len() - behind.count(),
+        "hosts_asked": results.len(),
         "hosts": hosts,
-        "targets": targets_json(&configuration, &answers),
+        "targets": targets_json(&configuration, &results),
     }))
 }
 
@@ -70,7 +70,7 @@
 /// The configured hosts with their state and reported status, by name.
 fn hosts_json(
     configuration: &Configuration,
-    answers: &BTreeMap<String, StatusResult>,
+    results: &BTreeMap<String, StatusResult>,
     listed_states: &BTreeMap<String, String>,
     revision: u64,
 ) -> Value {
@@ -81,14 +81,14 @@
             "state": host.state,
             "listed": listed_states.get(name),
         });
-        match answers.get(name) {
-            Some(Ok(report)) => {
+        match results.get(name) {
+            Some(Ok(status)) => {
                 record["answers"] = "yes".into();
-                record["revision"] = report.revision.into();
-                record["behind"] = revision.saturating_sub(report.revision).into();
-                record["in_flight"] = report.in_flight.into();
-                record["delegate"] = report.delegate.into();
-                record["planner"] = report.planner_epoch.is_some().into();
+                record["revision"] = status.revision.into();
+                record["behind"] = revision.saturating_sub(status.revision).into();
+                record["in_flight"] = status.in_flight.into();
+                record["delegate"] = status.delegate.into();
+                record["planner"] = status.planner_epoch.is_some().into();
             }
             Some(Err(problem)) => record["answers"] = problem.as_str().into(),
             None => record["answers"] = "not asked".into(),
@@ -100,10 +100,10 @@
 
 /// The configured targets with the number of requests in flight from all hosts that answered, by
 /// name.
-fn targets_json(configuration: &Configuration, answers: &BTreeMap<String, StatusResult>) -> Value {
+fn targets_json(configuration: &Configuration, results: &BTreeMap<String, StatusResult>) -> Value {
     let mut in_flight: BTreeMap<&str, u64> = BTreeMap::new();
-    for report in answers.values().flatten() {
-        for (name, target) in report.services.values().flat_map(|s| &s.targets) {
+    for status in results.values().flatten() {
+        for (name, target) in status.services.values().flat_map(|s| &s.targets) {
             *in_flight.entry(name).or_default() += target.in_flight;
         }
     }
--- a/src/config/rules.rs
+++ b/src/config/rules.rs
@@ -62,6 +62,7 @@
     check_references(root, "clients", "region", "regions", problems);
 }
 
+/// Reports invalid names of records and of services' classes.
 fn check_names(root: View<'_>, problems: &mut Problems) {
     for section in NAMED_SECTIONS {
         for entry in root.section_entries(section) {
@@ -247,6 +248,7 @@
     state.is_some_and(|(state, _)| state == "off")
 }
 
+/// Whether the region of a zone is off.
 fn is_region_off(root: View<'_>, zone: View<'_>) -> bool {
     let region = zone.string("region").and_then(|(name, _)| {
         let regions = root.get("regions")?;
--- a/src/config/shape.rs
+++ b/src/config/shape.rs
@@ -34,7 +34,7 @@
     Record(BTreeMap<String, Field>),
 }
 
-/// The shape of the value under a key of a record.
+/// A key of a record: the shape of its value, and whether the key is required.
 #[derive(Debug)]
 pub(super) struct Field {
     shape: Shape,
