--- a/src/bin/ragwortfold/capacity.rs
+++ b/src/bin/ragwortfold/capacity.rs
@@ -27,18 +27,12 @@
     let load = Load::measure(configuration);
     let mut problems = hostless_zone_problems(configuration, drain_set);
     for (key, service) in catalog.services() {
-        let service_slots = ServiceSlots::new(&catalog, key, drain_set);
-        if service_slots.drained.is_empty() {
+        let sites = SiteSlots::new(&catalog, key, drain_set);
+        if sites.drained.is_empty() {
             continue;
         }
-        problems.extend(capacity_problem(&catalog, service, &service_slots, &load));
-        problems.extend(shift_problem(
-            &catalog,
-            service,
-            &service_slots,
-            &load,
-            drain_set,
-        ));
+        problems.extend(capacity_problem(&catalog, service, &sites, &load));
+        problems.extend(shift_problem(&catalog, service, &sites, &load, drain_set));
     }
     Ok(problems)
 }
@@ -133,14 +127,14 @@
 }
 
 /// The slots of a service's serving targets by zone, separated into drained and remaining targets.
-struct ServiceSlots {
+struct SiteSlots {
     drained: BTreeMap<ZoneKey, u32>,
     remaining: BTreeMap<ZoneKey, u32>,
 }
 
-impl ServiceSlots {
+impl SiteSlots {
     fn new(catalog: &Catalog, service: ServiceKey, drain_set: &DrainSet) -> Self {
-        let mut service_slots = Self {
+        let mut sites = Self {
             drained: BTreeMap::new(),
             remaining: BTreeMap::new(),
         };
@@ -151,14 +145,14 @@
                 }
                 let target = catalog.target(key);
                 let slots = if drain_set.targets.contains(&*target.name) {
-                    &mut service_slots.drained
+                    &mut sites.drained
                 } else {
-                    &mut service_slots.remaining
+                    &mut sites.remaining
                 };
                 *slots.entry(zone).or_default() += target.slots;
             }
         }
-        service_slots
+        sites
     }
 
     /// The number of requests that the remaining targets of a zone may process at the configured
@@ -173,11 +167,11 @@
 fn capacity_problem(
     catalog: &Catalog,
     service: &Service,
-    service_slots: &ServiceSlots,
+    sites: &SiteSlots,
     load: &Load,
 ) -> Option<String> {
     let name = &service.name;
-    let slots: u32 = service_slots.remaining.values().sum();
+    let slots: u32 = sites.remaining.values().sum();
     if slots == 0 {
         return Some(format!("{name}: no serving target stays"));
     }
@@ -198,19 +192,19 @@
 fn shift_problem(
     catalog: &Catalog,
     service: &Service,
-    service_slots: &ServiceSlots,
+    sites: &SiteSlots,
     load: &Load,
     drain_set: &DrainSet,
 ) -> Option<String> {
     let mut moved_shares: BTreeMap<&str, f64> = BTreeMap::new();
-    for &zone in service_slots.drained.keys() {
+    for &zone in sites.drained.keys() {
         let name = &catalog.zone(zone).name;
         let moved_part = if drain_set.zones.contains(&**name) {
             1.0
         } else {
             excess_share(
                 load.requests_in_zone(&service.name, name),
-                service_slots.capacity(catalog, zone),
+                sites.capacity(catalog, zone),
             )
         };
         for ((service_name, locality, zone_name), share) in &load.shares {
