--- a/src/bin/ragwortfold/drain.rs
+++ b/src/bin/ragwortfold/drain.rs
@@ -12,7 +12,7 @@
 
 use crate::fleet::{self, HostStatus, WaitOutcome};
 use crate::table::{self, Format};
-use crate::{capacity, overrides, print, publish, Error as Failure};
+use crate::{overrides, print, publish, room, Error as Failure};
 
 /// The maximum number of attempts to publish a change when others change the same file.
 const MAX_APPLY_ATTEMPTS: u32 = 20;
@@ -251,7 +251,7 @@
     drain_set: &DrainSet,
     name: &str,
 ) -> Result<(), Failure> {
-    let problems = capacity::drain_problems(configuration, drain_set)?;
+    let problems = room::drain_problems(configuration, drain_set)?;
     if problems.is_empty() {
         return Ok(());
     }
--- a/src/bin/ragwortfold/main.rs
+++ b/src/bin/ragwortfold/main.rs
@@ -1,7 +1,6 @@
 //! The `ragwortfold` command line program.
 
 mod app;
-mod capacity;
 mod clap_app;
 mod config;
 #[cfg(feature = "demo")]
@@ -15,6 +14,7 @@
 mod lookup;
 mod overrides;
 mod publish;
+mod room;
 mod status;
 mod table;
 
