--- a/src/entry/revision.rs
+++ b/src/entry/revision.rs
@@ -44,7 +44,7 @@
         };
         let folder = self.folder.updated(fetched.files.clone());
         let (configuration, clients) = folder
-            .parts()
+            .merged_with_clients()
             .map_err(|faults| invalid(faults.to_string()))?;
         // There are many client blocks and they rarely change: the table is rebuilt only if they did.
         let blocks_changed = !Arc::ptr_eq(&clients, &self.clients);
