--- a/src/bin/ragwortfold/demo/fault.rs
+++ b/src/bin/ragwortfold/demo/fault.rs
@@ -1,7 +1,7 @@
-//! The faults: what is done to the system, and when.
+//! Fault injection: the kinds of faults, their schedule and the changes that they make to the system.
 //!
-//! A single fault begins after three tenths of the time and ends after seven. `all` brings the others
-//! one after the other in one run, each in an equal part of the time.
+//! A single fault begins after three tenths of the run and ends after seven. `all` injects the other
+//! faults one after the other in one run, each in an equal part of the time.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,54 +16,54 @@
 
 use super::load::Callers;
 use super::operator::Operator;
-use super::watch::Watch;
-use super::world::{Shape, World};
+use super::watch::Monitor;
+use super::world::{RequestKind, World};
 use super::Error;
 
-/// The operator's file that drains.
-const DRAIN: &str = "95-drain.json";
-/// Every such write of a platform that loses answers gets none.
-const LOSE: u64 = 2;
-/// Operators who race, and the changes of each.
-const RACERS: usize = 4;
-const CHANGES: usize = 5;
-/// Factor on the service times of the slow targets, one in [`SLOW_EVERY`].
-const SLOW: f64 = 5.0;
+/// The configuration file that sets targets to draining.
+const DRAIN_FILE: &str = "95-drain.json";
+/// While the platform loses answers, every nth write takes effect but gets no answer.
+const LOST_ANSWER_INTERVAL: u64 = 2;
+/// The number of operators that change the configuration concurrently, and the changes of each.
+const RACING_OPERATORS: usize = 4;
+const CHANGES_PER_OPERATOR: usize = 5;
+/// Factor on the service times of slow targets: one in [`SLOW_EVERY`] targets of idempotent services.
+const SLOW_FACTOR: f64 = 5.0;
 const SLOW_EVERY: usize = 10;
 
 /// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Kind {
-    /// Nothing fails.
+    /// No fault.
     None,
-    /// One target of each service dies.
+    /// One target of each service crashes.
     TargetCrash,
-    /// All of an availability zone is gone.
+    /// All hosts and targets of an availability zone become unreachable.
     ZoneLoss,
-    /// All of a region is gone.
+    /// All hosts and targets of a region become unreachable.
     RegionLoss,
     /// The platform refuses connections.
     PlatformDown,
-    /// The platform does not answer writes that took effect, while an operator makes changes.
+    /// The platform leaves some writes that took effect unanswered, while an operator makes changes.
     LostAnswers,
-    /// A zone is cut off from other zones and the platform, not from its callers.
+    /// A zone's hosts can reach neither other zones nor the platform; callers still reach them.
     Partition,
-    /// Targets report no load, and some are slow.
+    /// Targets report neither load nor state, and some are slow.
     StaleLoad,
-    /// Targets drain: one of each service by configuration, one by its own word.
+    /// Two targets of each service drain: one by configuration, one by the state it reports.
     Drain,
-    /// Operators race each other.
+    /// Several operators publish changes concurrently.
     ConfigRace,
-    /// A host is stopped as planned, and another one takes its name.
+    /// A host is stopped as planned and replaced by another one with the same name.
     HostReplace,
-    /// The callers of a region send three times as much.
+    /// The callers of a region send at three times their rate.
     Burst,
-    /// All of these in turn.
+    /// All other faults, one after the other.
     All,
 }
 
 impl Kind {
-    /// The words of the command line.
+    /// The names on the command line, in the order of the variants.
     pub(crate) const NAMES: [&'static str; 13] = [
         "none",
         "target-crash",
@@ -80,7 +80,7 @@
         "all",
     ];
 
-    /// The kinds in the order of the words.
+    /// The kinds in the order of [`Kind::NAMES`].
     const ALL: [Kind; 13] = [
         Kind::None,
         Kind::TargetCrash,
@@ -97,8 +97,8 @@
         Kind::All,
     ];
 
-    /// The kind that a word stands for.
-    pub(crate) fn with_name(name: &str) -> Option<Kind> {
+    /// Returns the kind with a name on the command line, or `None` for an unknown name.
+    pub(crate) fn from_name(name: &str) -> Option<Kind> {
         let at = Self::NAMES.iter().position(|known| *known == name)?;
         Some(Self::ALL[at])
     }
@@ -108,7 +108,7 @@
     }
 }
 
-/// A change to the system.
+/// The begin or the end of a fault.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Step {
     /// A fault begins.
@@ -117,8 +117,8 @@
     End(Kind),
 }
 
-/// The steps of a run, with their times since its start.
-pub(crate) fn plan(kind: Kind, duration: Duration) -> Vec<(Duration, Step)> {
+/// Returns the steps of a run, each with its time since the start.
+pub(crate) fn schedule(kind: Kind, duration: Duration) -> Vec<(Duration, Step)> {
     let kinds = match kind {
         Kind::None => &[][..],
         Kind::All => &Kind::ALL[1..Kind::ALL.len() - 1],
@@ -135,159 +135,165 @@
     steps.collect()
 }
 
-/// What was done, as the observer needs it.
+/// The faults that were injected, as evidence for the observer.
 #[derive(Default)]
-pub(crate) struct Notes {
-    /// Losses, drains, stops and failures.
+pub(crate) struct FaultLog {
+    /// Losses, drains, stops, failures and reverted changes; the rest is filled in after the run.
     pub(crate) evidence: Evidence,
-    /// When each fault was in force.
+    /// When each fault start_times and ended, in microseconds since the Unix epoch.
     pub(crate) spans: BTreeMap<Kind, Span>,
-    /// How long hosts took to leave, by their own word.
+    /// How long hosts took to drain before a planned stop, as they reported it.
     pub(crate) host_drains: Vec<Duration>,
 }
 
-/// Does what a plan says.
+/// Applies the steps of a schedule to the system and records them.
 pub(crate) struct Injector<'a> {
     world: &'a mut World,
     callers: &'a Callers,
-    watch: &'a Watch,
+    monitor: &'a Monitor,
     seed: u64,
-    notes: Notes,
-    began: BTreeMap<Kind, u64>,
-    racers: Vec<JoinHandle<Vec<Accepted>>>,
-    leaving: Option<JoinHandle<(Duration, u64)>>,
+    log: FaultLog,
+    start_times: BTreeMap<Kind, u64>,
+    race_threads: Vec<JoinHandle<Vec<AcceptedChange>>>,
+    drain_thread: Option<JoinHandle<(Duration, u64)>>,
 }
 
-/// A change that the platform took, told by its file and text.
-type Accepted = (Arc<str>, Arc<str>);
+/// A change that the platform accepted: the file and its text.
+type AcceptedChange = (Arc<str>, Arc<str>);
 
 impl<'a> Injector<'a> {
-    /// Nothing is done yet.
+    /// Creates an injector; no fault is active yet.
     pub(crate) fn new(
         world: &'a mut World,
         callers: &'a Callers,
-        watch: &'a Watch,
+        monitor: &'a Monitor,
         seed: u64,
     ) -> Self {
         Self {
             world,
             callers,
-            watch,
+            monitor,
             seed,
-            notes: Notes::default(),
-            began: BTreeMap::new(),
-            racers: Vec::new(),
-            leaving: None,
+            log: FaultLog::default(),
+            start_times: BTreeMap::new(),
+            race_threads: Vec::new(),
+            drain_thread: None,
         }
     }
 
-    /// Takes a step.
-    pub(crate) fn step(&mut self, step: Step) -> Result<(), Error> {
+    /// Begins or ends a fault and prints it.
+    pub(crate) fn apply(&mut self, step: Step) -> Result<(), Error> {
         match step {
             Step::Begin(kind) => {
                 eprintln!("        {} begins", kind.name());
-                self.began.insert(kind, unix_us());
-                self.begin(kind)
+                self.start_times.insert(kind, unix_us());
+                self.begin_fault(kind)
             }
             Step::End(kind) => {
-                let start = self.began.get(&kind).copied().unwrap_or(0);
-                let result = self.end(kind, start);
+                let start = self.start_times.get(&kind).copied().unwrap_or(0);
+                let result = self.end_fault(kind, start);
                 eprintln!("        {} ended", kind.name());
-                self.notes.spans.insert(kind, start..unix_us());
+                self.log.spans.insert(kind, start..unix_us());
                 result
             }
         }
     }
 
-    /// What was done.
-    pub(crate) fn finish(self) -> Notes {
-        self.notes
+    /// Returns the record of the injected faults.
+    pub(crate) fn into_log(self) -> FaultLog {
+        self.log
     }
 
-    fn begin(&mut self, kind: Kind) -> Result<(), Error> {
+    fn begin_fault(&mut self, kind: Kind) -> Result<(), Error> {
         match kind {
             Kind::None | Kind::All => {}
-            Kind::TargetCrash => self.set_targets(&self.one_of_each(0), Mode::Crash),
-            Kind::ZoneLoss => self.lose(vec![self.zone()]),
-            Kind::RegionLoss => self.lose(self.region_zones()),
+            Kind::TargetCrash => {
+                self.set_target_modes(&self.one_target_per_service(0), Mode::Crash)
+            }
+            Kind::ZoneLoss => self.lose_zones(vec![self.fault_zone()]),
+            Kind::RegionLoss => self.lose_zones(self.fault_region_zones()),
             Kind::PlatformDown => self.set_platform(Availability::Refused, 0),
             Kind::LostAnswers => {
-                self.set_platform(Availability::Up, LOSE);
-                self.race(1);
+                self.set_platform(Availability::Up, LOST_ANSWER_INTERVAL);
+                self.start_race(1);
             }
             Kind::Partition => {
-                self.world.cut.insert(self.zone());
+                self.world.partitioned_zones.insert(self.fault_zone());
                 self.world.set_links(false);
             }
-            Kind::StaleLoad => self.mislead(true),
-            Kind::Drain => return self.drain(),
+            Kind::StaleLoad => self.set_stale_load(true),
+            Kind::Drain => return self.drain_targets(),
             Kind::ConfigRace => {
-                self.set_platform(Availability::Up, LOSE + 1);
-                self.race(RACERS);
+                self.set_platform(Availability::Up, LOST_ANSWER_INTERVAL + 1);
+                self.start_race(RACING_OPERATORS);
             }
             Kind::HostReplace => self.announce_stop(),
-            Kind::Burst => self.callers.burst(&self.region(), true),
+            Kind::Burst => self.callers.set_burst(&self.fault_region(), true),
         }
         Ok(())
     }
 
-    fn end(&mut self, kind: Kind, start: u64) -> Result<(), Error> {
+    fn end_fault(&mut self, kind: Kind, start: u64) -> Result<(), Error> {
         match kind {
             Kind::None | Kind::All => {}
             Kind::TargetCrash => {
-                let targets = self.one_of_each(0);
-                self.set_targets(&targets, Mode::Serving);
-                self.note_losses(&targets, start);
+                let targets = self.one_target_per_service(0);
+                self.set_target_modes(&targets, Mode::Serving);
+                self.record_losses(&targets, start);
             }
-            Kind::ZoneLoss | Kind::RegionLoss => self.restore(start),
+            Kind::ZoneLoss | Kind::RegionLoss => self.restore_zones(start),
             Kind::PlatformDown => self.set_platform(Availability::Up, 0),
             Kind::LostAnswers | Kind::ConfigRace => return self.end_race(),
             Kind::Partition => {
-                self.world.cut.clear();
+                self.world.partitioned_zones.clear();
                 self.world.set_links(false);
-                self.notes.evidence.failures.push(start..unix_us());
+                self.log.evidence.failures.push(start..unix_us());
             }
-            Kind::StaleLoad => self.mislead(false),
-            Kind::Drain => return self.undrain(),
-            Kind::HostReplace => return self.replace(start),
-            Kind::Burst => self.callers.burst(&self.region(), false),
+            Kind::StaleLoad => self.set_stale_load(false),
+            Kind::Drain => return self.undrain_targets(),
+            Kind::HostReplace => return self.replace_host(start),
+            Kind::Burst => self.callers.set_burst(&self.fault_region(), false),
         }
         Ok(())
     }
 
-    /// The zone that faults befall.
-    fn zone(&self) -> Arc<str> {
+    /// Returns the zone that faults are injected into, chosen by the seed.
+    fn fault_zone(&self) -> Arc<str> {
         let zones = &self.world.configuration.availability_zones;
         let at = self.seed as usize % zones.len();
         zones.keys().nth(at).map_or("", String::as_str).into()
     }
 
-    /// That zone's region.
-    fn region(&self) -> Arc<str> {
+    /// Returns the region that faults are injected into.
+    fn fault_region(&self) -> Arc<str> {
         let zones = &self.world.configuration.availability_zones;
-        zones[&*self.zone()].region.as_str().into()
+        zones[&*self.fault_zone()].region.as_str().into()
     }
 
-    fn region_zones(&self) -> Vec<Arc<str>> {
-        let region = self.region();
+    /// Returns all zones of the region that faults are injected into.
+    fn fault_region_zones(&self) -> Vec<Arc<str>> {
+        let region = self.fault_region();
         let zones = self.world.configuration.availability_zones.iter();
-        let own = zones.filter(|(_, zone)| zone.region == *region);
-        own.map(|(name, _)| name.as_str().into()).collect()
+        let in_region = zones.filter(|(_, zone)| zone.region == *region);
+        in_region.map(|(name, _)| name.as_str().into()).collect()
     }
 
-    /// One target of each service, chosen by the seed.
-    fn one_of_each(&self, step: usize) -> Vec<Arc<str>> {
+    /// Returns one target of each service, chosen by the seed and an offset.
+    fn one_target_per_service(&self, offset: usize) -> Vec<Arc<str>> {
         let mut services: BTreeMap<Arc<str>, Vec<Arc<str>>> = BTreeMap::new();
-        for (name, place) in &self.world.facts.targets {
-            let names = services.entry(place.service.clone()).or_default();
+        for (name, target) in &self.world.deployment.targets {
+            let names = services.entry(target.service.clone()).or_default();
             names.push(name.clone());
         }
-        let at = self.seed as usize + step;
-        let each = services.values();
-        each.map(|names| names[at % names.len()].clone()).collect()
+        let at = self.seed as usize + offset;
+        let target_lists = services.values();
+        target_lists
+            .map(|names| names[at % names.len()].clone())
+            .collect()
     }
 
-    fn set_targets(&self, names: &[Arc<str>], mode: Mode) {
+    /// Sets the mode of targets and clears their other faults.
+    fn set_target_modes(&self, names: &[Arc<str>], mode: Mode) {
         for target in names.iter().filter_map(|name| self.world.targets.get(name)) {
             target.set_fault(target::Fault {
                 mode,
@@ -296,9 +302,10 @@
         }
     }
 
-    fn note_losses(&mut self, names: &[Arc<str>], start: u64) {
+    /// Records that targets were down from `start`, in microseconds since the Unix epoch, until now.
+    fn record_losses(&mut self, names: &[Arc<str>], start: u64) {
         let span = start..unix_us();
-        self.notes
+        self.log
             .evidence
             .losses
             .extend(names.iter().map(|name| Loss {
@@ -307,25 +314,27 @@
             }));
     }
 
-    /// Takes zones away: their targets crash, and their hosts neither reach anyone nor are reached.
-    fn lose(&mut self, zones: Vec<Arc<str>>) {
-        self.world.lost.extend(zones);
+    /// Simulates the loss of zones: their targets crash, and their hosts can neither connect nor be
+    /// connected to.
+    fn lose_zones(&mut self, zones: Vec<Arc<str>>) {
+        self.world.lost_zones.extend(zones);
         self.world.set_links(true);
-        self.set_targets(&self.lost_targets(), Mode::Crash);
+        self.set_target_modes(&self.lost_targets(), Mode::Crash);
     }
 
     fn lost_targets(&self) -> Vec<Arc<str>> {
-        let zones = self.world.lost.iter();
+        let zones = self.world.lost_zones.iter();
         zones.flat_map(|zone| self.world.targets_in(zone)).collect()
     }
 
-    fn restore(&mut self, start: u64) {
+    /// Ends the loss of all lost zones and records it.
+    fn restore_zones(&mut self, start: u64) {
         let targets = self.lost_targets();
-        self.set_targets(&targets, Mode::Serving);
-        self.world.lost.clear();
+        self.set_target_modes(&targets, Mode::Serving);
+        self.world.lost_zones.clear();
         self.world.set_links(false);
-        self.note_losses(&targets, start);
-        self.notes.evidence.failures.push(start..unix_us());
+        self.record_losses(&targets, start);
+        self.log.evidence.failures.push(start..unix_us());
     }
 
     fn set_platform(&self, availability: Availability, lose_answers: u64) {
@@ -336,47 +345,54 @@
         });
     }
 
-    /// Lets all targets hide their load, and makes some of the idempotent services slow.
-    fn mislead(&self, on: bool) {
+    /// Starts or stops hiding the load and state of all targets, and slows some targets of idempotent
+    /// services meanwhile.
+    fn set_stale_load(&self, is_enabled: bool) {
         let services = self
             .world
-            .facts
+            .deployment
             .targets
             .values()
-            .map(|place| &place.service);
-        let is_query = |s: &Arc<str>| self.world.shape(s) == Shape::Query;
-        let slow: Vec<bool> = services.map(is_query).collect();
+            .map(|target| &target.service);
+        let is_query = |s: &Arc<str>| self.world.request_kind(s) == RequestKind::Query;
+        let are_queries: Vec<bool> = services.map(is_query).collect();
         let mut count = self.seed as usize;
-        for (target, is_query) in self.world.targets.values().zip(slow) {
+        for (target, is_query) in self.world.targets.values().zip(are_queries) {
             count += usize::from(is_query);
             let is_slow = is_query && count.is_multiple_of(SLOW_EVERY);
             target.set_fault(target::Fault {
-                hide_load: on,
-                hide_state: on,
-                slow: if on && is_slow { SLOW } else { 1.0 },
+                hide_load: is_enabled,
+                hide_state: is_enabled,
+                slow: if is_enabled && is_slow {
+                    SLOW_FACTOR
+                } else {
+                    1.0
+                },
                 ..target::Fault::default()
             });
         }
     }
 
-    fn drain(&mut self) -> Result<(), Error> {
-        let by_configuration = self.one_of_each(0);
-        let by_word = self.one_of_each(1);
-        self.set_targets(&by_word, Mode::Draining);
-        self.note_drains(&by_word);
+    /// Drains two targets of each service: one by configuration, one by the state that it reports.
+    fn drain_targets(&mut self) -> Result<(), Error> {
+        let by_configuration = self.one_target_per_service(0);
+        let by_reported_state = self.one_target_per_service(1);
+        self.set_target_modes(&by_reported_state, Mode::Draining);
+        self.record_drains(&by_reported_state);
         let states: BTreeMap<_, _> = by_configuration
             .iter()
             .map(|name| (name, json!({"state": "draining"})))
             .collect();
         let text = json!({ "targets": states }).to_string();
-        self.world.operator.apply(DRAIN, Some(text))?;
-        self.note_drains(&by_configuration);
+        self.world.operator.apply(DRAIN_FILE, Some(text))?;
+        self.record_drains(&by_configuration);
         Ok(())
     }
 
-    fn note_drains(&mut self, names: &[Arc<str>]) {
+    /// Records that targets drain from now on.
+    fn record_drains(&mut self, names: &[Arc<str>]) {
         let start = unix_us();
-        self.notes
+        self.log
             .evidence
             .drains
             .extend(names.iter().map(|name| Drain {
@@ -385,82 +401,86 @@
             }));
     }
 
-    fn undrain(&mut self) -> Result<(), Error> {
+    /// Ends all drains and their records.
+    fn undrain_targets(&mut self) -> Result<(), Error> {
         let end = unix_us();
-        for drain in &mut self.notes.evidence.drains {
+        for drain in &mut self.log.evidence.drains {
             drain.span.end = drain.span.end.min(end);
         }
-        self.set_targets(&self.one_of_each(1), Mode::Serving);
-        self.world.operator.apply(DRAIN, None)?;
+        self.set_target_modes(&self.one_target_per_service(1), Mode::Serving);
+        self.world.operator.apply(DRAIN_FILE, None)?;
         Ok(())
     }
 
-    /// Starts operators who each change a file of their own.
-    fn race(&mut self, operators: usize) {
+    /// Starts operators that publish concurrently; each changes a file of its own.
+    fn start_race(&mut self, operators: usize) {
         let regions = &self.world.configuration.regions;
         let region = regions.keys().next().cloned().unwrap_or_default();
         for number in 0..operators {
             let name = format!("operator-{number}");
             let operator = self.world.operator.with_name(&name);
             let region = region.clone();
-            let run = move || changes(operator, number, &region);
-            self.racers.push(std::thread::spawn(run));
+            let run = move || apply_changes(operator, number, &region);
+            self.race_threads.push(std::thread::spawn(run));
         }
     }
 
-    /// Waits for the operators, and looks whether what was accepted is in force.
+    /// Waits for the operators, and records each accepted change that is not in force as reverted.
     fn end_race(&mut self) -> Result<(), Error> {
-        let racers = std::mem::take(&mut self.racers);
-        let accepted: Vec<Accepted> = racers
+        let race_threads = std::mem::take(&mut self.race_threads);
+        let accepted: Vec<AcceptedChange> = race_threads
             .into_iter()
-            .flat_map(|racer| racer.join().unwrap_or_default())
+            .flat_map(|thread| thread.join().unwrap_or_default())
             .collect();
         self.set_platform(Availability::Up, 0);
-        let files = self.world.operator.in_force()?;
+        let files = self.world.operator.files_in_force()?;
         let lost = accepted
             .into_iter()
             .filter(|(file, text)| files.get(file) != Some(text));
         let lost = lost.map(|(file, text)| format!("{file}: {text} is not in force").into());
-        self.notes.evidence.reverted.extend(lost);
+        self.log.evidence.reverted.extend(lost);
         Ok(())
     }
 
-    /// Announces a planned stop as the platform does, and has the host drain itself.
+    /// Publishes a planned stop in the platform's host list, and starts draining the host.
     fn announce_stop(&mut self) {
-        let name = self.world.replaced.clone();
-        self.world.tell_hosts(&[&name]);
+        let name = self.world.replaced_host.clone();
+        self.world.publish_hosts(&[&name]);
         let machine = self.world.machines.get_mut(&name);
         let host = machine.and_then(|machine| machine.host.take());
-        self.leaving = host.map(|host| std::thread::spawn(move || (host.drain(), unix_us())));
+        self.drain_thread = host.map(|host| std::thread::spawn(move || (host.drain(), unix_us())));
     }
 
-    /// Waits until the host has left, and starts another one with its name at another address.
-    fn replace(&mut self, start: u64) -> Result<(), Error> {
-        let name = self.world.replaced.clone();
-        self.watch.set_host(&name, None);
-        let left = self.leaving.take().and_then(|thread| thread.join().ok());
-        let (drained, end) = left.unwrap_or((Duration::ZERO, unix_us()));
-        self.notes.host_drains.push(drained);
+    /// Waits until the host has drained, and starts a new one with its name at another address.
+    fn replace_host(&mut self, start: u64) -> Result<(), Error> {
+        let name = self.world.replaced_host.clone();
+        self.monitor.set_host(&name, None);
+        let result = self
+            .drain_thread
+            .take()
+            .and_then(|thread| thread.join().ok());
+        let (drained, end) = result.unwrap_or((Duration::ZERO, unix_us()));
+        self.log.host_drains.push(drained);
         let ttl = Duration::from_millis(self.world.configuration.limits.lookup_ttl_ms.into());
-        self.notes.evidence.stops.push(Stop {
+        self.log.evidence.stops.push(Stop {
             host: name.clone(),
             span: start..end + ttl.as_micros() as u64,
         });
-        self.world.start(&name, 1)?;
-        self.world.publish_seat(&name)?;
-        self.world.tell_hosts(&[]);
+        self.world.start_host(&name, 1)?;
+        self.world.publish_replacement(&name)?;
+        self.world.publish_hosts(&[]);
         let machine = self.world.machines.get(&name);
-        let listen = machine.map(|machine| machine.seats[1].listen);
-        self.watch.set_host(&name, listen);
+        let listen = machine.map(|machine| machine.endpoints[1].listen);
+        self.monitor.set_host(&name, listen);
         Ok(())
     }
 }
 
-/// Makes an operator's changes, and answers the last one that was accepted.
-fn changes(mut operator: Operator, number: usize, region: &str) -> Vec<Accepted> {
+/// Publishes an operator's changes; returns the last accepted one, if any.
+fn apply_changes(mut operator: Operator, number: usize, region: &str) -> Vec<AcceptedChange> {
     let file = format!("80-race-{number}.json");
     let mut accepted = None;
-    for change in 0..CHANGES {
+    for change in 0..CHANGES_PER_OPERATOR {
         let block = format!("10.{}.{change}.0/24", 200 + number);
         let text = json!({"clients": {block: {"region": region}}}).to_string();
         if operator.apply(&file, Some(text.clone())).is_ok() {
@@ -470,13 +490,14 @@
     accepted.into_iter().collect()
 }
 
-/// The figures that belong to faults: the callers' error window of lost places, and the goodput of
-/// idempotent services.
-pub(crate) fn figures(world: &World, evidence: &Evidence, notes: &Notes) -> BTreeMap<String, f64> {
+/// Returns the figures of each fault by name: the error window, the attempts and the goodput of calls
+/// to idempotent services, and the durations of drains.
+pub(crate) fn figures(world: &World, evidence: &Evidence, log: &FaultLog) -> BTreeMap<String, f64> {
     let mut figures = BTreeMap::new();
-    let queries = |r: &&standin::caller::Record| world.shape(&r.service) == Shape::Query;
-    for (kind, span) in &notes.spans {
-        let records = evidence.records.iter().filter(queries);
+    let is_query =
+        |r: &&standin::caller::Record| world.request_kind(&r.service) == RequestKind::Query;
+    for (kind, span) in &log.spans {
+        let records = evidence.records.iter().filter(is_query);
         let window = statistics::error_window_ms(records.clone(), span);
         let name = |what| format!("{}.{what}", kind.name());
         figures.insert(name("error_window_ms"), window as f64);
@@ -484,7 +505,7 @@
         figures.insert(name("attempts_per_call"), attempts);
         let resent = statistics::resent_share(records.clone(), span);
         figures.insert(name("answered_after_not_run"), resent);
-        let capacity = surviving(world, evidence, span);
+        let capacity = surviving_capacity(world, evidence, span);
         if let Some(goodput) = statistics::goodput(records, span, capacity) {
             figures.insert(name("goodput"), goodput);
         }
@@ -495,28 +516,29 @@
             statistics::longest_run_ms(evidence),
         );
     }
-    for drained in &notes.host_drains {
+    for drained in &log.host_drains {
         let time = drained.as_secs_f64() * 1000.0;
         figures.insert("host-replace.host_drain_ms".into(), time);
     }
     figures
 }
 
-/// Requests a second that the idempotent services' targets could run all through a span.
-fn surviving(world: &World, evidence: &Evidence, span: &Span) -> f64 {
+/// Returns the requests a second that the targets of idempotent services can run, apart from targets
+/// lost within a span.
+fn surviving_capacity(world: &World, evidence: &Evidence, span: &Span) -> f64 {
     let is_lost = |name: &Arc<str>| {
         let mut losses = evidence.losses.iter();
         losses.any(|loss| {
             loss.target == *name && loss.span.start < span.end && span.start < loss.span.end
         })
     };
-    let places = world.facts.targets.iter();
-    let alive = places
+    let targets = world.deployment.targets.iter();
+    let alive = targets
         .filter(|(name, _)| !is_lost(name))
-        .map(|(_, place)| place);
+        .map(|(_, target)| target);
     let rates = alive
-        .map(|place| (place, world.shape(&place.service)))
-        .filter(|(_, shape)| *shape == Shape::Query)
-        .map(|(place, shape)| f64::from(place.slots) / shape.mean());
+        .map(|target| (target, world.request_kind(&target.service)))
+        .filter(|(_, request_kind)| *request_kind == RequestKind::Query)
+        .map(|(target, request_kind)| f64::from(target.slots) / request_kind.mean_service_time_s());
     rates.sum()
 }
--- a/src/bin/ragwortfold/demo/lag.rs
+++ b/src/bin/ragwortfold/demo/lag.rs
@@ -1,7 +1,7 @@
-//! How far behind this machine is: what a sleep takes beyond its time.
+//! Measures the scheduling latency of this machine: how much longer a sleep takes than requested.
 //!
-//! All of the demo shares one machine, perhaps with others. Where threads wait long for a processor
-//! the latencies of the report are the machine's, and deadlines pass for its sake.
+//! The whole demo runs on one machine, perhaps beside other processes. If threads wait long for a
+//! processor, that delay raises the latencies in the report and makes calls miss their deadlines.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,29 +13,29 @@
 
 use super::Error;
 
-/// The sleep that is measured.
-const SLEEP: Duration = Duration::from_millis(5);
+/// The requested duration of each measured sleep.
+const SLEEP_DURATION: Duration = Duration::from_millis(5);
 
-/// A thread that sleeps and measures.
-pub(crate) struct Lag {
+/// A thread that measures the scheduling latency until it is stopped.
+pub(crate) struct LagMonitor {
     stopped: Arc<AtomicBool>,
     thread: JoinHandle<Vec<u64>>,
 }
 
-impl Lag {
-    /// Starts measuring.
+impl LagMonitor {
+    /// Starts the thread.
     pub(crate) fn new() -> Result<Self, Error> {
         let stopped = Arc::new(AtomicBool::new(false));
-        let inner = stopped.clone();
+        let thread_stopped = stopped.clone();
         let thread = std::thread::Builder::new()
             .name("lag".into())
-            .spawn(move || measure(&inner))
+            .spawn(move || measure_sleeps(&thread_stopped))
             .map_err(Error::System)?;
         Ok(Self { stopped, thread })
     }
 
-    /// Ends, and tells quantiles in milliseconds.
-    pub(crate) fn figures(self) -> BTreeMap<String, f64> {
+    /// Stops the thread and returns latency quantiles in milliseconds and the load per core, by name.
+    pub(crate) fn into_figures(self) -> BTreeMap<String, f64> {
         self.stopped.store(true, Ordering::Relaxed);
         let samples = self.thread.join().unwrap_or_default();
         let Ok(mut histogram) = Histogram::<u64>::new(3) else {
@@ -50,27 +50,28 @@
             ("machine.lag_p99_ms".into(), ms(0.99)),
             ("machine.lag_max_ms".into(), ms(1.0)),
         ]);
-        figures.extend(load().map(|load| ("machine.load_per_core".into(), load)));
+        figures.extend(load_per_core().map(|load| ("machine.load_per_core".into(), load)));
         figures
     }
 }
 
-/// Threads of the whole machine that ran or waited in the last minute, for each core; above 1, some
-/// waited. None where the system does not tell.
-fn load() -> Option<f64> {
+/// Returns the machine's load average of the last minute per core; above 1, some threads waited for a
+/// processor. `None` if the system does not report it.
+fn load_per_core() -> Option<f64> {
     let text = std::fs::read_to_string("/proc/loadavg").ok()?;
     let load: f64 = text.split(' ').next()?.parse().ok()?;
     let cores = std::thread::available_parallelism().ok()?;
     Some(load / cores.get() as f64)
 }
 
-/// Sleeps until told to stop; each sleep's excess in microseconds.
-fn measure(stopped: &AtomicBool) -> Vec<u64> {
+/// Sleeps repeatedly until stopped; returns by how much each sleep exceeded its duration, in
+/// microseconds.
+fn measure_sleeps(stopped: &AtomicBool) -> Vec<u64> {
     let mut samples = Vec::new();
     while !stopped.load(Ordering::Relaxed) {
         let start = Instant::now();
-        std::thread::sleep(SLEEP);
-        samples.push(start.elapsed().saturating_sub(SLEEP).as_micros() as u64);
+        std::thread::sleep(SLEEP_DURATION);
+        samples.push(start.elapsed().saturating_sub(SLEEP_DURATION).as_micros() as u64);
     }
     samples
 }
--- a/src/bin/ragwortfold/demo/operator.rs
+++ b/src/bin/ragwortfold/demo/operator.rs
@@ -1,4 +1,4 @@
-//! An operator: a folder of files and its marker, published through the platform.
+//! An operator that edits a configuration folder and publishes it through the platform.
 
 use std::sync::Arc;
 use std::time::SystemTime;
@@ -8,7 +8,7 @@
 use ragwortfold::store::guard::Guard;
 use ragwortfold::store::publication::{self, Base, Files, Publication, Signature, Undo};
 
-/// One operator.
+/// An operator with a copy of the configuration folder and the revision that it is based on.
 pub(crate) struct Operator {
     name: Arc<str>,
     publication: Publication,
@@ -17,7 +17,7 @@
 }
 
 impl Operator {
-    /// An operator whose folder has these files.
+    /// Creates an operator whose folder contains `files`.
     pub(crate) fn new(name: &str, platform: &str, files: Files) -> Self {
         Self {
             name: name.into(),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Another operator with the same folder.
+    /// Returns another operator with a copy of this folder.
     pub(crate) fn with_name(&self, name: &str) -> Self {
         Self {
             name: name.into(),
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Writes a file of the folder, or removes it, and applies the folder. Answers the revision.
+    /// Writes a file of the folder, or removes it if `text` is `None`, and publishes the folder. Returns
+    /// the new revision.
     pub(crate) fn apply(
         &mut self,
         file: &str,
@@ -60,9 +61,9 @@
         Ok(applied.revision)
     }
 
-    /// The files in force.
-    pub(crate) fn in_force(&self) -> Result<Files, publication::Error> {
-        let found = self.publication.pull()?;
-        Ok(found.unwrap_or_default().files)
+    /// Fetches the files of the configuration in force.
+    pub(crate) fn files_in_force(&self) -> Result<Files, publication::Error> {
+        let pulled = self.publication.pull()?;
+        Ok(pulled.unwrap_or_default().files)
     }
 }
--- a/src/bin/ragwortfold/demo/report.rs
+++ b/src/bin/ragwortfold/demo/report.rs
@@ -1,4 +1,4 @@
-//! The results: a table that a person reads, or JSON.
+//! The results of a run, printed as a table or as JSON.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -9,15 +9,15 @@
 use standin::caller::Outcome;
 use standin::observer::{statistics, Invariant, Violation};
 
-use super::watch::Run;
+use super::watch::RunResults;
 use crate::table::Format;
 
-/// Violations of one promise that are shown in words.
-const SHOWN: usize = 3;
+/// Maximum number of violations of one invariant that are printed with their descriptions.
+const EXAMPLES_PER_INVARIANT: usize = 3;
 
-/// What became of the calls of a class.
+/// Numbers of calls of a class by outcome, and latency quantiles of the answered ones.
 #[derive(Debug, Default, Serialize)]
-struct Class {
+struct ClassResults {
     offered: u64,
     answered: u64,
     not_run: u64,
@@ -32,28 +32,31 @@
 /// All results of a run.
 #[derive(Debug, Serialize)]
 pub(crate) struct Summary {
-    classes: BTreeMap<Arc<str>, Class>,
+    classes: BTreeMap<Arc<str>, ClassResults>,
     headroom: BTreeMap<String, f64>,
     drain_ms: Option<f64>,
     figures: BTreeMap<String, f64>,
     violations: BTreeMap<&'static str, usize>,
-    /// Some violations in words.
+    /// Descriptions of some violations.
     examples: Vec<Arc<str>>,
 }
 
 impl Summary {
-    /// The results of a run and the observer's verdict on it.
-    pub(crate) fn new(run: &Run, verdict: &[Violation]) -> Self {
-        let count = |promise: Invariant| verdict.iter().filter(move |v| v.invariant == promise);
-        let violations = Invariant::ALL.map(|(promise, word)| (word, count(promise).count()));
-        let shown = Invariant::ALL.map(|(promise, _)| count(promise).take(SHOWN));
+    /// Summarizes a run and the violations that the observer found.
+    pub(crate) fn new(run: &RunResults, violations: &[Violation]) -> Self {
+        let of_invariant =
+            |invariant: Invariant| violations.iter().filter(move |v| v.invariant == invariant);
+        let counts =
+            Invariant::ALL.map(|(invariant, name)| (name, of_invariant(invariant).count()));
+        let examples = Invariant::ALL
+            .map(|(invariant, _)| of_invariant(invariant).take(EXAMPLES_PER_INVARIANT));
         Self {
-            classes: classes(run),
-            headroom: headroom(run),
+            classes: class_results(run),
+            headroom: least_headroom(run),
             drain_ms: statistics::longest_drain_ms(&run.evidence),
             figures: run.figures.clone(),
-            violations: violations.into_iter().collect(),
-            examples: shown
+            violations: counts.into_iter().collect(),
+            examples: examples
                 .into_iter()
                 .flatten()
                 .map(|v| v.description.clone())
@@ -61,22 +64,22 @@
         }
     }
 
-    /// The results in a format.
-    pub(crate) fn text(&self, format: Format) -> String {
+    /// Formats the results.
+    pub(crate) fn render(&self, format: Format) -> String {
         match format {
             Format::Json => serde_json::to_string_pretty(self).unwrap_or_default() + "\n",
-            Format::Table => self.table(),
+            Format::Table => self.render_table(),
         }
     }
 
-    fn table(&self) -> String {
+    fn render_table(&self) -> String {
         let mut text = String::new();
         // Writing to a string cannot fail.
-        let _ = self.write(&mut text);
+        let _ = self.write_table(&mut text);
         text
     }
 
-    fn write(&self, text: &mut String) -> std::fmt::Result {
+    fn write_table(&self, text: &mut String) -> std::fmt::Result {
         writeln!(
             text,
             "{:<16}{:>9}{:>10}{:>9}{:>9}{:>7}{:>8}{:>10}{:>10}{:>10}",
@@ -107,8 +110,8 @@
             )?;
         }
         writeln!(text, "\nleast headroom")?;
-        for (place, share) in &self.headroom {
-            writeln!(text, "  {place:<28}{:>6.0} %", share * 100.0)?;
+        for (name, share) in &self.headroom {
+            writeln!(text, "  {name:<28}{:>6.0} %", share * 100.0)?;
         }
         match self.drain_ms {
             Some(time) => writeln!(text, "\ndrain time  {time:.0} ms")?,
@@ -118,9 +121,9 @@
             writeln!(text, "{name:<36}{value:>10.3}")?;
         }
         writeln!(text, "\nviolations")?;
-        for (promise, word) in Invariant::ALL {
-            let _ = promise;
-            writeln!(text, "  {word:<16}{:>6}", self.violations[word])?;
+        for (invariant, name) in Invariant::ALL {
+            let _ = invariant;
+            writeln!(text, "  {name:<16}{:>6}", self.violations[name])?;
         }
         for example in &self.examples {
             writeln!(text, "  e.g. {example}")?;
@@ -129,13 +132,14 @@
     }
 }
 
-fn classes(run: &Run) -> BTreeMap<Arc<str>, Class> {
-    let mut classes: BTreeMap<Arc<str>, (Class, Histogram<u64>)> = BTreeMap::new();
+/// Returns the results of the calls by class. Missed calls count as offered.
+fn class_results(run: &RunResults) -> BTreeMap<Arc<str>, ClassResults> {
+    let mut classes: BTreeMap<Arc<str>, (ClassResults, Histogram<u64>)> = BTreeMap::new();
     let empty = || {
-        let bounds = Histogram::new_with_bounds(1, 600_000_000, 3);
+        let histogram = Histogram::new_with_bounds(1, 600_000_000, 3);
         (
-            Class::default(),
-            bounds.unwrap_or_else(|_| unreachable!("the bounds are constants")),
+            ClassResults::default(),
+            histogram.unwrap_or_else(|_| unreachable!("the bounds are constants")),
         )
     };
     for record in &run.evidence.records {
@@ -156,9 +160,9 @@
         class.offered += missed;
         class.missed += missed;
     }
-    let finished = classes.into_iter().map(|(name, (class, histogram))| {
+    let results = classes.into_iter().map(|(name, (class, histogram))| {
         let ms = |quantile| histogram.value_at_quantile(quantile) as f64 / 1000.0;
-        let class = Class {
+        let class = ClassResults {
             p50_ms: ms(0.5),
             p99_ms: ms(0.99),
             p999_ms: ms(0.999),
@@ -166,20 +170,21 @@
         };
         (name, class)
     });
-    finished.collect()
+    results.collect()
 }
 
-/// The least free share of each region's slots, and of each link's bytes and requests.
-fn headroom(run: &Run) -> BTreeMap<String, f64> {
-    let regions = statistics::headroom(&run.world, &run.evidence);
+/// Returns the least free share of each region's slots, and of each link's limits on bytes and requests.
+fn least_headroom(run: &RunResults) -> BTreeMap<String, f64> {
+    let regions = statistics::headroom(&run.deployment, &run.evidence);
     let mut headroom: BTreeMap<String, f64> = regions
         .into_iter()
         .map(|(name, share)| (name.to_string(), share))
         .collect();
-    let crossings = statistics::peak_cross_region_calls(&run.world, &run.evidence);
+    let cross_region_calls = statistics::peak_cross_region_calls(&run.deployment, &run.evidence);
     for (pair, (peak, limit)) in &run.links {
-        let requests = crossings.get(pair).copied().unwrap_or(0) as f64 / limit.requests;
-        let used = requests.max(peak / limit.bytes);
+        let requests =
+            cross_region_calls.get(pair).copied().unwrap_or(0) as f64 / limit.requests_per_s;
+        let used = requests.max(peak / limit.bytes_per_s);
         headroom.insert(format!("{}-{}", pair.0, pair.1), 1.0 - used);
     }
     headroom
--- a/src/bin/ragwortfold/demo/watch.rs
+++ b/src/bin/ragwortfold/demo/watch.rs
@@ -1,4 +1,4 @@
-//! What is sampled while the system runs: each host's revision, and the bytes on links.
+//! Samples each host's configuration revision and the bytes on links while the system runs.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,22 +12,22 @@
 use standin::observer::{self, Evidence, RevisionSample};
 use standin::unix_us;
 
-use super::fault::Notes;
+use super::fault::FaultLog;
 use super::load::Calls;
 use super::world::World;
 use super::Error;
 
-/// Pause between two rounds of samples.
-const PAUSE: Duration = Duration::from_millis(250);
-/// Longest wait for a host's status.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// Interval between two rounds of samples.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
+/// Timeout of a request for a host's status or health.
+const STATUS_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Two regions.
-pub(crate) type Pair = (Arc<str>, Arc<str>);
+/// A pair of regions: the sending one and the receiving one.
+pub(crate) type RegionPair = (Arc<str>, Arc<str>);
 
-/// One direction between two hosts of different regions.
-struct Meter {
-    pair: Pair,
+/// Counts the bytes sent in one direction between two hosts of different regions.
+struct LinkMeter {
+    pair: RegionPair,
     link: Arc<Link>,
     source: std::net::IpAddr,
     direction: usize,
@@ -37,8 +37,8 @@
 struct State {
     hosts: BTreeMap<Arc<str>, SocketAddr>,
     samples: BTreeMap<Arc<str>, Vec<RevisionSample>>,
-    /// The most bytes a second.
-    peaks: BTreeMap<Pair, f64>,
+    /// The highest rate between two regions so far, in bytes a second.
+    peaks: BTreeMap<RegionPair, f64>,
 }
 
 #[derive(Default)]
@@ -47,48 +47,48 @@
     stopped: AtomicBool,
 }
 
-/// A thread that samples.
-pub(crate) struct Watch {
+/// A thread that takes samples until it is stopped.
+pub(crate) struct Monitor {
     shared: Arc<Shared>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// All that is known of a run when it has ended.
-pub(crate) struct Run {
-    /// What was configured.
-    pub(crate) world: observer::Deployment,
-    /// What was written down.
+/// The data collected during a run.
+pub(crate) struct RunResults {
+    /// The configured deployment.
+    pub(crate) deployment: observer::Deployment,
+    /// The records of callers, targets, samples and faults.
     pub(crate) evidence: Evidence,
-    /// Calls that callers could not make, by class.
+    /// Number of calls that were not made because all threads were busy, by class.
     pub(crate) missed: BTreeMap<Arc<str>, u64>,
-    /// The most bytes a second between two regions, and the limit on them and on requests.
-    pub(crate) links: BTreeMap<Pair, (f64, Limit)>,
-    /// Figures that belong to the fault, by name.
+    /// The highest rate between two regions, in bytes a second, and the limits of their link.
+    pub(crate) links: BTreeMap<RegionPair, (f64, LinkLimits)>,
+    /// Figures of the faults and of the machine, by name.
     pub(crate) figures: BTreeMap<String, f64>,
 }
 
-/// The limits of a link.
+/// The configured limits of a link.
 #[derive(Clone, Copy)]
-pub(crate) struct Limit {
-    /// Bytes a second.
-    pub(crate) bytes: f64,
-    /// Requests a second.
-    pub(crate) requests: f64,
+pub(crate) struct LinkLimits {
+    /// Maximum bytes a second.
+    pub(crate) bytes_per_s: f64,
+    /// Maximum requests a second.
+    pub(crate) requests_per_s: f64,
 }
 
-impl Watch {
-    /// Starts sampling.
+impl Monitor {
+    /// Starts the thread.
     pub(crate) fn new(world: &World) -> Result<Self, Error> {
         let shared = Arc::new(Shared::default());
         let hosts = world.machines.iter();
         lock(&shared).hosts = hosts
-            .map(|(name, machine)| (name.clone(), machine.seats[0].listen))
+            .map(|(name, machine)| (name.clone(), machine.endpoints[0].listen))
             .collect();
-        let meters = meters(world);
-        let inner = shared.clone();
+        let meters = build_meters(world);
+        let thread_shared = shared.clone();
         let thread = std::thread::Builder::new()
             .name("watch".into())
-            .spawn(move || sample(&inner, &meters))
+            .spawn(move || run_sampling(&thread_shared, &meters))
             .map_err(Error::System)?;
         Ok(Self {
             shared,
@@ -96,7 +96,7 @@
         })
     }
 
-    /// Asks a host at another address from now on; none: no longer.
+    /// Changes the address at which a host is sampled; `None` stops sampling the host.
     pub(crate) fn set_host(&self, name: &str, address: Option<SocketAddr>) {
         let mut state = lock(&self.shared);
         match address {
@@ -105,8 +105,8 @@
         };
     }
 
-    /// The lowest and the highest revision last seen, in words.
-    pub(crate) fn revisions(&self) -> String {
+    /// Describes the lowest and the highest of the hosts' latest revisions, such as `revisions 3 to 4`.
+    pub(crate) fn revision_range(&self) -> String {
         let state = lock(&self.shared);
         let latest = state.samples.values().filter_map(|samples| samples.last());
         let revisions: Vec<u64> = latest.map(|sample| sample.revision).collect();
@@ -117,28 +117,30 @@
         }
     }
 
-    /// Ends the sampling and puts everything together.
-    pub(crate) fn finish(mut self, world: &World, calls: Calls, notes: Notes) -> Run {
+    /// Stops the thread and combines its samples with the results of callers, targets and faults.
+    pub(crate) fn finish(mut self, world: &World, calls: Calls, fault_log: FaultLog) -> RunResults {
         self.shared.stopped.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
         let state = std::mem::take(&mut *lock(&self.shared));
         let targets = world.targets.iter();
-        let mut evidence = notes.evidence.clone();
+        let mut evidence = fault_log.evidence.clone();
         evidence.records = calls.records;
         evidence.sheds = targets
             .clone()
-            .map(|(n, t)| (n.clone(), t.counts().shed))
+            .map(|(name, target)| (name.clone(), target.counts().shed))
+            .collect();
+        evidence.journals = targets
+            .map(|(name, target)| (name.clone(), target.journal()))
             .collect();
-        evidence.journals = targets.map(|(n, t)| (n.clone(), t.journal())).collect();
         evidence.revisions = state.samples;
-        let figures = super::fault::figures(world, &evidence, &notes);
-        Run {
-            world: world.facts.clone(),
+        let figures = super::fault::figures(world, &evidence, &fault_log);
+        RunResults {
+            deployment: world.deployment.clone(),
             evidence,
             missed: calls.missed,
-            links: links(world, &state.peaks),
+            links: link_usage(world, &state.peaks),
             figures,
         }
     }
@@ -148,13 +150,16 @@
     shared.state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The peak and the limits of each link of the configuration.
-fn links(world: &World, peaks: &BTreeMap<Pair, f64>) -> BTreeMap<Pair, (f64, Limit)> {
+/// Returns the peak rate and the limits of each configured link.
+fn link_usage(
+    world: &World,
+    peaks: &BTreeMap<RegionPair, f64>,
+) -> BTreeMap<RegionPair, (f64, LinkLimits)> {
     let links = world.configuration.links.values().map(|link| {
-        let pair: Pair = (link.from.as_str().into(), link.to.as_str().into());
-        let limit = Limit {
-            bytes: link.bytes_per_s.get() as f64,
-            requests: link.requests_per_s.get() as f64,
+        let pair: RegionPair = (link.from.as_str().into(), link.to.as_str().into());
+        let limit = LinkLimits {
+            bytes_per_s: link.bytes_per_s.get() as f64,
+            requests_per_s: link.requests_per_s.get() as f64,
         };
         let peak = peaks.get(&pair).copied().unwrap_or(0.0);
         (pair, (peak, limit))
@@ -162,7 +167,8 @@
     links.collect()
 }
 
-fn meters(world: &World) -> Vec<Meter> {
+/// Returns a meter for each direction between each two hosts of different regions.
+fn build_meters(world: &World) -> Vec<LinkMeter> {
     let mut meters = Vec::new();
     for to in world.machines.values() {
         for from in world
@@ -170,14 +176,15 @@
             .values()
             .filter(|from| from.region != to.region)
         {
-            for seat in &to.seats {
-                let ends = [(&from.region, &to.region), (&to.region, &from.region)];
+            for endpoint in &to.endpoints {
+                let directions = [(&from.region, &to.region), (&to.region, &from.region)];
                 meters.extend(
-                    ends.into_iter()
+                    directions
+                        .into_iter()
                         .enumerate()
-                        .map(|(direction, (a, b))| Meter {
+                        .map(|(direction, (a, b))| LinkMeter {
                             pair: (a.clone(), b.clone()),
-                            link: seat.peers.clone(),
+                            link: endpoint.peer_link.clone(),
                             source: from.source,
                             direction,
                         }),
@@ -188,13 +195,14 @@
     meters
 }
 
-fn sample(shared: &Shared, meters: &[Meter]) {
-    let mut last = (Instant::now(), totals(meters));
+/// Takes samples until stopped.
+fn run_sampling(shared: &Shared, meters: &[LinkMeter]) {
+    let mut last = (Instant::now(), total_bytes(meters));
     while !shared.stopped.load(Ordering::Relaxed) {
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(SAMPLE_INTERVAL);
         let hosts = lock(shared).hosts.clone();
         for (name, address) in hosts {
-            if let Some((incarnation, revision)) = status(address) {
+            if let Some((incarnation, revision)) = fetch_status(address) {
                 let sample = RevisionSample {
                     at: unix_us(),
                     incarnation,
@@ -203,12 +211,12 @@
                 lock(shared).samples.entry(name).or_default().push(sample);
             }
         }
-        let now = (Instant::now(), totals(meters));
+        let now = (Instant::now(), total_bytes(meters));
         let seconds = (now.0 - last.0).as_secs_f64();
         let mut state = lock(shared);
         for (pair, bytes) in &now.1 {
-            let before = last.1.get(pair).copied().unwrap_or(0);
-            let rate = bytes.saturating_sub(before) as f64 / seconds;
+            let previous = last.1.get(pair).copied().unwrap_or(0);
+            let rate = bytes.saturating_sub(previous) as f64 / seconds;
             let peak = state.peaks.entry(pair.clone()).or_default();
             *peak = peak.max(rate);
         }
@@ -217,7 +225,8 @@
     }
 }
 
-fn totals(meters: &[Meter]) -> BTreeMap<Pair, u64> {
+/// Returns the bytes sent so far between each two regions.
+fn total_bytes(meters: &[LinkMeter]) -> BTreeMap<RegionPair, u64> {
     let mut totals = BTreeMap::new();
     for meter in meters {
         let bytes = meter.link.bytes_from(meter.source)[meter.direction];
@@ -226,22 +235,28 @@
     totals
 }
 
-/// Whether a host says that it is ready.
+/// Whether a host reports that it is ready.
 pub(crate) fn is_healthy(address: SocketAddr) -> bool {
     let request = ureq::get(format!("http://{address}/healthz"));
-    let request = request.config().timeout_global(Some(PATIENCE)).build();
+    let request = request
+        .config()
+        .timeout_global(Some(STATUS_TIMEOUT))
+        .build();
     request.call().is_ok()
 }
 
-/// The incarnation and the revision that a host says it has.
-pub(crate) fn status(address: SocketAddr) -> Option<(u64, u64)> {
+/// Fetches the incarnation and the configuration revision that a host reports; `None` on any error.
+pub(crate) fn fetch_status(address: SocketAddr) -> Option<(u64, u64)> {
     #[derive(Deserialize)]
     struct Status {
         incarnation: u64,
         revision: u64,
     }
     let request = ureq::get(format!("http://{address}/v1/status"));
-    let request = request.config().timeout_global(Some(PATIENCE)).build();
+    let request = request
+        .config()
+        .timeout_global(Some(STATUS_TIMEOUT))
+        .build();
     let text = request.call().ok()?.body_mut().read_to_string().ok()?;
     let status: Status = serde_json::from_str(&text).ok()?;
     Some((status.incarnation, status.revision))
--- a/src/bin/ragwortfold/demo/world.rs
+++ b/src/bin/ragwortfold/demo/world.rs
@@ -1,10 +1,11 @@
-//! The system of a customer on loopback ports.
+//! Runs the system of a customer on loopback ports.
 //!
-//! Every entry host listens behind links: one for the callers of each region, with their delay, and
-//! one for its peers, which tells them apart by source address (each host has an address of its own
-//! for peers) and so has the delay of every pair of zones. Each zone reaches the platform over a link.
-//! A lost zone is lost to all others: its targets crash, its links reset and refuse; its hosts are not
-//! started anew when it returns. Not modelled: delay between a host and its zone's targets, and to the platform.
+//! Every entry host listens behind links: one for the callers of each region, with the delay from that
+//! region, and one for its peers. The peer link identifies each peer by its source address (every host
+//! connects to peers from an address of its own) and applies the delay between the two zones. Each zone
+//! reaches the platform over a link. When a zone is lost, its targets crash and its links reset open
+//! connections and refuse new ones; its hosts are not restarted when it returns. Delays between a host
+//! and the targets of its zone, and to the platform, are not modelled.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -27,20 +28,22 @@
 use super::operator::Operator;
 use super::{Customer, Error};
 
-/// The file with the addresses of this run, merged late.
-const ADDRESSES: &str = "90-addresses.json";
-/// Threads of each host that carry callers' requests, and as many for other hosts' requests.
-const WORKERS: u32 = 24;
-/// Bodies above this are uploads, in bytes.
-const UPLOAD: u64 = 16 << 20;
+/// The configuration file with the addresses of this run; its number places it after the customer's
+/// files in the merge order.
+const ADDRESSES_FILE: &str = "90-addresses.json";
+/// Worker threads of each host for callers' requests, and as many for requests from other hosts.
+const WORKERS_PER_HOST: u32 = 24;
+/// A service that accepts larger bodies than this, in bytes, is treated as an upload.
+const UPLOAD_THRESHOLD_BYTES: u64 = 16 << 20;
 
+/// Includes the named files of a customer's example folder.
 macro_rules! folder {
     ($customer:literal: $($file:literal)*) => {
         &[$(($file, include_str!(concat!("../../../../examples/", $customer, "/", $file)))),*]
     };
 }
 
-/// The files of the customers' folders.
+/// The names and texts of the files in the customers' configuration folders.
 const QUISPE: &[(&str, &str)] = folder!("quispe":
     "00-places.json" "10-hosts.json" "20-services.json" "30-targets-lookups.json"
     "31-targets-bookings.json" "32-targets-telemetry.json" "40-clients.json" "50-links.json"
@@ -50,7 +53,7 @@
     "31-targets-allocation.json" "32-targets-documents.json" "40-clients.json" "50-links.json"
     "60-limits.json");
 
-/// Times under way, one way.
+/// One-way network delays: from a client to its region, between zones of a region, and between regions.
 #[derive(Clone, Copy)]
 struct Delays {
     client: Duration,
@@ -59,13 +62,13 @@
 }
 
 impl Customer {
-    fn files(self) -> Files {
+    fn configuration_files(self) -> Files {
         let files = match self {
             Customer::Quispe => QUISPE,
             Customer::Caroni => CARONI,
         };
-        let owned = |(name, text): &(&str, &str)| ((*name).into(), (*text).into());
-        files.iter().map(owned).collect()
+        let to_owned = |(name, text): &(&str, &str)| ((*name).into(), (*text).into());
+        files.iter().map(to_owned).collect()
     }
 
     fn delays(self) -> Delays {
@@ -81,24 +84,24 @@
     }
 }
 
-/// What kind of work a service does.
+/// The kind of requests that a service handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Shape {
-    /// Short and idempotent.
+pub(crate) enum RequestKind {
+    /// Short, idempotent requests.
     Query,
-    /// Short and at most once.
+    /// Short requests that run at most once.
     Booking,
-    /// A large body, at most once.
+    /// Requests with large bodies that run at most once.
     Upload,
 }
 
-impl Shape {
-    /// The service times of its targets.
-    pub(crate) fn work(self) -> ServiceTime {
+impl RequestKind {
+    /// Returns the range of service times of the targets.
+    pub(crate) fn service_time(self) -> ServiceTime {
         let (shortest, longest) = match self {
-            Shape::Query => (5, 20),
-            Shape::Booking => (10, 40),
-            Shape::Upload => (50, 150),
+            RequestKind::Query => (5, 20),
+            RequestKind::Booking => (10, 40),
+            RequestKind::Upload => (50, 150),
         };
         ServiceTime {
             shortest: Duration::from_millis(shortest),
@@ -106,74 +109,75 @@
         }
     }
 
-    /// The mean service time, in seconds.
-    pub(crate) fn mean(self) -> f64 {
-        let work = self.work();
-        (work.shortest + work.longest).as_secs_f64() / 2.0
+    /// Returns the mean service time, in seconds.
+    pub(crate) fn mean_service_time_s(self) -> f64 {
+        let time = self.service_time();
+        (time.shortest + time.longest).as_secs_f64() / 2.0
     }
 }
 
-/// Addresses that an entry host can have.
-pub(crate) struct Seat {
-    /// Where it listens for callers.
+/// The addresses at which an entry host can run, and the links in front of them.
+pub(crate) struct Endpoint {
+    /// Where the host listens for callers.
     pub(crate) listen: SocketAddr,
     peer_listen: SocketAddr,
     /// The links from the callers of each region.
-    pub(crate) fronts: BTreeMap<Arc<str>, Arc<Link>>,
+    pub(crate) caller_links: BTreeMap<Arc<str>, Arc<Link>>,
     /// The link from other hosts.
-    pub(crate) peers: Arc<Link>,
+    pub(crate) peer_link: Arc<Link>,
 }
 
-/// An entry host and its place.
+/// An entry host, its location and its addresses.
 pub(crate) struct Machine {
-    /// Its availability zone.
+    /// The host's availability zone.
     pub(crate) zone: Arc<str>,
-    /// That zone's region.
+    /// The zone's region.
     pub(crate) region: Arc<str>,
-    /// Where its connections to peers come from.
+    /// The source address of the host's connections to peers.
     pub(crate) source: IpAddr,
-    /// Its address, and the one it gets when it is replaced.
-    pub(crate) seats: Vec<Seat>,
-    /// The running process.
+    /// The endpoint of the host; if it can be replaced, also that of its replacement.
+    pub(crate) endpoints: Vec<Endpoint>,
+    /// The running host; `None` while it is stopped.
     pub(crate) host: Option<Host>,
 }
 
-/// All that runs, callers aside.
+/// The running system without its callers.
 pub(crate) struct World {
-    /// What the operator configured.
+    /// The configuration of the customer.
     pub(crate) configuration: Configuration,
-    /// The same for the observer.
-    pub(crate) facts: observer::Deployment,
+    /// The deployment, as the observer needs it.
+    pub(crate) deployment: observer::Deployment,
     /// The platform.
     pub(crate) platform: Platform,
     /// Targets by name.
     pub(crate) targets: BTreeMap<Arc<str>, Target>,
     /// Entry hosts by name.
     pub(crate) machines: BTreeMap<Arc<str>, Machine>,
-    /// The operator whose folder it is.
+    /// The operator that publishes the configuration.
     pub(crate) operator: Operator,
-    /// The host that is replaced when that is the fault.
-    pub(crate) replaced: Arc<str>,
-    uplinks: BTreeMap<Arc<str>, Link>,
+    /// The host that the fault `host-replace` replaces.
+    pub(crate) replaced_host: Arc<str>,
+    /// The links to the platform by zone.
+    platform_links: BTreeMap<Arc<str>, Link>,
     delays: Delays,
-    /// Zones that are gone.
-    pub(crate) lost: BTreeSet<Arc<str>>,
-    /// Zones that are cut off from the others and from the platform.
-    pub(crate) cut: BTreeSet<Arc<str>>,
+    /// Zones that are lost.
+    pub(crate) lost_zones: BTreeSet<Arc<str>>,
+    /// Zones that are partitioned from the others and from the platform.
+    pub(crate) partitioned_zones: BTreeSet<Arc<str>>,
 }
 
 impl World {
-    /// Starts everything and publishes the configuration.
+    /// Starts the platform, the targets and the hosts, and publishes the configuration.
     pub(crate) fn new(customer: Customer, seed: u64) -> Result<Self, Error> {
-        let files = customer.files();
+        let files = customer.configuration_files();
         let configuration = check(&Folder::with_files(files.clone()))?;
-        let platform = Platform::new(local(0))?;
+        let platform = Platform::new(loopback(0))?;
         let url = format!("http://{}", platform.address());
-        let mut uplinks = BTreeMap::new();
+        let mut platform_links = BTreeMap::new();
         for zone in configuration.availability_zones.keys() {
-            uplinks.insert(
+            platform_links.insert(
                 zone.as_str().into(),
-                Link::new(local(0), platform.address())?,
+                Link::new(loopback(0), platform.address())?,
             );
         }
         let names: Vec<Arc<str>> = configuration
@@ -181,89 +185,97 @@
             .keys()
             .map(|n| n.as_str().into())
             .collect();
-        let replaced = names[seed as usize % names.len()].clone();
+        let replaced_host = names[seed as usize % names.len()].clone();
         let mut world = Self {
-            facts: facts(&configuration),
-            targets: targets(&configuration, seed)?,
+            deployment: deployment(&configuration),
+            targets: start_targets(&configuration, seed)?,
             machines: BTreeMap::new(),
             operator: Operator::new("operator", &url, files),
             platform,
-            replaced,
-            uplinks,
+            replaced_host,
+            platform_links,
             delays: customer.delays(),
-            lost: BTreeSet::new(),
-            cut: BTreeSet::new(),
+            lost_zones: BTreeSet::new(),
+            partitioned_zones: BTreeSet::new(),
             configuration,
         };
         for (number, name) in names.iter().enumerate() {
-            let machine = world.machine(name, number)?;
+            let machine = world.build_machine(name, number)?;
             world.machines.insert(name.clone(), machine);
-            world.start(name, 0)?;
+            world.start_host(name, 0)?;
         }
-        world.tell_hosts(&[]);
+        world.publish_hosts(&[]);
         world.set_links(false);
         let addresses = world.addresses(None).to_string();
-        world.operator.apply(ADDRESSES, Some(addresses))?;
+        world.operator.apply(ADDRESSES_FILE, Some(addresses))?;
         Ok(world)
     }
 
-    fn machine(&self, name: &Arc<str>, number: usize) -> Result<Machine, Error> {
+    /// Allocates the endpoints of a host; the host is not started yet.
+    fn build_machine(&self, name: &Arc<str>, number: usize) -> Result<Machine, Error> {
         let zone = &self.configuration.hosts[&**name].availability_zone;
         let region = &self.configuration.availability_zones[zone].region;
         let source = IpAddr::from(Ipv4Addr::new(127, 40, 0, number as u8 + 1));
-        let seats = if *name == self.replaced { 2 } else { 1 };
-        let seats = (0..seats)
-            .map(|_| self.seat(source))
+        let endpoint_count = if *name == self.replaced_host { 2 } else { 1 };
+        let endpoints = (0..endpoint_count)
+            .map(|_| self.build_endpoint(source))
             .collect::<Result<_, _>>()?;
         Ok(Machine {
             zone: zone.as_str().into(),
             region: region.as_str().into(),
             source,
-            seats,
+            endpoints,
             host: None,
         })
     }
 
-    fn seat(&self, source: IpAddr) -> Result<Seat, Error> {
+    /// Allocates the ports of an endpoint and starts its links.
+    fn build_endpoint(&self, source: IpAddr) -> Result<Endpoint, Error> {
         let listen = free_address(Ipv4Addr::LOCALHOST.into()).map_err(Error::System)?;
         let peer_listen = free_address(source).map_err(Error::System)?;
-        let mut fronts = BTreeMap::new();
+        let mut caller_links = BTreeMap::new();
         for region in self.configuration.regions.keys() {
-            let link = Link::new(local(0), listen)?.with_source();
-            fronts.insert(region.as_str().into(), Arc::new(link));
+            let link = Link::new(loopback(0), listen)?.with_source();
+            caller_links.insert(region.as_str().into(), Arc::new(link));
         }
-        Ok(Seat {
+        Ok(Endpoint {
             listen,
             peer_listen,
-            fronts,
-            peers: Arc::new(Link::new(local(0), peer_listen)?),
+            caller_links,
+            peer_link: Arc::new(Link::new(loopback(0), peer_listen)?),
         })
     }
 
-    /// Starts an entry host at one of its seats.
-    pub(crate) fn start(&mut self, name: &str, seat: usize) -> Result<(), Error> {
-        let uplinks = &self.uplinks;
+    /// Starts an entry host at the endpoint with this index.
+    pub(crate) fn start_host(&mut self, name: &str, index: usize) -> Result<(), Error> {
+        let platform_links = &self.platform_links;
         let Some(machine) = self.machines.get_mut(name) else {
             return Ok(());
         };
-        let platform = uplinks.get(&machine.zone).map(Link::address);
-        let seat = &machine.seats[seat];
-        machine.host = Some(Host::new(settings(name, &machine.zone, seat, platform)?)?);
+        let platform = platform_links.get(&machine.zone).map(Link::address);
+        let endpoint = &machine.endpoints[index];
+        machine.host = Some(Host::new(host_settings(
+            name,
+            &machine.zone,
+            endpoint,
+            platform,
+        )?)?);
         Ok(())
     }
 
-    /// The addresses of this run, with the second seat of a host that was replaced.
-    fn addresses(&self, replaced: Option<&str>) -> Value {
+    /// Returns the configuration with the addresses of this run; for `replaced_host`, those of its
+    /// replacement.
+    fn addresses(&self, replaced_host: Option<&str>) -> Value {
         let hosts: BTreeMap<_, _> = self
             .machines
             .iter()
             .map(|(name, machine)| {
-                let is_replaced = replaced == Some(name);
-                let seat = &machine.seats[usize::from(is_replaced)];
-                let peers = seat.peers.address();
+                let is_replaced = replaced_host == Some(name);
+                let endpoint = &machine.endpoints[usize::from(is_replaced)];
+                let peer_address = endpoint.peer_link.address();
                 (
                     name,
-                    json!({"address": seat.listen.to_string(), "peer_address": peers.to_string()}),
+                    json!({"address": endpoint.listen.to_string(), "peer_address": peer_address.to_string()}),
                 )
             })
             .collect();
@@ -275,14 +287,14 @@
         json!({"hosts": hosts, "targets": targets})
     }
 
-    /// Publishes the address of a host that was replaced.
-    pub(crate) fn publish_seat(&mut self, replaced: &str) -> Result<u64, Error> {
-        let addresses = self.addresses(Some(replaced)).to_string();
-        Ok(self.operator.apply(ADDRESSES, Some(addresses))?)
+    /// Publishes the addresses of the replacement of a host. Returns the new revision.
+    pub(crate) fn publish_replacement(&mut self, replaced_host: &str) -> Result<u64, Error> {
+        let addresses = self.addresses(Some(replaced_host)).to_string();
+        Ok(self.operator.apply(ADDRESSES_FILE, Some(addresses))?)
     }
 
-    /// Tells the platform's host list: all are live, but for those that leave.
-    pub(crate) fn tell_hosts(&self, leaving: &[&str]) {
+    /// Sets the platform's host list: all hosts are live, except those in `leaving`.
+    pub(crate) fn publish_hosts(&self, leaving: &[&str]) {
         let hosts = self.machines.keys().map(|name| platform::Host {
             host: name.clone(),
             state: if leaving.contains(&&**name) {
@@ -294,16 +306,20 @@
         self.platform.set_hosts(hosts.collect());
     }
 
-    /// Waits until every host says that it is ready and that a configuration is in force.
-    pub(crate) fn wait(&self, patience: Duration) -> Result<(), Error> {
-        let end = Instant::now() + patience;
+    /// Waits until every host reports that it is ready and has a configuration in force.
+    ///
+    /// # Errors
+    ///
+    /// Names the hosts that are not ready when the timeout has passed.
+    pub(crate) fn wait_until_ready(&self, timeout: Duration) -> Result<(), Error> {
+        let deadline = Instant::now() + timeout;
         loop {
             let waiting: Vec<&str> = self
                 .machines
                 .iter()
                 .filter(|(_, machine)| {
-                    let listen = machine.seats[0].listen;
-                    let status = super::watch::status(listen);
+                    let listen = machine.endpoints[0].listen;
+                    let status = super::watch::fetch_status(listen);
                     let has_none = status.is_none_or(|(_, revision)| revision == 0);
                     has_none || !super::watch::is_healthy(listen)
                 })
@@ -312,52 +328,62 @@
             if waiting.is_empty() {
                 return Ok(());
             }
-            if Instant::now() > end {
-                return Err(Error::Start(waiting.join(", ")));
+            if Instant::now() > deadline {
+                return Err(Error::StartupTimeout(waiting.join(", ")));
             }
             std::thread::sleep(Duration::from_millis(50));
         }
     }
 
-    /// Sets every link to its delay and to what is lost or cut now. `reset` ends the connections of
-    /// lost zones.
-    pub(crate) fn set_links(&self, reset: bool) {
+    /// Sets the delay of every link, and the faults of lost and partitioned zones. `reset_open` resets the
+    /// open connections of lost zones.
+    pub(crate) fn set_links(&self, reset_open: bool) {
         for machine in self.machines.values() {
-            let is_lost = self.lost.contains(&machine.zone);
-            for seat in &machine.seats {
-                for (region, link) in &seat.fronts {
-                    let far = if *region == machine.region {
+            let is_lost = self.lost_zones.contains(&machine.zone);
+            for endpoint in &machine.endpoints {
+                for (region, link) in &endpoint.caller_links {
+                    let region_delay = if *region == machine.region {
                         Duration::ZERO
                     } else {
                         self.delays.region
                     };
-                    link.set_fault(lost(
-                        Fault::delay(self.delays.client + far),
+                    link.set_fault(with_loss(
+                        Fault::delay(self.delays.client + region_delay),
                         is_lost,
-                        reset,
+                        reset_open,
                         Accept::Refuse,
                     ));
                 }
                 for other in self.machines.values() {
-                    let is_lost = is_lost || self.lost.contains(&other.zone);
-                    let fault = lost(self.path(other, machine), is_lost, reset, Accept::Reset);
-                    seat.peers.set_fault_from(other.source, fault);
+                    let is_lost = is_lost || self.lost_zones.contains(&other.zone);
+                    let fault = with_loss(
+                        self.peer_fault(other, machine),
+                        is_lost,
+                        reset_open,
+                        Accept::Reset,
+                    );
+                    endpoint.peer_link.set_fault_from(other.source, fault);
                 }
             }
         }
-        for (zone, link) in &self.uplinks {
+        for (zone, link) in &self.platform_links {
             let fault = Fault::default();
-            let fault = if self.cut.contains(zone) {
+            let fault = if self.partitioned_zones.contains(zone) {
                 fault.with_black_hole()
             } else {
                 fault
             };
-            link.set_fault(lost(fault, self.lost.contains(zone), reset, Accept::Refuse));
+            link.set_fault(with_loss(
+                fault,
+                self.lost_zones.contains(zone),
+                reset_open,
+                Accept::Refuse,
+            ));
         }
     }
 
-    /// What connections between two hosts meet.
-    fn path(&self, from: &Machine, to: &Machine) -> Fault {
+    /// Returns the delay of connections between two hosts, or a black hole if they are partitioned.
+    fn peer_fault(&self, from: &Machine, to: &Machine) -> Fault {
         let delay = if from.zone == to.zone {
             Duration::ZERO
         } else if from.region == to.region {
@@ -365,86 +391,91 @@
         } else {
             self.delays.region
         };
-        let is_cut =
-            from.zone != to.zone && (self.cut.contains(&from.zone) || self.cut.contains(&to.zone));
+        let is_partitioned = from.zone != to.zone
+            && (self.partitioned_zones.contains(&from.zone)
+                || self.partitioned_zones.contains(&to.zone));
         let fault = Fault::delay(delay);
-        if is_cut {
+        if is_partitioned {
             fault.with_black_hole()
         } else {
             fault
         }
     }
 
-    /// The targets in a zone.
+    /// Returns the names of the targets in a zone.
     pub(crate) fn targets_in(&self, zone: &str) -> Vec<Arc<str>> {
-        let targets = self.facts.targets.iter();
-        let inside = targets.filter(|(_, place)| &*place.zone == zone);
-        inside.map(|(name, _)| name.clone()).collect()
+        let targets = self.deployment.targets.iter();
+        let in_zone = targets.filter(|(_, target)| &*target.zone == zone);
+        in_zone.map(|(name, _)| name.clone()).collect()
     }
 
-    /// The shape of a service's work.
-    pub(crate) fn shape(&self, service: &str) -> Shape {
-        shape(&self.configuration, service)
+    /// Returns the kind of requests that a service handles.
+    pub(crate) fn request_kind(&self, service: &str) -> RequestKind {
+        request_kind(&self.configuration, service)
     }
 }
 
-/// The same link, gone if `is_lost`.
-fn lost(fault: Fault, is_lost: bool, reset: bool, accept: Accept) -> Fault {
+/// Returns `fault`; if `is_lost`, as a black hole that handles new connections by `accept` and, if
+/// `reset_open`, resets open ones.
+fn with_loss(fault: Fault, is_lost: bool, reset_open: bool, accept: Accept) -> Fault {
     if !is_lost {
         return fault;
     }
     Fault {
         accept,
-        reset_open: reset,
+        reset_open,
         ..fault.with_black_hole()
     }
 }
 
-fn settings(
+/// Returns the settings of an entry host at an endpoint.
+fn host_settings(
     name: &str,
     zone: &str,
-    seat: &Seat,
+    endpoint: &Endpoint,
     platform: Option<SocketAddr>,
 ) -> Result<Settings, Error> {
-    let platform = platform.unwrap_or(local(1));
+    let platform = platform.unwrap_or(loopback(1));
     let text = json!({
         "host": name,
         "availability_zone": zone,
-        "listen": seat.listen.to_string(),
-        "peer_listen": seat.peer_listen.to_string(),
+        "listen": endpoint.listen.to_string(),
+        "peer_listen": endpoint.peer_listen.to_string(),
         "platform": format!("http://{platform}"),
         "peer_secret": "the secret of a demo",
-        "pool": {"workers": WORKERS, "relay_workers": WORKERS},
+        "pool": {"workers": WORKERS_PER_HOST, "relay_workers": WORKERS_PER_HOST},
     });
     Ok(with_text("demo", &text.to_string(), &Overrides::default())?)
 }
 
-fn facts(configuration: &Configuration) -> observer::Deployment {
+/// Converts the configuration to the deployment that the observer checks.
+fn deployment(configuration: &Configuration) -> observer::Deployment {
     let region = |zone: &str| {
         configuration.availability_zones[zone]
             .region
             .as_str()
             .into()
     };
-    let places = configuration.targets.iter().map(|(name, target)| {
-        let place = TargetInfo {
+    let targets = configuration.targets.iter().map(|(name, target)| {
+        let info = TargetInfo {
             service: target.service.as_str().into(),
             zone: target.availability_zone.as_str().into(),
             region: region(&target.availability_zone),
             slots: target.slots.get(),
         };
-        (name.as_str().into(), place)
+        (name.as_str().into(), info)
     });
     observer::Deployment {
-        targets: places.collect(),
-        planned_cap: cap(configuration, "default"),
-        failover_cap: cap(configuration, "failover"),
+        targets: targets.collect(),
+        planned_cap: shift_cap(configuration, "default"),
+        failover_cap: shift_cap(configuration, "failover"),
         utilization: configuration.limits.utilization,
-        client_blocks: super::load::CLIENTS.into(),
+        client_blocks: super::load::CLIENTS_PER_REGION.into(),
     }
 }
 
-fn cap(configuration: &Configuration, name: &str) -> Cap {
+/// Returns the configured shift cap with this name, or one that allows every shift if there is none.
+fn shift_cap(configuration: &Configuration, name: &str) -> Cap {
     let cap = configuration.limits.shift.get(name);
     Cap {
         share: cap.map_or(1.0, |cap| cap.share),
@@ -452,31 +483,37 @@
     }
 }
 
-fn targets(configuration: &Configuration, seed: u64) -> Result<BTreeMap<Arc<str>, Target>, Error> {
+/// Starts all configured targets.
+fn start_targets(
+    configuration: &Configuration,
+    seed: u64,
+) -> Result<BTreeMap<Arc<str>, Target>, Error> {
     let mut targets = BTreeMap::new();
     for (number, (name, target)) in configuration.targets.iter().enumerate() {
-        let work = shape(configuration, &target.service).work();
+        let service_time = request_kind(configuration, &target.service).service_time();
         let settings = target::Settings::new(name, target.slots.get() as usize)
             .with_zone(&target.availability_zone)
             .with_connections(target.connections.get() as usize)
-            .with_service_time(work, seed.wrapping_add(number as u64))
+            .with_service_time(service_time, seed.wrapping_add(number as u64))
             .with_load_lag(Duration::from_millis(500));
-        targets.insert(name.as_str().into(), Target::new(local(0), settings)?);
+        targets.insert(name.as_str().into(), Target::new(loopback(0), settings)?);
     }
     Ok(targets)
 }
 
-fn shape(configuration: &Configuration, service: &str) -> Shape {
+/// Returns the kind of requests that a service handles.
+fn request_kind(configuration: &Configuration, service: &str) -> RequestKind {
     let service = &configuration.services[service];
     if service.idempotent {
-        Shape::Query
-    } else if service.max_body_bytes > UPLOAD {
-        Shape::Upload
+        RequestKind::Query
+    } else if service.max_body_bytes > UPLOAD_THRESHOLD_BYTES {
+        RequestKind::Upload
     } else {
-        Shape::Booking
+        RequestKind::Booking
     }
 }
 
-fn local(port: u16) -> SocketAddr {
+/// Returns the loopback address with this port; 0 lets the system choose a free one.
+fn loopback(port: u16) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, port))
 }
