--- a/soak/fault.rs
+++ b/soak/fault.rs
@@ -1,4 +1,4 @@
-//! Faults by a seed: signals, links, targets and the store, one after the other and over each other.
+//! Injects faults chosen by a seed into hosts, links, targets and the store; faults can overlap.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -8,30 +8,31 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::standin::Mode;
-use crate::world::{lock, Way, World};
+use crate::world::{lock, TargetMode, World};
 
-/// Between two faults.
-const PAUSE: Duration = Duration::from_millis(150);
-/// How long a process is stopped at the most: some times what others take to notice.
-const FREEZE: Duration = Duration::from_millis(900);
+/// Pause between two faults.
+const FAULT_INTERVAL: Duration = Duration::from_millis(150);
+/// The longest stop of a process: several times as long as other hosts take to detect it.
+const MAX_STOP_DURATION: Duration = Duration::from_millis(900);
 
-/// Plays faults for a while. Some of what they leave is put right in between, the rest by the caller.
-pub fn play(world: &mut World, seed: u64, time: Duration) {
+/// Injects faults for `duration`. Some are ended by later ones; the caller has to end the rest.
+pub fn inject_faults(world: &mut World, seed: u64, duration: Duration) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let end = Instant::now() + time;
+    let end = Instant::now() + duration;
     while Instant::now() < end {
-        one(world, &mut rng);
-        thread::sleep(PAUSE);
+        inject_fault(world, &mut rng);
+        thread::sleep(FAULT_INTERVAL);
     }
 }
 
-fn one(world: &mut World, rng: &mut Pcg64Mcg) {
+/// Injects one random fault, or ends one.
+fn inject_fault(world: &mut World, rng: &mut Pcg64Mcg) {
     let target = rng.random_range(0..world.links.len());
     let host = rng.random_range(0..world.hosts.len());
     match rng.random_range(0..10) {
         0 => {
             world.hosts[host].signal("-STOP");
-            thread::sleep(FREEZE.mul_f64(rng.random_range(0.1..1.0)));
+            thread::sleep(MAX_STOP_DURATION.mul_f64(rng.random_range(0.1..1.0)));
             world.hosts[host].signal("-CONT");
         }
         1 => world.hosts[host].restart("-KILL"),
@@ -43,18 +44,18 @@
                 .set_mode(modes[rng.random_range(0..modes.len())]);
         }
         4..=6 => {
-            let ways = [
-                Way::Well,
-                Way::Well,
-                Way::Break,
-                Way::Refuse,
-                Way::Shed,
-                Way::Fail,
-                Way::Stray,
-                Way::Slow,
+            let target_modes = [
+                TargetMode::Normal,
+                TargetMode::Normal,
+                TargetMode::Close,
+                TargetMode::Refuse,
+                TargetMode::Unavailable,
+                TargetMode::Fail,
+                TargetMode::WrongId,
+                TargetMode::Slow,
             ];
-            let way = ways[rng.random_range(0..ways.len())];
-            lock(&world.ledger).set_way(target, way);
+            let target_mode = target_modes[rng.random_range(0..target_modes.len())];
+            lock(&world.ledger).set_target_mode(target, target_mode);
         }
         7 => {
             let states = ["ready", "draining", "ready"];
@@ -65,31 +66,32 @@
                 .put_target(&format!("i-{target}"), address, state);
         }
         8 => world.hosts[host].signal("-HUP"),
-        _ => world.links[target].set_fault(link_fault(rng)),
+        _ => world.links[target].set_fault(random_link_fault(rng)),
     }
 }
 
-/// Both ways or one, silent, slow, cut or reset, or sound again.
-fn link_fault(rng: &mut Pcg64Mcg) -> Fault {
-    let sound = Flow::default();
-    let hole = Flow {
+/// Returns a random link fault: none, a delay, a black hole in one or both directions, answers cut after
+/// some bytes, or connections that are reset or refused.
+fn random_link_fault(rng: &mut Pcg64Mcg) -> Fault {
+    let faultless = Flow::default();
+    let black_hole = Flow {
         black_hole: true,
-        ..sound
+        ..faultless
     };
     let cut = Flow {
         cut_after: Some(rng.random_range(0..400)),
-        ..sound
+        ..faultless
     };
     let faults = [
         Fault::default(),
         Fault::delay(Duration::from_millis(rng.random_range(1..200))),
         Fault::default().with_black_hole(),
         Fault {
-            back: hole,
+            back: black_hole,
             ..Fault::default()
         },
         Fault {
-            forth: hole,
+            forth: black_hole,
             ..Fault::default()
         },
         Fault {
--- a/soak/main.rs
+++ b/soak/main.rs
@@ -1,7 +1,7 @@
-//! A soak: real hosts between a store, targets and links that fail by a seed, judged by what callers and
-//! targets see.
+//! Soak test: runs real hosts with a store, targets and links, injects random faults, and checks what
+//! callers and targets observed.
 //!
-//! `SOAK_SEEDS=N` plays N seeds from `SOAK_FIRST` on, beside the few that are always played.
+//! `SOAK_SEEDS=N` runs N seeds starting at `SOAK_FIRST`, in addition to the few that always run.
 
 #![allow(clippy::unwrap_used)]
 
@@ -16,35 +16,39 @@
 
 use world::World;
 
-/// How long faults come, one after the other and over each other.
-const FAULTS: Duration = Duration::from_secs(4);
+/// How long faults are injected.
+const FAULT_DURATION: Duration = Duration::from_secs(4);
 
-/// Plays one seed; tells what was judged wrong.
-fn play(seed: u64) -> Vec<String> {
+/// Runs one seed; returns descriptions of all violations.
+fn run_seed(seed: u64) -> Vec<String> {
     let mut world = World::new();
     let callers = caller::start(&world, seed);
-    fault::play(&mut world, seed, FAULTS);
-    world.heal();
-    let recovered = world.recovers();
-    let mut wrong = callers.stop();
-    wrong.extend(world.judge());
-    if let Err(problem) = recovered {
-        wrong.push(problem);
+    fault::inject_faults(&mut world, seed, FAULT_DURATION);
+    world.end_faults();
+    let recovery = world.wait_until_serving();
+    let mut violations = callers.stop();
+    violations.extend(world.find_violations());
+    if let Err(problem) = recovery {
+        violations.push(problem);
     }
-    wrong
+    violations
 }
 
-fn check(seed: u64) {
-    let wrong = play(seed);
-    assert!(wrong.is_empty(), "seed {seed}:\n{}", wrong.join("\n"));
+fn assert_no_violations(seed: u64) {
+    let violations = run_seed(seed);
+    assert!(
+        violations.is_empty(),
+        "seed {seed}:\n{}",
+        violations.join("\n")
+    );
 }
 
-/// Seeds that are played each time. One that ever failed stays here, with its cause.
+/// Seeds that always run. A seed that once failed stays here, with the cause of its failure.
 macro_rules! seeds {
     ($($name:ident: $seed:expr;)*) => {$(
         #[test]
         fn $name() {
-            check($seed);
+            assert_no_violations($seed);
         }
     )*};
 }
@@ -63,6 +67,6 @@
     let first = number("SOAK_FIRST");
     for seed in first..first + number("SOAK_SEEDS") {
         println!("seed {seed}");
-        check(seed);
+        assert_no_violations(seed);
     }
 }
--- a/soak/world.rs
+++ b/soak/world.rs
@@ -1,4 +1,4 @@
-//! What is soaked: a store, targets behind links, and hosts.
+//! The system under test: a store, targets behind links, and hosts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -12,68 +12,68 @@
     self, build_response, configure, get, ok_response, start_target, Host, Mode, Store,
 };
 
-/// Hosts; one may be lost at any time.
-const HOSTS: usize = 3;
-const TARGETS: usize = 6;
-/// How long the whole may take to serve again after the last fault.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Number of hosts; one of them may be down at any time.
+const HOST_COUNT: usize = 3;
+const TARGET_COUNT: usize = 6;
+/// How long the system may take to serve again after the last fault.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a target does with requests.
+/// How a target handles requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Way {
-    /// It runs and answers them.
+pub enum TargetMode {
+    /// Runs and answers them.
     #[default]
-    Well,
-    /// It runs them and breaks off.
-    Break,
-    /// It refuses them without running them.
+    Normal,
+    /// Runs them and closes the connection without an answer.
+    Close,
+    /// Refuses them without running them, and reports that.
     Refuse,
-    /// It runs them and answers 503 without a promise.
-    Shed,
-    /// It runs them and fails them.
+    /// Runs them and answers 503 without reporting whether they ran.
+    Unavailable,
+    /// Runs them and answers 500.
     Fail,
-    /// It runs them and names another request in its answer.
-    Stray,
-    /// It runs them late.
+    /// Runs them and answers with the ID of another request.
+    WrongId,
+    /// Runs them after a delay.
     Slow,
 }
 
-/// What targets ran, and how they run it.
+/// The requests that targets ran and that callers were told were not run, and the mode of each target.
 #[derive(Default)]
 pub struct Ledger {
-    /// How often each request was run.
+    /// Number of runs of each request.
     runs: BTreeMap<String, usize>,
-    /// Requests that must not run twice and were refused with a promise.
-    promised: BTreeSet<String>,
-    ways: BTreeMap<usize, Way>,
+    /// At-most-once requests that were refused with the assurance that they have not run and never will.
+    reported_not_run: BTreeSet<String>,
+    target_modes: BTreeMap<usize, TargetMode>,
 }
 
 /// The ledger, shared by targets, callers and faults.
-pub type Shared = Arc<Mutex<Ledger>>;
+pub type SharedLedger = Arc<Mutex<Ledger>>;
 
-pub fn lock(ledger: &Shared) -> MutexGuard<'_, Ledger> {
+pub fn lock(ledger: &SharedLedger) -> MutexGuard<'_, Ledger> {
     ledger.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Ledger {
-    pub fn set_way(&mut self, target: usize, way: Way) {
-        self.ways.insert(target, way);
+    pub fn set_target_mode(&mut self, target: usize, mode: TargetMode) {
+        self.target_modes.insert(target, mode);
     }
 
-    /// How often a request has run so far.
+    /// Returns how often a request has run so far.
     pub fn runs(&self, id: &str) -> usize {
         self.runs.get(id).copied().unwrap_or_default()
     }
 
-    /// A caller was promised that a request has not run and never will.
-    pub fn promise(&mut self, id: &str) {
-        self.promised.insert(id.into());
+    /// Records that a caller was told that a request has not run and never will.
+    pub fn record_not_run(&mut self, id: &str) {
+        self.reported_not_run.insert(id.into());
     }
 }
 
 pub struct World {
     pub store: Store,
-    pub ledger: Shared,
+    pub ledger: SharedLedger,
     pub links: Vec<Link>,
     pub hosts: Vec<Host>,
 }
@@ -82,17 +82,17 @@
     pub fn new() -> Self {
         let store = Store::new();
         configure(&store, 1);
-        let ledger = Shared::default();
-        let links: Vec<Link> = (0..TARGETS)
+        let ledger = SharedLedger::default();
+        let links: Vec<Link> = (0..TARGET_COUNT)
             .map(|index| {
-                let address = one_target(index, ledger.clone());
+                let address = start_recording_target(index, ledger.clone());
                 Link::new(SocketAddr::from(([127, 0, 0, 1], 0)), address).unwrap()
             })
             .collect();
         for (index, link) in links.iter().enumerate() {
             store.put_target(&format!("i-{index}"), link.address(), "ready");
         }
-        let hosts = (0..HOSTS)
+        let hosts = (0..HOST_COUNT)
             .map(|index| Host::with_name(&store, &format!("h{index}")))
             .collect();
         let world = Self {
@@ -101,16 +101,16 @@
             links,
             hosts,
         };
-        world.recovers().unwrap();
+        world.wait_until_serving().unwrap();
         world
     }
 
-    /// Ends all faults but those of the processes that are gone.
-    pub fn heal(&mut self) {
+    /// Ends all faults: resumes or restarts hosts, and resets the store, links and targets.
+    pub fn end_faults(&mut self) {
         self.store.set_mode(Mode::Up);
         for (index, link) in self.links.iter().enumerate() {
             link.set_fault(Fault::default());
-            lock(&self.ledger).set_way(index, Way::Well);
+            lock(&self.ledger).set_target_mode(index, TargetMode::Normal);
             self.store
                 .put_target(&format!("i-{index}"), link.address(), "ready");
         }
@@ -120,21 +120,25 @@
         }
     }
 
-    /// Waits until all hosts serve, ten times in a row each.
-    pub fn recovers(&self) -> Result<(), String> {
-        let end = Instant::now() + PATIENCE;
+    /// Waits until each host has answered ten requests in a row with 200.
+    ///
+    /// # Errors
+    ///
+    /// Names the host that did not do so in time.
+    pub fn wait_until_serving(&self) -> Result<(), String> {
+        let deadline = Instant::now() + RECOVERY_TIMEOUT;
         for (index, host) in self.hosts.iter().enumerate() {
             let mut streak = 0;
             while streak < 10 {
-                if Instant::now() >= end {
-                    return Err(format!("host {index} serves no more"));
+                if Instant::now() >= deadline {
+                    return Err(format!("host {index} did not answer 10 requests in a row within {RECOVERY_TIMEOUT:?}"));
                 }
                 let path = format!("/safe/{index}-{streak}");
                 let headers = format!("ragwortfold-request-id: probe-{index}-{streak}\r\n");
-                let answered = get(host.front, &path, &headers)
+                let is_answered = get(host.front, &path, &headers)
                     .is_some_and(|(line, ..)| line.contains(" 200 "));
-                streak = if answered { streak + 1 } else { 0 };
-                if !answered {
+                streak = if is_answered { streak + 1 } else { 0 };
+                if !is_answered {
                     thread::sleep(Duration::from_millis(50));
                 }
             }
@@ -142,29 +146,35 @@
         Ok(())
     }
 
-    /// What targets saw against what callers were promised.
-    pub fn judge(&self) -> Vec<String> {
+    /// Returns descriptions of at-most-once requests that ran twice, or ran although callers were told
+    /// that they had not.
+    pub fn find_violations(&self) -> Vec<String> {
         let ledger = lock(&self.ledger);
-        let once = |id: &str| id.starts_with("once-");
-        let twice = ledger
+        let is_at_most_once = |id: &str| id.starts_with("once-");
+        let repeated = ledger
             .runs
             .iter()
-            .filter(|(id, runs)| once(id) && **runs > 1)
+            .filter(|(id, runs)| is_at_most_once(id) && **runs > 1)
             .map(|(id, runs)| format!("{id} ran {runs} times"));
-        let promised = ledger
-            .promised
+        let false_not_run = ledger
+            .reported_not_run
             .iter()
             .filter(|id| ledger.runs(id) > 0)
-            .map(|id| format!("{id} ran although its caller was told that it never will"));
-        twice.chain(promised).collect()
+            .map(|id| format!("{id} ran although its caller was told that it was not run"));
+        repeated.chain(false_not_run).collect()
     }
 }
 
-fn one_target(index: usize, ledger: Shared) -> SocketAddr {
+/// Starts a target that records its runs in the ledger and handles requests by its current mode.
+fn start_recording_target(index: usize, ledger: SharedLedger) -> SocketAddr {
     start_target(move |headers| {
         let id = headers.get("ragwortfold-request-id")?.clone();
-        let way = lock(&ledger).ways.get(&index).copied().unwrap_or_default();
-        if way == Way::Refuse {
+        let mode = lock(&ledger)
+            .target_modes
+            .get(&index)
+            .copied()
+            .unwrap_or_default();
+        if mode == TargetMode::Refuse {
             return Some(build_response(
                 headers,
                 "503 X",
@@ -172,19 +182,21 @@
                 "",
             ));
         }
-        if way == Way::Slow {
+        if mode == TargetMode::Slow {
             thread::sleep(Duration::from_millis(300));
         }
         *lock(&ledger).runs.entry(id).or_default() += 1;
-        match way {
-            Way::Well | Way::Slow | Way::Refuse => Some(ok_response(headers)),
-            Way::Break => None,
-            Way::Shed => Some(build_response(headers, "503 X", "", "")),
-            Way::Fail => Some(build_response(headers, "500 X", "", "no")),
-            Way::Stray => {
-                let mut other = headers.clone();
-                other.insert("ragwortfold-request-id".into(), "other".into());
-                Some(standin::ok_response(&other))
+        match mode {
+            TargetMode::Normal | TargetMode::Slow | TargetMode::Refuse => {
+                Some(ok_response(headers))
+            }
+            TargetMode::Close => None,
+            TargetMode::Unavailable => Some(build_response(headers, "503 X", "", "")),
+            TargetMode::Fail => Some(build_response(headers, "500 X", "", "no")),
+            TargetMode::WrongId => {
+                let mut other_headers = headers.clone();
+                other_headers.insert("ragwortfold-request-id".into(), "other".into());
+                Some(standin::ok_response(&other_headers))
             }
         }
     })
