--- a/tests/load.rs
+++ b/tests/load.rs
@@ -12,7 +12,7 @@
 
 mod replay;
 
-use replay::{Mode, Scene, Sum, World};
+use replay::{Mode, RequestCounts, Scenario, Simulation};
 
 const SEEDS: std::ops::Range<u64> = 1..6;
 
@@ -24,21 +24,21 @@
     Switches::default()
 }
 
-fn scene(switches: Switches, seed: u64) -> Scene {
-    Scene {
+fn scene(switches: Switches, seed: u64) -> Scenario {
+    Scenario {
         switches,
         seed,
-        ..Scene::default()
+        ..Scenario::default()
     }
 }
 
 /// Sums the results of a load over all seeds.
-fn sum_over_seeds(switches: Switches, load: impl Fn(Scene) -> Sum) -> Sum {
-    SEEDS.fold(Sum::default(), |sum, seed| {
+fn sum_over_seeds(switches: Switches, load: impl Fn(Scenario) -> RequestCounts) -> RequestCounts {
+    SEEDS.fold(RequestCounts::default(), |sum, seed| {
         let result = load(scene(switches, seed));
-        Sum {
-            asked: sum.asked + result.asked,
-            good: sum.good + result.good,
+        RequestCounts {
+            total: sum.total + result.total,
+            in_time: sum.in_time + result.in_time,
             late: sum.late + result.late,
             refused: sum.refused + result.refused,
             failed: sum.failed + result.failed,
@@ -47,77 +47,77 @@
 }
 
 /// Cold start: no target has any object cached.
-fn cold_start(scene: Scene) -> Sum {
-    let mut world = World::new(scene);
+fn cold_start(scene: Scenario) -> RequestCounts {
+    let mut world = Simulation::new(scene);
     world.run(seconds(9.0));
-    world.sum(seconds(0.0), seconds(6.0))
+    world.count_requests(seconds(0.0), seconds(6.0))
 }
 
 /// Two of four targets of a region accept requests and never answer.
-fn silent_targets(scene: Scene) -> Sum {
-    let mut world = World::new(scene);
+fn silent_targets(scene: Scenario) -> RequestCounts {
+    let mut world = Simulation::new(scene);
     world.run(seconds(10.0));
-    for site in &world.region(1)[..2] {
-        world.set_mode(*site, Mode::Dark);
+    for site in &world.targets_in_region(1)[..2] {
+        world.set_mode(*site, Mode::Silent);
     }
     world.run(seconds(10.0));
-    world.sum(seconds(10.0), seconds(16.0))
+    world.count_requests(seconds(10.0), seconds(16.0))
 }
 
 /// Two targets of a region are withdrawn and return with empty caches.
-fn targets_return(scene: Scene) -> Sum {
-    let mut world = World::new(scene);
-    let sites = world.region(2)[..2].to_vec();
+fn targets_return(scene: Scenario) -> RequestCounts {
+    let mut world = Simulation::new(scene);
+    let sites = world.targets_in_region(2)[..2].to_vec();
     world.run(seconds(10.0));
     for site in &sites {
-        world.withdraw(*site);
+        world.withdraw_target(*site);
     }
     world.run(seconds(3.0));
     for site in &sites {
-        world.restore(*site);
+        world.restore_target(*site);
     }
     world.run(seconds(9.0));
-    world.sum(seconds(10.0), seconds(19.0))
+    world.count_requests(seconds(10.0), seconds(19.0))
 }
 
 /// One region has more than twice its usual load for three seconds: more than its targets can serve, and as much as other regions
 /// may take over within the limit on shifted traffic.
-fn burst(scene: Scene) -> Sum {
+fn burst(scene: Scenario) -> RequestCounts {
     let rate = scene.rate;
-    let mut world = World::new(scene);
+    let mut world = Simulation::new(scene);
     world.run(seconds(10.0));
-    world.set_rate(0, rate * 2.2);
+    world.set_request_rate(0, rate * 2.2);
     world.run(seconds(3.0));
-    world.set_rate(0, rate);
+    world.set_request_rate(0, rate);
     world.run(seconds(8.0));
-    world.sum(seconds(10.0), seconds(18.0))
+    world.count_requests(seconds(10.0), seconds(18.0))
 }
 
 /// All hosts restart while the targets keep their cached objects.
-fn hosts_restart(scene: Scene) -> Sum {
-    let mut world = World::new(scene);
+fn hosts_restart(scene: Scenario) -> RequestCounts {
+    let mut world = Simulation::new(scene);
     world.run(seconds(10.0));
     world.restart_hosts();
     world.run(seconds(8.0));
-    world.sum(seconds(10.0), seconds(16.0))
+    world.count_requests(seconds(10.0), seconds(16.0))
 }
 
 /// All targets of a region refuse half of their requests.
-fn shedding_targets(scene: Scene) -> Sum {
-    let mut world = World::new(scene);
+fn shedding_targets(scene: Scenario) -> RequestCounts {
+    let mut world = Simulation::new(scene);
     world.run(seconds(10.0));
-    for site in world.region(2) {
+    for site in world.targets_in_region(2) {
         world.set_mode(site, Mode::Shed(0.5));
     }
     world.run(seconds(8.0));
-    world.sum(seconds(10.0), seconds(16.0))
+    world.count_requests(seconds(10.0), seconds(16.0))
 }
 
 /// Twice the load that all slots can serve, for ten seconds.
-fn overload(scene: Scene) -> World {
-    let mut world = World::new(Scene {
-        fresh: Duration::from_millis(150),
-        again: Duration::from_millis(150),
+fn overload(scene: Scenario) -> Simulation {
+    let mut world = Simulation::new(Scenario {
+        uncached_time: Duration::from_millis(150),
+        cached_time: Duration::from_millis(150),
         rate: 290.0,
         ..scene
     });
@@ -125,8 +125,8 @@
     world
 }
 
-fn overloaded(scene: Scene) -> Sum {
-    overload(scene).sum(seconds(2.0), seconds(8.0))
+fn overloaded(scene: Scenario) -> RequestCounts {
+    overload(scene).count_requests(seconds(2.0), seconds(8.0))
 }
 
 /// Returns the switches with one mechanism off.
@@ -144,8 +144,8 @@
         fn $name() {
             let before = sum_over_seeds(without(|switches| switches.$mechanism = Switch::Off), $load);
             let after = sum_over_seeds(all_on(), $load);
-            assert!(before.share() <= $before, "{:.3} before: {before:?}", before.share());
-            assert!(after.share() >= $after, "{:.3} after: {after:?}", after.share());
+            assert!(before.in_time_share() <= $before, "{:.3} before: {before:?}", before.in_time_share());
+            assert!(after.in_time_share() >= $after, "{:.3} after: {after:?}", after.in_time_share());
         }
     )*};
 }
@@ -175,7 +175,7 @@
 fn requests_beyond_capacity_are_refused_at_once() {
     for seed in SEEDS {
         let world = overload(scene(all_on(), seed));
-        let sum = world.sum(seconds(2.0), seconds(8.0));
+        let sum = world.count_requests(seconds(2.0), seconds(8.0));
         assert!(sum.refused > 0 && sum.failed == 0, "{sum:?}");
         // At most two attempts, each with one round trip.
         let longest = world.longest_refusal();
@@ -189,9 +189,9 @@
 
 /// A burst with so many targets and requests that single ones don't matter: for three seconds the first `regions` have `times`
 /// their load.
-fn wide_burst(scene: Scene, regions: usize, times: f64) -> World {
+fn wide_burst(scene: Scenario, regions: usize, times: f64) -> Simulation {
     let rate = 240.0;
-    let mut world = World::new(Scene {
+    let mut world = Simulation::new(Scenario {
         hosts: 4,
         rate,
         objects: 240,
@@ -199,25 +199,25 @@
     });
     world.run(seconds(10.0));
     for region in 0..regions {
-        world.set_rate(region, rate * times);
+        world.set_request_rate(region, rate * times);
     }
     world.run(seconds(3.0));
     for region in 0..regions {
-        world.set_rate(region, rate);
+        world.set_request_rate(region, rate);
     }
     world.run(seconds(8.0));
     world
 }
 
 /// Returns the largest shift of the first region around such a burst.
-fn largest_shift(world: &World) -> f64 {
+fn largest_shift(world: &Simulation) -> f64 {
     world.largest_shift(0, (seconds(8.0), seconds(20.0)), SHIFT_WINDOW)
 }
 
 #[test]
 fn a_burst_shifts_to_other_regions_gradually() {
     for seed in SEEDS {
-        let scene = Scene {
+        let scene = Scenario {
             targets: vec![8, 16, 20],
             ..scene(all_on(), seed)
         };
@@ -227,7 +227,9 @@
             largest_shift <= MAX_SHIFTED_SHARE,
             "seed {seed}: {largest_shift:.3}"
         );
-        let share = world.sum(seconds(10.0), seconds(18.0)).share();
+        let share = world
+            .count_requests(seconds(10.0), seconds(18.0))
+            .in_time_share();
         assert!(share >= 0.88, "seed {seed}: {share:.3}");
     }
 }
@@ -235,7 +237,7 @@
 #[test]
 fn a_burst_in_all_regions_shifts_little() {
     for seed in SEEDS {
-        let scene = Scene {
+        let scene = Scenario {
             targets: vec![13, 13, 13],
             ..scene(all_on(), seed)
         };
@@ -251,17 +253,17 @@
 #[test]
 fn traffic_of_a_lost_zone_shifts_at_once() {
     for seed in SEEDS {
-        let mut world = World::new(Scene {
+        let mut world = Simulation::new(Scenario {
             targets: vec![4, 4, 4],
             ..scene(all_on(), seed)
         });
         world.run(seconds(10.0));
-        for site in &world.region(1)[1..] {
-            world.withdraw(*site);
+        for site in &world.targets_in_region(1)[1..] {
+            world.withdraw_target(*site);
         }
         world.run(seconds(6.0));
-        let sum = world.sum(seconds(10.2), seconds(15.0));
-        assert!(sum.refused * 100 <= sum.asked, "seed {seed}: {sum:?}");
+        let sum = world.count_requests(seconds(10.2), seconds(15.0));
+        assert!(sum.refused * 100 <= sum.total, "seed {seed}: {sum:?}");
     }
 }
 
@@ -270,23 +272,23 @@
     seed: u64,
     times: f64,
     pause: fn(Duration, f64) -> Duration,
-) -> World {
+) -> Simulation {
     let rate = 240.0;
-    let mut world = World::new(Scene {
+    let mut world = Simulation::new(Scenario {
         targets: vec![13, 13, 13],
         hosts: 4,
         rate,
         objects: 240,
-        pause: Some(pause),
+        retry_pause: Some(pause),
         ..scene(all_on(), seed)
     });
     world.run(seconds(10.0));
     for region in 0..3 {
-        world.set_rate(region, rate * times);
+        world.set_request_rate(region, rate * times);
     }
     world.run(seconds(3.0));
     for region in 0..3 {
-        world.set_rate(region, rate);
+        world.set_request_rate(region, rate);
     }
     world.run(seconds(6.0));
     world
@@ -295,10 +297,11 @@
 /// Returns the share of requests answered in time, over all seeds.
 fn share_in_time(times: f64, pause: fn(Duration, f64) -> Duration) -> f64 {
     let sums = SEEDS.map(|seed| {
-        overload_with_returning_callers(seed, times, pause).sum(seconds(10.0), seconds(15.0))
+        overload_with_returning_callers(seed, times, pause)
+            .count_requests(seconds(10.0), seconds(15.0))
     });
     let (good, asked) = sums.fold((0, 0), |(good, asked), sum| {
-        (good + sum.good, asked + sum.asked)
+        (good + sum.in_time, asked + sum.total)
     });
     f64::from(good) / f64::from(asked)
 }
--- a/tests/replay/mod.rs
+++ b/tests/replay/mod.rs
@@ -1,7 +1,8 @@
-//! Hosts and targets under a load in virtual time, for the decisions of the fleet without sockets.
+//! Simulates hosts and targets under load in virtual time, to test the decisions of [`Fleet`] without
+//! sockets.
 //!
-//! Targets have slots, a queue and objects that they handled lately, for which they answer faster; hosts
-//! decide with [`Fleet`] and hear of targets only through answers, as in operation.
+//! Targets have slots, a queue and a cache of recently handled objects, for which they answer faster.
+//! Hosts decide with [`Fleet`] and learn about targets only from their answers, as in operation.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 #![allow(clippy::unwrap_used)]
@@ -18,147 +19,160 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// The service that all targets belong to.
+/// The service of all targets.
 const SERVICE: &str = "books";
-/// One way within a region, and between regions.
-const NEAR: Duration = Duration::from_millis(1);
-const FAR: Duration = Duration::from_millis(20);
-/// How long a host waits for the answer to a claim, and how long it looks for leave to send in all.
-const CLAIM: Duration = Duration::from_millis(60);
-const SEEK: Duration = Duration::from_millis(200);
-/// How long hosts take to learn that another one ended or started.
-const LEARN: Duration = Duration::from_millis(1500);
-/// Time between two tellings of what targets said of their rates.
-const REPEAT: Duration = Duration::from_secs(1);
-
-/// What a target does with the requests that it gets.
+/// One-way network delay within a region, and between regions.
+const IN_REGION_DELAY: Duration = Duration::from_millis(1);
+const CROSS_REGION_DELAY: Duration = Duration::from_millis(20);
+/// How long a host waits for the answer to a claim, and how long it searches for a target with
+/// permission to send in total.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(60);
+const MAX_SEARCH_TIME: Duration = Duration::from_millis(200);
+/// How long hosts take to detect that another host was killed, cut off or reconnected.
+const DETECTION_DELAY: Duration = Duration::from_millis(1500);
+/// Interval at which hosts send the target rates that they know to other hosts.
+const GOSSIP_INTERVAL: Duration = Duration::from_secs(1);
+
+/// How a target handles requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
-    /// It answers.
+    /// Answers them.
     Up,
-    /// It takes so many times as long.
+    /// Answers them; the service time is multiplied by this factor.
     Slow(f64),
-    /// It takes requests and never answers.
-    Dark,
-    /// It refuses this part of the requests without running them.
+    /// Accepts them and never answers.
+    Silent,
+    /// Refuses this share of them without running them, and answers the others.
     Shed(f64),
 }
 
-/// What is played.
+/// The parameters of a simulation.
 #[derive(Clone, Debug)]
-pub struct Scene {
-    /// The number of targets in each region.
+pub struct Scenario {
+    /// Number of targets in each region.
     pub targets: Vec<usize>,
-    /// Hosts in each region.
+    /// Number of hosts in each region.
     pub hosts: usize,
+    /// Requests that a target runs at the same time.
     pub slots: u32,
-    /// Requests that may wait at a target.
-    pub queue: usize,
-    /// The time that a target works on an object that it does not have, and on one that it has.
-    pub fresh: Duration,
-    pub again: Duration,
-    /// Objects that a target keeps.
-    pub keeps: usize,
-    /// Objects whose requests come from each region.
+    /// Maximum number of requests that wait at a target.
+    pub queue_limit: usize,
+    /// Service time for an object that is not in the target's cache, and for one that is.
+    pub uncached_time: Duration,
+    pub cached_time: Duration,
+    /// Maximum number of objects in a target's cache.
+    pub cache_size: usize,
+    /// Number of distinct objects that are requested from each region.
     pub objects: u64,
     /// Requests a second from each region.
     pub rate: f64,
-    /// The time within which an answer is good, and within which one is of use.
-    pub aim: Duration,
+    /// Time within which an answer counts as in time, and time after which a host cancels the request.
+    pub goal: Duration,
     pub deadline: Duration,
-    /// The bytes of an answer.
-    pub bytes: u64,
-    /// Targets that one request may be sent to.
-    pub attempts: usize,
-    /// When a refused caller comes back, once, by the time until there may be room and a random number; never without.
-    pub pause: Option<fn(Duration, f64) -> Duration>,
-    /// Mechanisms of the hosts in use.
+    /// Body size of an answer, in bytes.
+    pub answer_bytes: u64,
+    /// Maximum number of targets that a request is sent to.
+    pub max_attempts: usize,
+    /// Computes the pause before the only retry of a refused request from the estimated time until a
+    /// target has room and a random number between 0 and 1. `None`: no retry.
+    pub retry_pause: Option<fn(Duration, f64) -> Duration>,
+    /// The mechanisms that hosts use.
     pub switches: Switches,
     pub seed: u64,
 }
 
-impl Default for Scene {
+impl Default for Scenario {
     fn default() -> Self {
         Self {
             targets: vec![2, 4, 5],
             hosts: 3,
             slots: 6,
-            queue: 18,
-            fresh: Duration::from_millis(480),
-            again: Duration::from_millis(144),
-            keeps: 74,
+            queue_limit: 18,
+            uncached_time: Duration::from_millis(480),
+            cached_time: Duration::from_millis(144),
+            cache_size: 74,
             objects: 60,
             rate: 60.0,
-            aim: Duration::from_millis(400),
+            goal: Duration::from_millis(400),
             deadline: Duration::from_millis(2500),
-            bytes: 1500,
-            attempts: 2,
-            pause: None,
+            answer_bytes: 1500,
+            max_attempts: 2,
+            retry_pause: None,
             switches: Switches::default(),
             seed: 1,
         }
     }
 }
 
-/// What became of the requests that came within a span.
+/// Numbers of requests by outcome.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Sum {
-    pub asked: u32,
-    pub good: u32,
+pub struct RequestCounts {
+    /// All requests.
+    pub total: u32,
+    /// Requests that were answered within the goal.
+    pub in_time: u32,
+    /// Requests that were answered after the goal.
     pub late: u32,
     pub refused: u32,
     pub failed: u32,
 }
 
-impl Sum {
-    /// The part of the requests that was answered in good time.
-    pub fn share(&self) -> f64 {
-        f64::from(self.good) / f64::from(self.asked.max(1))
+impl RequestCounts {
+    /// Returns the share of the requests that were answered in time.
+    pub fn in_time_share(&self) -> f64 {
+        f64::from(self.in_time) / f64::from(self.total.max(1))
     }
 }
 
-struct Site {
+/// A target with its queue and cache.
+struct SimulatedTarget {
     registration: Registration,
     region: usize,
     mode: Mode,
     running: usize,
+    /// The queued requests by index.
     waiting: VecDeque<usize>,
-    /// The objects that it has, the one handled last at the end.
-    kept: VecDeque<u64>,
-    /// The requests a second that it names in its answers.
+    /// The cached objects in order of their last use; the most recent is last.
+    cache: VecDeque<u64>,
+    /// The rate limit that it reports in its answers, in requests a second.
     rate: Option<f64>,
-    /// When requests came, and from which hosts.
+    /// The arrival time and host of each request.
     arrivals: Vec<(Instant, usize)>,
 }
 
 struct Request {
     host: usize,
     object: u64,
-    begun: Instant,
+    started_at: Instant,
+    /// The targets that it was sent to.
     tried: Vec<TargetKey>,
-    /// Where it is, and since when.
+    /// The target that it was sent to and the time of sending, while it awaits the answer.
     target: Option<(TargetKey, Instant)>,
-    end: Option<Outcome>,
-    at: Instant,
-    /// The region of the target that answered it.
-    ran: Option<usize>,
-    /// Whether it was refused once and came back.
-    returned: bool,
-    /// The claim whose answer it waits for, and until when it looks for leave to be sent.
-    claimed: Option<u32>,
-    seeks_until: Instant,
+    outcome: Option<Outcome>,
+    ended_at: Instant,
+    /// The region of the target that ran it.
+    ran_in_region: Option<usize>,
+    /// Whether it was refused once and is retried.
+    is_retry: bool,
+    /// The claim whose answer it awaits, and the time at which the search for a target ends.
+    pending_claim: Option<u32>,
+    search_deadline: Instant,
 }
 
 impl Request {
-    /// What its host asks the fleet for it.
-    fn ask<'a>(&self, service: &'a Arc<str>, homes: &'a BTreeSet<Arc<str>>) -> TargetQuery<'a> {
-        let draw = draw(self.object);
+    /// Returns the query by which its host asks the fleet for a target.
+    fn target_query<'a>(
+        &self,
+        service: &'a Arc<str>,
+        homes: &'a BTreeSet<Arc<str>>,
+    ) -> TargetQuery<'a> {
+        let hash = hash_object(self.object);
         TargetQuery {
             service,
-            affinity_key: draw,
+            affinity_key: hash,
             homes,
             tried: self.tried.clone(),
-            object: Some(draw),
+            object: Some(hash),
             body_bytes: 0,
         }
     }
@@ -173,16 +187,16 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Event {
-    Ask {
+    NewRequest {
         region: usize,
     },
     Arrive {
         request: usize,
-        site: usize,
+        target_index: usize,
     },
-    Done {
+    WorkDone {
         request: usize,
-        site: usize,
+        target_index: usize,
     },
     Answer {
         request: usize,
@@ -192,33 +206,33 @@
     },
     Claim {
         request: usize,
-        keeper: usize,
+        allocator: usize,
         target: TargetKey,
         claim: Claim,
     },
     Grant {
         request: usize,
-        keeper: usize,
+        allocator: usize,
         target: TargetKey,
         grant: Grant,
     },
-    Unanswered {
+    ClaimTimeout {
         request: usize,
-        keeper: usize,
+        allocator: usize,
         target: TargetKey,
         claim: Claim,
     },
-    News {
+    RateUpdate {
         host: usize,
-        news: RateUpdate,
+        update: RateUpdate,
     },
-    Repeat,
-    Learn,
-    GiveUp {
+    GossipRates,
+    UpdateLiveHosts,
+    Deadline {
         request: usize,
         attempt: usize,
     },
-    Return {
+    Retry {
         request: usize,
     },
 }
@@ -226,151 +240,166 @@
 struct Host {
     region: usize,
     fleet: Fleet,
-    /// Connections that were opened.
-    met: BTreeSet<TargetKey>,
-    /// Whether it runs, and whether other hosts reach it.
+    /// Targets that the host has connected to.
+    connected: BTreeSet<TargetKey>,
+    /// Whether the host runs, and whether it is cut off from the other hosts.
     is_up: bool,
-    is_cut: bool,
+    is_isolated: bool,
 }
 
-/// The world that a scene sets.
-pub struct World {
-    pub scene: Scene,
+/// A simulation of hosts and targets in virtual time.
+pub struct Simulation {
+    pub scenario: Scenario,
     pub now: Instant,
-    begun: Instant,
+    started_at: Instant,
     hosts: Vec<Host>,
-    sites: Vec<Site>,
+    targets: Vec<SimulatedTarget>,
     requests: Vec<Request>,
+    /// The scheduled events by time; a sequence number orders events of the same time.
     events: BTreeMap<(Instant, u64), Event>,
-    count: u64,
+    event_count: u64,
     rng: Pcg64Mcg,
     /// Requests a second from each region.
-    rates: Vec<f64>,
+    request_rates: Vec<f64>,
+    /// Number of datagrams that hosts sent each other.
     datagrams: u64,
 }
 
-impl World {
-    pub fn new(scene: Scene) -> Self {
+impl Simulation {
+    pub fn new(scenario: Scenario) -> Self {
         let now = Instant::now();
-        let mut world = Self {
+        let mut simulation = Self {
             now,
-            begun: now,
+            started_at: now,
             hosts: Vec::new(),
-            sites: Vec::new(),
+            targets: Vec::new(),
             requests: Vec::new(),
             events: BTreeMap::new(),
-            count: 0,
-            rng: Pcg64Mcg::seed_from_u64(scene.seed),
-            rates: vec![scene.rate; scene.targets.len()],
+            event_count: 0,
+            rng: Pcg64Mcg::seed_from_u64(scenario.seed),
+            request_rates: vec![scenario.rate; scenario.targets.len()],
             datagrams: 0,
-            scene,
+            scenario,
         };
-        for region in 0..world.scene.targets.len() {
-            for index in 0..world.scene.hosts {
-                let host = world.host(region, index);
-                world.hosts.push(host);
+        for region in 0..simulation.scenario.targets.len() {
+            for index in 0..simulation.scenario.hosts {
+                let host = simulation.build_host(region, index);
+                simulation.hosts.push(host);
             }
         }
-        for region in 0..world.scene.targets.len() {
-            for _ in 0..world.scene.targets[region] {
-                world.add(region);
+        for region in 0..simulation.scenario.targets.len() {
+            for _ in 0..simulation.scenario.targets[region] {
+                simulation.add_target(region);
             }
-            world.plan(Duration::ZERO, Event::Ask { region });
+            simulation.schedule(Duration::ZERO, Event::NewRequest { region });
         }
-        world.learn();
-        world.plan(REPEAT, Event::Repeat);
-        world
+        simulation.update_live_hosts();
+        simulation.schedule(GOSSIP_INTERVAL, Event::GossipRates);
+        simulation
     }
 
-    fn host(&self, region: usize, index: usize) -> Host {
+    fn build_host(&self, region: usize, index: usize) -> Host {
         let name = format!("h{region}-{index}").into();
-        let regions = (0..self.scene.targets.len())
+        let regions = (0..self.scenario.targets.len())
             .map(|region| (zone(region), format!("r{region}").into()))
             .collect();
         Host {
             region,
             fleet: Fleet::new(self.now, name, zone(region), regions, 5.0)
-                .with_switches(self.scene.switches),
-            met: BTreeSet::new(),
+                .with_switches(self.scenario.switches),
+            connected: BTreeSet::new(),
             is_up: true,
-            is_cut: false,
+            is_isolated: false,
         }
     }
 
-    /// Tells all hosts which there are.
-    fn learn(&mut self) {
-        let whole: Vec<_> = (0..self.hosts.len())
-            .filter(|at| self.hosts[*at].is_up && !self.hosts[*at].is_cut)
-            .map(|at| self.named(at))
+    /// Updates the live hosts that each host knows. An isolated host knows only itself.
+    fn update_live_hosts(&mut self) {
+        let reachable: Vec<_> = (0..self.hosts.len())
+            .filter(|host_index| {
+                self.hosts[*host_index].is_up && !self.hosts[*host_index].is_isolated
+            })
+            .map(|host_index| self.host_name_and_region(host_index))
             .collect();
-        for at in 0..self.hosts.len() {
-            let known = if self.hosts[at].is_cut {
-                vec![self.named(at)]
+        for host_index in 0..self.hosts.len() {
+            let live = if self.hosts[host_index].is_isolated {
+                vec![self.host_name_and_region(host_index)]
             } else {
-                whole.clone()
+                reachable.clone()
             };
-            self.hosts[at].fleet.set_live_hosts(known);
+            self.hosts[host_index].fleet.set_live_hosts(live);
         }
     }
 
-    fn named(&self, at: usize) -> (Arc<str>, Arc<str>) {
-        let region = at / self.scene.hosts;
-        let name = format!("h{region}-{}", at % self.scene.hosts);
+    /// Returns the name and the region of a host.
+    fn host_name_and_region(&self, host_index: usize) -> (Arc<str>, Arc<str>) {
+        let region = host_index / self.scenario.hosts;
+        let name = format!("h{region}-{}", host_index % self.scenario.hosts);
         (name.into(), format!("r{region}").into())
     }
 
-    /// Ends a host; the others learn of it after a while. What it had under way is lost.
-    pub fn kill(&mut self, at: usize) {
-        self.hosts[at].is_up = false;
+    /// Kills a host; the others detect that after a delay. Its pending requests fail.
+    pub fn kill(&mut self, host_index: usize) {
+        self.hosts[host_index].is_up = false;
         for request in &mut self.requests {
-            if request.host == at && request.end.is_none() {
+            if request.host == host_index && request.outcome.is_none() {
                 request.target = None;
-                request.end = Some(Outcome::Failed);
+                request.outcome = Some(Outcome::Failed);
             }
         }
-        self.plan(LEARN, Event::Learn);
+        self.schedule(DETECTION_DELAY, Event::UpdateLiveHosts);
     }
 
-    /// Ends a host that says so to the others before.
-    pub fn stop(&mut self, at: usize) {
-        self.kill(at);
-        self.learn();
+    /// Stops a host that announces it, so that the others learn of it host_index once. Its pending requests fail.
+    pub fn stop(&mut self, host_index: usize) {
+        self.kill(host_index);
+        self.update_live_hosts();
     }
 
-    /// Starts a host anew that was ended. It is told of rates as it meets the others, and they learn of it after a while.
-    pub fn start(&mut self, at: usize) {
-        let mut host = self.host(at / self.scene.hosts, at % self.scene.hosts);
-        for site in &self.sites {
-            host.fleet.register(self.now, site.registration.clone());
+    /// Restarts a host that was killed or stopped. It receives the rates that another host knows, and the
+    /// others learn of it host_index once.
+    pub fn start(&mut self, host_index: usize) {
+        let mut host = self.build_host(
+            host_index / self.scenario.hosts,
+            host_index % self.scenario.hosts,
+        );
+        for target in &self.targets {
+            host.fleet.register(self.now, target.registration.clone());
         }
-        let other = self.hosts.iter().position(|other| other.is_up);
-        let news: Vec<RateUpdate> = other
-            .map(|other| self.hosts[other].fleet.rate_updates(self.now).collect())
+        let running = self.hosts.iter().position(|host| host.is_up);
+        let updates: Vec<RateUpdate> = running
+            .map(|running| self.hosts[running].fleet.rate_updates(self.now).collect())
             .unwrap_or_default();
-        for news in &news {
-            host.fleet.merge_rate(self.now, news);
+        for update in &updates {
+            host.fleet.merge_rate(self.now, update);
         }
-        self.hosts[at] = host;
-        self.learn();
+        self.hosts[host_index] = host;
+        self.update_live_hosts();
     }
 
-    /// Cuts a host from the others, or takes that back; it goes on to serve callers by targets.
-    pub fn cut(&mut self, at: usize, is_cut: bool) {
-        self.hosts[at].is_cut = is_cut;
-        self.plan(LEARN, Event::Learn);
+    /// Isolates a host from the other hosts or reconnects it; it still reaches callers and targets.
+    pub fn set_isolated(&mut self, host_index: usize, is_isolated: bool) {
+        self.hosts[host_index].is_isolated = is_isolated;
+        self.schedule(DETECTION_DELAY, Event::UpdateLiveHosts);
     }
 
-    /// Sets the requests a second that a target names from now on.
-    pub fn name(&mut self, site: usize, rate: Option<f64>) {
-        self.sites[site].rate = rate;
+    /// Sets the rate limit that a target reports from now on, in requests a second; `None` for no limit.
+    pub fn set_target_rate(&mut self, target_index: usize, rate: Option<f64>) {
+        self.targets[target_index].rate = rate;
     }
 
-    /// The most requests that a target got in any span of this length that began after a time from the beginning on, but for those
-    /// from some hosts.
-    pub fn most(&self, site: usize, from: Duration, span: Duration, but: &[usize]) -> usize {
-        let arrivals = self.sites[site].arrivals.iter();
+    /// Returns the largest number of requests that arrived at a target within any window of length `span`
+    /// that begins no earlier than `from` after the start. Requests from hosts in `excluded` don't count.
+    pub fn max_arrivals_in_window(
+        &self,
+        target_index: usize,
+        from: Duration,
+        span: Duration,
+        excluded: &[usize],
+    ) -> usize {
+        let arrivals = self.targets[target_index].arrivals.iter();
         let times: Vec<Instant> = arrivals
-            .filter(|(at, host)| *at >= self.begun + from && !but.contains(host))
+            .filter(|(at, host)| *at >= self.started_at + from && !excluded.contains(host))
             .map(|(at, _)| *at)
             .collect();
         let count = |first: usize| {
@@ -382,62 +411,65 @@
         (0..times.len()).map(count).max().unwrap_or_default()
     }
 
-    /// Requests that a target got between two times from the beginning on.
-    pub fn got(&self, site: usize, from: Duration, to: Duration) -> usize {
-        let arrivals = self.sites[site].arrivals.iter();
-        let within = |at: &Instant| *at >= self.begun + from && *at < self.begun + to;
+    /// Returns the number of requests that arrived at a target between two times after the start.
+    pub fn count_arrivals(&self, target_index: usize, from: Duration, to: Duration) -> usize {
+        let arrivals = self.targets[target_index].arrivals.iter();
+        let within = |at: &Instant| *at >= self.started_at + from && *at < self.started_at + to;
         arrivals.filter(|(at, _)| within(at)).count()
     }
 
-    /// Datagrams that hosts sent each other so far.
+    /// Returns the number of datagrams that hosts sent each other so far.
     pub fn datagrams(&self) -> u64 {
         self.datagrams
     }
 
-    /// All hosts start anew and know nothing of before; what they had under way is lost.
+    /// Restarts all hosts without their state. Requests that await an answer fail.
     pub fn restart_hosts(&mut self) {
         for request in &mut self.requests {
             if request.target.take().is_some() {
-                request.end = Some(Outcome::Failed);
+                request.outcome = Some(Outcome::Failed);
             }
         }
-        for at in 0..self.hosts.len() {
-            self.hosts[at] = self.host(at / self.scene.hosts, at % self.scene.hosts);
-            for site in &self.sites {
-                self.hosts[at]
+        for host_index in 0..self.hosts.len() {
+            self.hosts[host_index] = self.build_host(
+                host_index / self.scenario.hosts,
+                host_index % self.scenario.hosts,
+            );
+            for target in &self.targets {
+                self.hosts[host_index]
                     .fleet
-                    .register(self.now, site.registration.clone());
+                    .register(self.now, target.registration.clone());
             }
         }
-        self.learn();
+        self.update_live_hosts();
     }
 
-    /// Sets the requests a second that come from a region.
-    pub fn set_rate(&mut self, region: usize, rate: f64) {
-        self.rates[region] = rate;
+    /// Sets the request rate from a region, in requests a second.
+    pub fn set_request_rate(&mut self, region: usize, rate: f64) {
+        self.request_rates[region] = rate;
     }
 
-    /// The longest time that a request was held before it was refused.
+    /// Returns the longest time between the arrival of a request at its host and its refusal.
     pub fn longest_refusal(&self) -> Duration {
         let refused = self
             .requests
             .iter()
-            .filter(|request| request.end == Some(Outcome::Refused));
+            .filter(|request| request.outcome == Some(Outcome::Refused));
         refused
-            .map(|request| request.at - request.begun)
+            .map(|request| request.ended_at - request.started_at)
             .max()
             .unwrap_or_default()
     }
 
-    /// Adds a target to a region; gives its number.
-    pub fn add(&mut self, region: usize) -> usize {
-        let number = self.sites.len();
+    /// Adds a target to a region; returns its index.
+    pub fn add_target(&mut self, region: usize) -> usize {
+        let index = self.targets.len();
         let registration = Registration {
-            id: format!("t{number}").into(),
+            id: format!("t{index}").into(),
             service: SERVICE.into(),
             address: "127.0.0.1:9".parse().unwrap(),
             zone: zone(region),
-            slots: self.scene.slots,
+            slots: self.scenario.slots,
             state: State::Ready,
             cold_left: Duration::ZERO,
             born: None,
@@ -445,50 +477,50 @@
         for host in &mut self.hosts {
             host.fleet.register(self.now, registration.clone());
         }
-        self.sites.push(Site {
+        self.targets.push(SimulatedTarget {
             registration,
             region,
             mode: Mode::Up,
             running: 0,
             waiting: VecDeque::new(),
-            kept: VecDeque::new(),
+            cache: VecDeque::new(),
             rate: None,
             arrivals: Vec::new(),
         });
-        number
+        index
     }
 
-    /// Takes a target out of the registry; it ends with what it has.
-    pub fn withdraw(&mut self, site: usize) {
-        let id = self.sites[site].registration.id.clone();
+    /// Removes a target from the registry; it still finishes its requests.
+    pub fn withdraw_target(&mut self, target_index: usize) {
+        let id = self.targets[target_index].registration.id.clone();
         for host in &mut self.hosts {
             host.fleet.withdraw(&id);
         }
     }
 
-    /// Registers a target again that was withdrawn; it has nothing of before.
-    pub fn restore(&mut self, site: usize) {
-        self.sites[site].kept.clear();
-        let registration = self.sites[site].registration.clone();
+    /// Registers a withdrawn target again, with an empty cache.
+    pub fn restore_target(&mut self, target_index: usize) {
+        self.targets[target_index].cache.clear();
+        let registration = self.targets[target_index].registration.clone();
         for host in &mut self.hosts {
             host.fleet.register(self.now, registration.clone());
         }
     }
 
-    pub fn set_mode(&mut self, site: usize, mode: Mode) {
-        self.sites[site].mode = mode;
+    pub fn set_mode(&mut self, target_index: usize, mode: Mode) {
+        self.targets[target_index].mode = mode;
     }
 
-    /// The targets of a region.
-    pub fn region(&self, region: usize) -> Vec<usize> {
-        let sites = self.sites.iter().enumerate();
-        sites
-            .filter(|(_, site)| site.region == region)
-            .map(|(number, _)| number)
+    /// Returns the indices of the targets in a region.
+    pub fn targets_in_region(&self, region: usize) -> Vec<usize> {
+        let targets = self.targets.iter().enumerate();
+        targets
+            .filter(|(_, target)| target.region == region)
+            .map(|(index, _)| index)
             .collect()
     }
 
-    /// Lets time pass.
+    /// Advances the virtual time by `span` and handles the events that are due.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some(entry) = self.events.first_entry() {
@@ -502,30 +534,32 @@
         self.now = end;
     }
 
-    /// What became of the requests that came between two times from the beginning on. Time has to have passed
-    /// for their ends.
-    pub fn sum(&self, from: Duration, to: Duration) -> Sum {
-        let mut sum = Sum::default();
+    /// Counts the requests that began between two times after the start by outcome. Requests that have
+    /// not ended yet count as failed.
+    pub fn count_requests(&self, from: Duration, to: Duration) -> RequestCounts {
+        let mut counts = RequestCounts::default();
         for request in &self.requests {
-            let at = request.begun - self.begun;
+            let at = request.started_at - self.started_at;
             if at < from || at >= to {
                 continue;
             }
-            sum.asked += 1;
-            match request.end {
-                Some(Outcome::Answered) if request.at - request.begun <= self.scene.aim => {
-                    sum.good += 1
+            counts.total += 1;
+            match request.outcome {
+                Some(Outcome::Answered)
+                    if request.ended_at - request.started_at <= self.scenario.goal =>
+                {
+                    counts.in_time += 1
                 }
-                Some(Outcome::Answered) => sum.late += 1,
-                Some(Outcome::Refused) => sum.refused += 1,
-                Some(Outcome::Failed) | None => sum.failed += 1,
+                Some(Outcome::Answered) => counts.late += 1,
+                Some(Outcome::Refused) => counts.refused += 1,
+                Some(Outcome::Failed) | None => counts.failed += 1,
             }
         }
-        sum
+        counts
     }
 
-    /// The largest part of a region's requests that changed the region of their target from one span of `window` to the
-    /// next, of requests that were answered between two times from the beginning on.
+    /// Returns the largest share of a region's requests that moved to other target regions from one
+    /// `window` to the next. Considers requests that began between two times after the start and ran.
     pub fn largest_shift(
         &self,
         region: usize,
@@ -536,421 +570,491 @@
         let mut largest = 0.0f64;
         let mut at = from;
         while at + 2 * window <= to {
-            let before = self.parts(region, at, window);
-            let after = self.parts(region, at + window, window);
-            let moved = before.iter().zip(&after).map(|(b, a)| (a - b).max(0.0));
-            largest = largest.max(moved.sum());
+            let earlier = self.region_shares(region, at, window);
+            let later = self.region_shares(region, at + window, window);
+            let increases = earlier
+                .iter()
+                .zip(&later)
+                .map(|(earlier, later)| (later - earlier).max(0.0));
+            largest = largest.max(increases.sum());
             at += STEP;
         }
         largest
     }
 
-    /// The part of a region's answered requests that ran in each region.
-    fn parts(&self, region: usize, from: Duration, span: Duration) -> Vec<f64> {
-        let mut counts = vec![0.0; self.scene.targets.len()];
+    /// Returns the share of a region's requests that ran in each region.
+    fn region_shares(&self, region: usize, from: Duration, span: Duration) -> Vec<f64> {
+        let mut counts = vec![0.0; self.scenario.targets.len()];
         for request in &self.requests {
-            let at = request.begun - self.begun;
+            let at = request.started_at - self.started_at;
             let is_own = self.hosts[request.host].region == region;
-            if let (true, true, Some(ran)) = (is_own, at >= from && at < from + span, request.ran) {
-                counts[ran] += 1.0;
+            if let (true, true, Some(ran_in_region)) = (
+                is_own,
+                at >= from && at < from + span,
+                request.ran_in_region,
+            ) {
+                counts[ran_in_region] += 1.0;
             }
         }
-        let all: f64 = counts.iter().sum();
-        counts.iter().map(|count| count / all.max(1.0)).collect()
+        let total: f64 = counts.iter().sum();
+        counts.iter().map(|count| count / total.max(1.0)).collect()
     }
 
-    fn plan(&mut self, after: Duration, event: Event) {
-        self.count += 1;
-        self.events.insert((self.now + after, self.count), event);
+    /// Schedules an event after a delay.
+    fn schedule(&mut self, delay: Duration, event: Event) {
+        self.event_count += 1;
+        self.events
+            .insert((self.now + delay, self.event_count), event);
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Ask { region } => self.ask(region),
-            Event::Arrive { request, site } => self.arrive(request, site),
-            Event::Done { request, site } => self.done(request, site),
+            Event::NewRequest { region } => self.start_request(region),
+            Event::Arrive {
+                request,
+                target_index,
+            } => self.handle_arrival(request, target_index),
+            Event::WorkDone {
+                request,
+                target_index,
+            } => self.finish_work(request, target_index),
             Event::Answer {
                 request,
                 end,
                 load,
                 rate,
             } => {
-                self.hear(request, rate);
-                self.answer(request, end, load);
+                self.observe_target_rate(request, rate);
+                self.handle_answer(request, end, load);
             }
             Event::Claim {
                 request,
-                keeper,
+                allocator,
                 target,
                 claim,
-            } => self.claim(request, keeper, target, &claim),
+            } => self.handle_claim(request, allocator, target, &claim),
             Event::Grant {
                 request,
-                keeper,
+                allocator,
                 target,
                 grant,
-            } => self.granted(request, keeper, target, &grant),
-            Event::Unanswered {
+            } => self.handle_grant(request, allocator, target, &grant),
+            Event::ClaimTimeout {
                 request,
-                keeper,
+                allocator,
                 target,
                 claim,
-            } => self.unanswered(request, keeper, target, &claim),
-            Event::News { host, news } => {
+            } => self.handle_claim_timeout(request, allocator, target, &claim),
+            Event::RateUpdate { host, update } => {
                 if self.hosts[host].is_up {
-                    self.hosts[host].fleet.merge_rate(self.now, &news);
+                    self.hosts[host].fleet.merge_rate(self.now, &update);
                 }
             }
-            Event::Repeat => self.repeat(),
-            Event::Learn => self.learn(),
-            Event::GiveUp { request, attempt } => self.give_up(request, attempt),
-            Event::Return { request } => self.send(request),
+            Event::GossipRates => self.gossip_rates(),
+            Event::UpdateLiveHosts => self.update_live_hosts(),
+            Event::Deadline { request, attempt } => self.handle_deadline(request, attempt),
+            Event::Retry { request } => self.send_request(request),
         }
     }
 
-    fn ask(&mut self, region: usize) {
-        let gap = -self.rng.random_range(f64::EPSILON..1.0).ln() / self.rates[region];
-        self.plan(Duration::from_secs_f64(gap), Event::Ask { region });
-        let first = region * self.scene.hosts;
-        let mut host = first + self.rng.random_range(0..self.scene.hosts);
+    /// Starts a request from a region at a random host, or at the running host with the closest index if
+    /// that one is down, and schedules the region's next request.
+    fn start_request(&mut self, region: usize) {
+        let interval = -self.rng.random_range(f64::EPSILON..1.0).ln() / self.request_rates[region];
+        self.schedule(
+            Duration::from_secs_f64(interval),
+            Event::NewRequest { region },
+        );
+        let first = region * self.scenario.hosts;
+        let mut host = first + self.rng.random_range(0..self.scenario.hosts);
         if !self.hosts[host].is_up {
-            let up = (0..self.hosts.len()).filter(|at| self.hosts[*at].is_up);
-            host = up.min_by_key(|at| at.abs_diff(host)).unwrap();
+            let running = (0..self.hosts.len()).filter(|host_index| self.hosts[*host_index].is_up);
+            host = running
+                .min_by_key(|host_index| host_index.abs_diff(host))
+                .unwrap();
         }
-        let object = region as u64 * 1_000_000 + self.rng.random_range(0..self.scene.objects);
+        let object = region as u64 * 1_000_000 + self.rng.random_range(0..self.scenario.objects);
         self.requests.push(Request {
             host,
             object,
-            begun: self.now,
+            started_at: self.now,
             tried: Vec::new(),
             target: None,
-            end: None,
-            at: self.now,
-            ran: None,
-            returned: false,
-            claimed: None,
-            seeks_until: self.now,
+            outcome: None,
+            ended_at: self.now,
+            ran_in_region: None,
+            is_retry: false,
+            pending_claim: None,
+            search_deadline: self.now,
         });
-        self.send(self.requests.len() - 1);
+        self.send_request(self.requests.len() - 1);
     }
 
-    /// Sends news to another host, unless one of them is cut.
-    fn post(&mut self, from: usize, to: usize, event: Event) {
+    /// Sends a datagram to another host; it is lost if one of them is isolated.
+    fn send_datagram(&mut self, from: usize, to: usize, event: Event) {
         self.datagrams += 1;
         let (from, to) = (&self.hosts[from], &self.hosts[to]);
-        if from.is_cut || to.is_cut {
+        if from.is_isolated || to.is_isolated {
             return;
         }
-        let way = way(from.region, to.region);
-        self.plan(way, event);
+        let delay = network_delay(from.region, to.region);
+        self.schedule(delay, event);
     }
 
-    /// A request's host hears what the target's answer says of its rate.
-    fn hear(&mut self, number: usize, rate: Option<f64>) {
-        let request = &self.requests[number];
-        let at = request.host;
+    /// Processes the rate that a target's answer reports, and sends a changed rate to the other hosts.
+    fn observe_target_rate(&mut self, request_index: usize, rate: Option<f64>) {
+        let request = &self.requests[request_index];
+        let host_index = request.host;
         let Some((target, sent)) = request.target else {
             return;
         };
-        let news = self.hosts[at]
+        let update = self.hosts[host_index]
             .fleet
             .observe_rate(self.now, target, sent, rate);
-        if let Some(news) = news {
+        if let Some(update) = update {
             for host in 0..self.hosts.len() {
-                if host != at {
-                    self.post(at, host, Event::News { host, news });
+                if host != host_index {
+                    self.send_datagram(host_index, host, Event::RateUpdate { host, update });
                 }
             }
         }
     }
 
-    /// Each host repeats what it knows of rates to two others.
-    fn repeat(&mut self) {
-        for at in 0..self.hosts.len() {
-            let news: Vec<RateUpdate> = self.hosts[at].fleet.rate_updates(self.now).collect();
-            self.hosts[at].fleet.expire_rates(self.now);
-            if news.is_empty() || !self.hosts[at].is_up {
+    /// Lets each host send the target rates that it knows to two random hosts.
+    fn gossip_rates(&mut self) {
+        for host_index in 0..self.hosts.len() {
+            let updates: Vec<RateUpdate> = self.hosts[host_index]
+                .fleet
+                .rate_updates(self.now)
+                .collect();
+            self.hosts[host_index].fleet.expire_rates(self.now);
+            if updates.is_empty() || !self.hosts[host_index].is_up {
                 continue;
             }
             for _ in 0..2 {
                 let host = self.rng.random_range(0..self.hosts.len());
-                for news in &news {
-                    self.post(at, host, Event::News { host, news: *news });
+                for update in &updates {
+                    self.send_datagram(
+                        host_index,
+                        host,
+                        Event::RateUpdate {
+                            host,
+                            update: *update,
+                        },
+                    );
                 }
             }
         }
-        self.plan(REPEAT, Event::Repeat);
+        self.schedule(GOSSIP_INTERVAL, Event::GossipRates);
     }
 
-    fn claim(&mut self, request: usize, keeper: usize, target: TargetKey, claim: &Claim) {
-        if !self.hosts[keeper].is_up {
+    /// Grants a claim, or part of it, host_index the host that allocates the target's rate.
+    fn handle_claim(&mut self, request: usize, allocator: usize, target: TargetKey, claim: &Claim) {
+        if !self.hosts[allocator].is_up {
             return;
         }
-        let grant = self.hosts[keeper].fleet.grant(self.now, claim);
-        let asker = self.requests[request].host;
+        let grant = self.hosts[allocator].fleet.grant(self.now, claim);
+        let requester = self.requests[request].host;
         let answer = Event::Grant {
             request,
-            keeper,
+            allocator,
             target,
             grant,
         };
-        self.post(keeper, asker, answer);
+        self.send_datagram(allocator, requester, answer);
     }
 
-    fn granted(&mut self, number: usize, keeper: usize, target: TargetKey, grant: &Grant) {
-        let (name, _) = self.named(keeper);
-        let at = self.requests[number].host;
-        self.hosts[at].fleet.record_grant(self.now, &name, grant);
-        if self.requests[number].claimed == Some(grant.0) {
-            self.requests[number].claimed = None;
-            self.go_on(number, target);
+    /// Records a grant, and continues the request if it still waits for this one.
+    fn handle_grant(
+        &mut self,
+        request_index: usize,
+        allocator: usize,
+        target: TargetKey,
+        grant: &Grant,
+    ) {
+        let (name, _) = self.host_name_and_region(allocator);
+        let host_index = self.requests[request_index].host;
+        self.hosts[host_index]
+            .fleet
+            .record_grant(self.now, &name, grant);
+        if self.requests[request_index].pending_claim == Some(grant.0) {
+            self.requests[request_index].pending_claim = None;
+            self.continue_after_claim(request_index, target);
         }
     }
 
-    fn unanswered(&mut self, number: usize, keeper: usize, target: TargetKey, claim: &Claim) {
-        if self.requests[number].claimed != Some(claim.0) {
+    /// Records a claim that was not answered in time, and continues its request.
+    fn handle_claim_timeout(
+        &mut self,
+        request_index: usize,
+        allocator: usize,
+        target: TargetKey,
+        claim: &Claim,
+    ) {
+        if self.requests[request_index].pending_claim != Some(claim.0) {
             return;
         }
-        self.requests[number].claimed = None;
-        let (name, _) = self.named(keeper);
-        let at = self.requests[number].host;
-        self.hosts[at]
+        self.requests[request_index].pending_claim = None;
+        let (name, _) = self.host_name_and_region(allocator);
+        let host_index = self.requests[request_index].host;
+        self.hosts[host_index]
             .fleet
             .record_unanswered_claim(self.now, &name, claim);
-        self.go_on(number, target);
+        self.continue_after_claim(request_index, target);
     }
 
-    /// Sends a request whose claim was answered, or looks for another target.
-    fn go_on(&mut self, number: usize, target: TargetKey) {
-        let request = &self.requests[number];
-        if request.end.is_some() {
+    /// After the end of a claim: sends the request if the grant permits it, or else searches for another
+    /// target until the search deadline.
+    fn continue_after_claim(&mut self, request_index: usize, target: TargetKey) {
+        let request = &self.requests[request_index];
+        if request.outcome.is_some() {
             return;
         }
-        let at = request.host;
-        if self.hosts[at].fleet.use_grant(self.now, target) {
-            self.dispatch(number, target);
-        } else if self.now >= self.requests[number].seeks_until {
-            self.refuse(number);
+        let host_index = request.host;
+        if self.hosts[host_index].fleet.use_grant(self.now, target) {
+            self.dispatch(request_index, target);
+        } else if self.now >= self.requests[request_index].search_deadline {
+            self.refuse(request_index);
         } else {
-            self.seek(number);
+            self.search_target(request_index);
         }
     }
 
-    fn send(&mut self, number: usize) {
-        self.requests[number].seeks_until = self.now + SEEK;
-        self.seek(number);
+    /// Starts the search for a target.
+    fn send_request(&mut self, request_index: usize) {
+        self.requests[request_index].search_deadline = self.now + MAX_SEARCH_TIME;
+        self.search_target(request_index);
     }
 
-    /// Looks for a target to which a request may be sent.
-    fn seek(&mut self, number: usize) {
-        match self.find(number) {
+    /// Searches for a target with permission to send: sends the request or a claim, or refuses the request.
+    fn search_target(&mut self, request_index: usize) {
+        match self.find_target(request_index) {
             Ok((target, Permission::Ask(name, claim))) => {
-                let asker = self.requests[number].host;
-                let keeper = (0..self.hosts.len()).find(|at| self.named(*at).0 == name);
-                let keeper = keeper.unwrap();
-                self.requests[number].claimed = Some(claim.0);
-                let question = Event::Claim {
-                    request: number,
-                    keeper,
+                let requester = self.requests[request_index].host;
+                let allocator = (0..self.hosts.len())
+                    .find(|host_index| self.host_name_and_region(*host_index).0 == name);
+                let allocator = allocator.unwrap();
+                self.requests[request_index].pending_claim = Some(claim.0);
+                let claim_event = Event::Claim {
+                    request: request_index,
+                    allocator,
                     target,
                     claim,
                 };
-                self.post(asker, keeper, question);
-                let patience = Event::Unanswered {
-                    request: number,
-                    keeper,
+                self.send_datagram(requester, allocator, claim_event);
+                let timeout = Event::ClaimTimeout {
+                    request: request_index,
+                    allocator,
                     target,
                     claim,
                 };
-                self.plan(CLAIM, patience);
+                self.schedule(CLAIM_TIMEOUT, timeout);
             }
-            Ok((target, _)) => self.dispatch(number, target),
-            Err(_) => self.refuse(number),
+            Ok((target, _)) => self.dispatch(request_index, target),
+            Err(_) => self.refuse(request_index),
         }
     }
 
-    /// The target to ask for, or that may be used.
-    fn find(&mut self, number: usize) -> Result<(TargetKey, Permission), Refusal> {
-        let request = &self.requests[number];
+    /// Returns a target that permits sending, or for which a claim is needed.
+    fn find_target(&mut self, request_index: usize) -> Result<(TargetKey, Permission), Refusal> {
+        let request = &self.requests[request_index];
         let host = &mut self.hosts[request.host];
         let (service, homes) = (SERVICE.into(), BTreeSet::new());
-        let ask = request.ask(&service, &homes);
+        let query = request.target_query(&service, &homes);
         loop {
-            let met = &host.met;
+            let connected = &host.connected;
             let proposed = host
                 .fleet
-                .propose(self.now, &ask, |target| met.contains(&target));
+                .propose(self.now, &query, |target| connected.contains(&target));
             let (target, fit) = proposed?;
             match host
                 .fleet
                 .request_permission(self.now, (target, fit), &mut self.rng)
             {
                 Permission::Denied => {}
-                leave => return Ok((target, leave)),
+                permission => return Ok((target, permission)),
             }
         }
     }
 
-    fn dispatch(&mut self, number: usize, target: TargetKey) {
-        let request = &mut self.requests[number];
+    /// Sends a request to a target.
+    fn dispatch(&mut self, request_index: usize, target: TargetKey) {
+        let request = &mut self.requests[request_index];
         let host = &mut self.hosts[request.host];
         let (service, homes) = (SERVICE.into(), BTreeSet::new());
-        let ask = request.ask(&service, &homes);
-        host.fleet.begin(self.now, &ask, target);
+        let query = request.target_query(&service, &homes);
+        host.fleet.begin(self.now, &query, target);
         let id = host.fleet.member(target).unwrap().id().clone();
-        let site = self
-            .sites
+        let target_index = self
+            .targets
             .iter()
-            .position(|site| site.registration.id == id)
+            .position(|other| other.registration.id == id)
             .unwrap();
-        let way = way(host.region, self.sites[site].region);
-        if host.met.insert(target) {
-            host.fleet.record_connect(target, 2 * way);
+        let delay = network_delay(host.region, self.targets[target_index].region);
+        if host.connected.insert(target) {
+            host.fleet.record_connect(target, 2 * delay);
         }
         request.tried.push(target);
         request.target = Some((target, self.now));
         let attempt = request.tried.len();
-        let left = (request.begun + self.scene.deadline).saturating_duration_since(self.now);
-        self.plan(
-            way,
+        let time_left =
+            (request.started_at + self.scenario.deadline).saturating_duration_since(self.now);
+        self.schedule(
+            delay,
             Event::Arrive {
-                request: number,
-                site,
+                request: request_index,
+                target_index,
             },
         );
-        self.plan(
-            left,
-            Event::GiveUp {
-                request: number,
+        self.schedule(
+            time_left,
+            Event::Deadline {
+                request: request_index,
                 attempt,
             },
         );
     }
 
-    fn arrive(&mut self, request: usize, number: usize) {
-        let refuses = match self.sites[number].mode {
-            Mode::Shed(part) => self.rng.random_bool(part),
+    /// Refuses, queues or starts a request that arrived at a target; a silent target drops it.
+    fn handle_arrival(&mut self, request: usize, target_index: usize) {
+        let is_shed = match self.targets[target_index].mode {
+            Mode::Shed(share) => self.rng.random_bool(share),
             _ => false,
         };
-        let slots = self.scene.slots as usize;
+        let slots = self.scenario.slots as usize;
         let host = self.requests[request].host;
-        let site = &mut self.sites[number];
-        site.arrivals.push((self.now, host));
-        if site.mode == Mode::Dark {
+        let target = &mut self.targets[target_index];
+        target.arrivals.push((self.now, host));
+        if target.mode == Mode::Silent {
             return;
         }
-        if refuses || (site.running >= slots && site.waiting.len() >= self.scene.queue) {
-            self.reply(request, number, End::Refused);
-        } else if site.running >= slots {
-            site.waiting.push_back(request);
+        if is_shed || (target.running >= slots && target.waiting.len() >= self.scenario.queue_limit)
+        {
+            self.send_answer(request, target_index, End::Refused);
+        } else if target.running >= slots {
+            target.waiting.push_back(request);
         } else {
-            self.work(request, number);
+            self.start_work(request, target_index);
         }
     }
 
-    fn work(&mut self, request: usize, number: usize) {
+    /// Starts to run a request; the service time depends on the target's cache and mode.
+    fn start_work(&mut self, request: usize, target_index: usize) {
         let object = self.requests[request].object;
-        let site = &mut self.sites[number];
-        site.running += 1;
-        let has = site.kept.iter().position(|kept| *kept == object);
-        if let Some(at) = has {
-            site.kept.remove(at);
+        let target = &mut self.targets[target_index];
+        target.running += 1;
+        let cached_at = target.cache.iter().position(|cached| *cached == object);
+        if let Some(at) = cached_at {
+            target.cache.remove(at);
         }
-        site.kept.push_back(object);
-        if site.kept.len() > self.scene.keeps {
-            site.kept.pop_front();
+        target.cache.push_back(object);
+        if target.cache.len() > self.scenario.cache_size {
+            target.cache.pop_front();
         }
-        let factor = match site.mode {
+        let factor = match target.mode {
             Mode::Slow(factor) => factor,
             _ => 1.0,
         };
-        let work = if has.is_some() {
-            self.scene.again
+        let service_time = if cached_at.is_some() {
+            self.scenario.cached_time
         } else {
-            self.scene.fresh
+            self.scenario.uncached_time
         };
-        let work = work.mul_f64(factor * self.rng.random_range(0.9..1.1));
-        self.plan(
-            work,
-            Event::Done {
+        let service_time = service_time.mul_f64(factor * self.rng.random_range(0.9..1.1));
+        self.schedule(
+            service_time,
+            Event::WorkDone {
                 request,
-                site: number,
+                target_index,
             },
         );
     }
 
-    fn done(&mut self, request: usize, number: usize) {
-        self.sites[number].running -= 1;
-        if let Some(next) = self.sites[number].waiting.pop_front() {
-            self.work(next, number);
+    /// Ends the run of a request, starts the next one in the queue and answers.
+    fn finish_work(&mut self, request: usize, target_index: usize) {
+        self.targets[target_index].running -= 1;
+        if let Some(next) = self.targets[target_index].waiting.pop_front() {
+            self.start_work(next, target_index);
         }
-        if self.sites[number].mode != Mode::Dark {
-            self.reply(request, number, End::Answered);
+        if self.targets[target_index].mode != Mode::Silent {
+            self.send_answer(request, target_index, End::Answered);
         }
     }
 
-    fn reply(&mut self, request: usize, number: usize, end: End) {
-        let site = &self.sites[number];
+    /// Sends an answer with the target's load and rate to the host.
+    fn send_answer(&mut self, request: usize, target_index: usize, end: End) {
+        let target = &self.targets[target_index];
         if end == End::Answered {
-            self.requests[request].ran = Some(site.region);
+            self.requests[request].ran_in_region = Some(target.region);
         }
-        let load = (site.running as u32, site.waiting.len() as u32);
-        let way = way(self.hosts[self.requests[request].host].region, site.region);
+        let load = (target.running as u32, target.waiting.len() as u32);
+        let delay = network_delay(
+            self.hosts[self.requests[request].host].region,
+            target.region,
+        );
         let answer = Event::Answer {
             request,
             end,
             load,
-            rate: site.rate,
+            rate: target.rate,
         };
-        self.plan(way, answer);
+        self.schedule(delay, answer);
     }
 
-    fn answer(&mut self, number: usize, end: End, load: (u32, u32)) {
-        let request = &mut self.requests[number];
+    /// Processes an answer at the host: ends the request, retries it at another target, or refuses it.
+    fn handle_answer(&mut self, request_index: usize, end: End, load: (u32, u32)) {
+        let request = &mut self.requests[request_index];
         let Some((target, sent)) = request.target.take() else {
             return;
         };
-        let seen = Observation {
+        let observation = Observation {
             load: Some(Load {
                 running: load.0,
                 waiting: load.1,
-                slots: self.scene.slots,
+                slots: self.scenario.slots,
             }),
             response_time: (end == End::Answered).then_some(self.now - sent),
-            object: Some(draw(request.object)),
-            goal: Some(self.scene.aim),
-            body_bytes: Some(self.scene.bytes),
+            object: Some(hash_object(request.object)),
+            goal: Some(self.scenario.goal),
+            body_bytes: Some(self.scenario.answer_bytes),
         };
         let fleet = &mut self.hosts[request.host].fleet;
-        fleet.finish(self.now, target, end, seen, &mut self.rng);
+        fleet.finish(self.now, target, end, observation, &mut self.rng);
         if end == End::Answered {
-            self.end(number, Outcome::Answered);
-        } else if request.tried.len() < self.scene.attempts {
-            self.send(number);
+            self.finish_request(request_index, Outcome::Answered);
+        } else if request.tried.len() < self.scenario.max_attempts {
+            self.send_request(request_index);
         } else {
-            self.refuse(number);
+            self.refuse(request_index);
         }
     }
 
-    fn refuse(&mut self, number: usize) {
-        let request = &mut self.requests[number];
-        let Some(pause) = self.scene.pause.filter(|_| !request.returned) else {
-            self.end(number, Outcome::Refused);
+    /// Refuses a request, or schedules its retry.
+    fn refuse(&mut self, request_index: usize) {
+        let request = &mut self.requests[request_index];
+        let Some(pause) = self.scenario.retry_pause.filter(|_| !request.is_retry) else {
+            self.finish_request(request_index, Outcome::Refused);
             return;
         };
-        request.returned = true;
+        request.is_retry = true;
         request.tried.clear();
         let (service, homes) = (SERVICE.into(), BTreeSet::new());
-        let ask = request.ask(&service, &homes);
+        let query = request.target_query(&service, &homes);
         let room = self.hosts[request.host]
             .fleet
-            .time_until_room(self.now, &ask);
+            .time_until_room(self.now, &query);
         let pause = pause(room, self.rng.random_range(0.0..1.0));
-        self.plan(pause, Event::Return { request: number });
+        self.schedule(
+            pause,
+            Event::Retry {
+                request: request_index,
+            },
+        );
     }
 
-    fn give_up(&mut self, number: usize, attempt: usize) {
-        let request = &mut self.requests[number];
+    /// Cancels a request at its deadline if this attempt still awaits an answer.
+    fn handle_deadline(&mut self, request_index: usize, attempt: usize) {
+        let request = &mut self.requests[request_index];
         if request.tried.len() != attempt {
             return;
         }
@@ -965,29 +1069,32 @@
             Observation::default(),
             &mut self.rng,
         );
-        self.end(number, Outcome::Failed);
+        self.finish_request(request_index, Outcome::Failed);
     }
 
-    fn end(&mut self, number: usize, outcome: Outcome) {
-        let request = &mut self.requests[number];
-        request.end = Some(outcome);
-        request.at = self.now;
+    /// Records the outcome and the end of a request.
+    fn finish_request(&mut self, request_index: usize, outcome: Outcome) {
+        let request = &mut self.requests[request_index];
+        request.outcome = Some(outcome);
+        request.ended_at = self.now;
     }
 }
 
-/// An object as hosts know it.
-fn draw(object: u64) -> u64 {
+/// Returns the hash that identifies an object to the fleet.
+fn hash_object(object: u64) -> u64 {
     xxhash_rust::xxh3::xxh3_64(&object.to_le_bytes())
 }
 
+/// Returns the only zone of a region.
 fn zone(region: usize) -> Arc<str> {
     format!("r{region}-a").into()
 }
 
-fn way(from: usize, to: usize) -> Duration {
+/// Returns the one-way network delay between two regions.
+fn network_delay(from: usize, to: usize) -> Duration {
     if from == to {
-        NEAR
+        IN_REGION_DELAY
     } else {
-        FAR
+        CROSS_REGION_DELAY
     }
 }
