--- a/src/bin/ragwortfold/demo/fault.rs
+++ b/src/bin/ragwortfold/demo/fault.rs
@@ -140,7 +140,7 @@
 pub(crate) struct FaultLog {
     /// Losses, drains, stops, failures and reverted changes; the rest is filled in after the run.
     pub(crate) evidence: Evidence,
-    /// When each fault start_times and ended, in microseconds since the Unix epoch.
+    /// When each fault began and ended, in microseconds since the Unix epoch.
     pub(crate) spans: BTreeMap<Kind, Span>,
     /// How long hosts took to drain before a planned stop, as they reported it.
     pub(crate) host_drains: Vec<Duration>,
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Begins or ends a fault and prints it.
+    /// Begins or ends a fault, and prints that to stderr.
     pub(crate) fn apply(&mut self, step: Step) -> Result<(), Error> {
         match step {
             Step::Begin(kind) => {
--- a/tests/replay/mod.rs
+++ b/tests/replay/mod.rs
@@ -350,14 +350,14 @@
         self.schedule(DETECTION_DELAY, Event::UpdateLiveHosts);
     }
 
-    /// Stops a host that announces it, so that the others learn of it host_index once. Its pending requests fail.
+    /// Stops a host that announces it, so that the others learn of it at once. Its pending requests fail.
     pub fn stop(&mut self, host_index: usize) {
         self.kill(host_index);
         self.update_live_hosts();
     }
 
     /// Restarts a host that was killed or stopped. It receives the rates that another host knows, and the
-    /// others learn of it host_index once.
+    /// others learn of it at once.
     pub fn start(&mut self, host_index: usize) {
         let mut host = self.build_host(
             host_index / self.scenario.hosts,
@@ -748,7 +748,8 @@
         self.schedule(GOSSIP_INTERVAL, Event::GossipRates);
     }
 
-    /// Grants a claim, or part of it, host_index the host that allocates the target's rate.
+    /// Answers a claim with a grant at the host that allocates the target's rate; a host that is down does
+    /// not answer.
     fn handle_claim(&mut self, request: usize, allocator: usize, target: TargetKey, claim: &Claim) {
         if !self.hosts[allocator].is_up {
             return;
