--- a/benches/control.rs
+++ b/benches/control.rs
@@ -1,12 +1,14 @@
-//! What control costs: tables of messages, bytes and processor time by fleet size, of plans and calls
-//! to the platform, of false deaths, and of the course of splits; then single operations at 680 hosts.
+//! Cost of the control plane: tables of messages, bytes and processor time by fleet size, of plans and
+//! calls to the platform, of false deaths, and of how splits converge after a burst of load; then
+//! benchmarks of single operations in a fleet of 680 hosts.
 //!
-//! `cargo bench --bench control -- --tables` prints the tables only, `--fleet` those of fleets.
+//! `cargo bench --bench control -- --tables` prints only the tables, `--fleet` only those that
+//! simulate whole fleets.
 
-#[path = "../tests/planning/mod.rs"]
-mod model;
 #[path = "../tests/net/mod.rs"]
 mod net;
+#[path = "../tests/planning/mod.rs"]
+mod planning;
 
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -22,150 +24,171 @@
 use ragwortfold::control::planner::{Causality, Planner, View};
 use ragwortfold::control::summary::{Load, Sample, Sender, Table};
 
-/// Bytes around a payload: WebSocket, TCP and IPv4 headers with time stamps.
-const HEADERS: f64 = 58.0;
-/// Sizes of fleets: zones and hosts.
-const SIZES: [(usize, usize); 4] = [(6, 12), (6, 48), (10, 192), (15, 680)];
-/// Step of the virtual clock in milliseconds.
-const STEP: u64 = 20;
+/// Bytes of WebSocket, TCP (with its timestamp option) and IPv4 headers per message.
+const HEADER_BYTES: f64 = 58.0;
+/// Fleet sizes as (zones, hosts).
+const FLEET_SIZES: [(usize, usize); 4] = [(6, 12), (6, 48), (10, 192), (15, 680)];
+/// Step of the virtual clock, in milliseconds.
+const STEP_MS: u64 = 20;
 
-/// Time that this thread ran, in nanoseconds.
-fn thread_time() -> f64 {
-    let text = std::fs::read_to_string("/proc/thread-self/schedstat").expect("schedstat");
-    let first = text.split_whitespace().next().expect("a figure");
-    first.parse().expect("a number")
+/// Returns the CPU time of the current thread, in nanoseconds.
+fn thread_cpu_nanos() -> f64 {
+    let text =
+        std::fs::read_to_string("/proc/thread-self/schedstat").expect("cannot read schedstat");
+    let first = text.split_whitespace().next().expect("schedstat is empty");
+    first.parse().expect("CPU time is not a number")
 }
 
-/// Resident memory of this process, in bytes.
-fn resident() -> f64 {
-    let text = std::fs::read_to_string("/proc/self/statm").expect("statm");
-    let pages = text.split_whitespace().nth(1).expect("a figure");
-    4_096.0 * pages.parse::<f64>().expect("a number")
+/// Returns the resident memory of this process, in bytes.
+fn resident_bytes() -> f64 {
+    let text = std::fs::read_to_string("/proc/self/statm").expect("cannot read statm");
+    let pages = text
+        .split_whitespace()
+        .nth(1)
+        .expect("statm has no second field");
+    4_096.0 * pages.parse::<f64>().expect("page count is not a number")
 }
 
-/// Messages and kilobytes a second of one host, with headers.
+/// Messages per second that one host sends, and kilobytes per second that it sends and receives, with
+/// and without headers.
 #[derive(Clone, Copy)]
-struct Row {
-    messages: f64,
-    out: f64,
-    inward: f64,
-    out_bare: f64,
-    in_bare: f64,
+struct HostTraffic {
+    messages_sent: f64,
+    out_with_headers: f64,
+    in_with_headers: f64,
+    out_payload: f64,
+    in_payload: f64,
 }
 
-impl Row {
+impl HostTraffic {
     fn new(node: &Node, seconds: f64) -> Self {
-        let kilo = |bytes: f64| bytes / seconds / 1e3;
+        let kb_per_s = |bytes: f64| bytes / seconds / 1e3;
         let (sent, received) = (node.sent, node.received);
         Self {
-            messages: sent.count as f64 / seconds,
-            out: kilo(sent.bytes as f64 + HEADERS * sent.count as f64),
-            inward: kilo(received.bytes as f64 + HEADERS * received.count as f64),
-            out_bare: kilo(sent.bytes as f64),
-            in_bare: kilo(received.bytes as f64),
+            messages_sent: sent.count as f64 / seconds,
+            out_with_headers: kb_per_s(sent.bytes as f64 + HEADER_BYTES * sent.count as f64),
+            in_with_headers: kb_per_s(received.bytes as f64 + HEADER_BYTES * received.count as f64),
+            out_payload: kb_per_s(sent.bytes as f64),
+            in_payload: kb_per_s(received.bytes as f64),
         }
     }
 
-    fn show(&self) -> String {
+    fn format_columns(&self) -> String {
         format!(
             "{:7.1} {:6.2} {:6.2} {:6.2} {:6.2}",
-            self.messages, self.out_bare, self.out, self.in_bare, self.inward
+            self.messages_sent,
+            self.out_payload,
+            self.out_with_headers,
+            self.in_payload,
+            self.in_with_headers
         )
     }
 }
 
-fn settled(zones: usize, hosts: usize, unrest: f32) -> Fleet {
+/// Returns a fleet that has settled and then run for another 10 s of virtual time.
+fn settled_fleet(zones: usize, hosts: usize, load_noise: f32) -> Fleet {
     let mut fleet = Fleet::new(zones, hosts, 10, 1);
-    fleet.step = STEP;
+    fleet.step = STEP_MS;
     fleet.coding = Coding::Coded;
-    fleet.load_noise = unrest;
+    fleet.load_noise = load_noise;
     fleet.settle();
     fleet.run(10_000);
     fleet
 }
 
-fn fleet_row(zones: usize, hosts: usize, unrest: f32, seconds: u64) {
-    let before = resident();
-    let mut fleet = settled(zones, hosts, unrest);
+/// Runs a settled fleet for `seconds` of virtual time and prints its traffic and resource use.
+fn print_fleet_row(zones: usize, hosts: usize, load_noise: f32, seconds: u64) {
+    let memory_before = resident_bytes();
+    let mut fleet = settled_fleet(zones, hosts, load_noise);
     fleet.reset_counters();
-    let start = thread_time();
+    let start = thread_cpu_nanos();
     fleet.run(1_000 * seconds);
-    let busy = (thread_time() - start) / 1e9;
-    let memory = (resident() - before) / hosts as f64 / 1024.0;
-    assert!(fleet.is_settled(), "hosts were lost");
-    let alive = |node: &Node| {
+    let cpu_seconds = (thread_cpu_nanos() - start) / 1e9;
+    let memory_kb = (resident_bytes() - memory_before) / hosts as f64 / 1024.0;
+    assert!(fleet.is_settled(), "the fleet is no longer settled");
+    let has_all_zones_alive = |node: &Node| {
         node.agent
             .zone_statuses()
             .values()
-            .all(|&s| s == ZoneStatus::Alive)
+            .all(|&status| status == ZoneStatus::Alive)
     };
-    assert!(fleet.nodes.values().all(alive), "a zone was lost");
-    let by = |row: fn(&Row) -> f64| {
-        let mut rows: Vec<(Row, HostKey)> = fleet
+    assert!(
+        fleet.nodes.values().all(has_all_zones_alive),
+        "a zone is not alive"
+    );
+    let rows_sorted_by = |rate: fn(&HostTraffic) -> f64| {
+        let mut rows: Vec<(HostTraffic, HostKey)> = fleet
             .nodes
             .iter()
-            .map(|(&host, node)| (Row::new(node, seconds as f64), host))
+            .map(|(&host, node)| (HostTraffic::new(node, seconds as f64), host))
             .collect();
-        rows.sort_by(|a, b| row(&a.0).total_cmp(&row(&b.0)));
+        rows.sort_by(|a, b| rate(&a.0).total_cmp(&rate(&b.0)));
         rows
     };
-    let rows = by(|row| row.inward);
-    let (most, host) = rows[rows.len() - 1];
-    let sender = by(|row| row.out).pop().expect("a host").0;
+    let rows = rows_sorted_by(|row| row.in_with_headers);
+    let (busiest, busiest_host) = rows[rows.len() - 1];
+    let top_sender = rows_sorted_by(|row| row.out_with_headers)
+        .pop()
+        .expect("the fleet has no hosts")
+        .0;
     println!(
-        "{hosts:5} {zones:5} {unrest:6.2} | {} | {} | {:6.2} | {:6.3} {memory:6.0} | {:5.2} {:5.2}",
-        rows[rows.len() / 2].0.show(),
-        most.show(),
-        sender.out,
-        100.0 * busy / seconds as f64 / hosts as f64,
+        "{hosts:5} {zones:5} {load_noise:6.2} | {} | {} | {:6.2} | {:6.3} {memory_kb:6.0} | {:5.2} {:5.2}",
+        rows[rows.len() / 2].0.format_columns(),
+        busiest.format_columns(),
+        top_sender.out_with_headers,
+        100.0 * cpu_seconds / seconds as f64 / hosts as f64,
         fleet.store.reads as f64 / seconds as f64,
         fleet.store.writes as f64 / seconds as f64,
     );
-    let kinds: Vec<String> = fleet.nodes[&host]
+    let rates_by_kind: Vec<String> = fleet.nodes[&busiest_host]
         .by_kind
         .iter()
         .map(|(kind, tally)| {
-            let bytes = tally.bytes as f64 + HEADERS * tally.count as f64;
+            let bytes = tally.bytes as f64 + HEADER_BYTES * tally.count as f64;
             format!("{kind} {:.2}", bytes / seconds as f64 / 1e3)
         })
         .collect();
     println!(
         "{:19} busiest receives, KB/s with headers: {}",
         "",
-        kinds.join(", ")
+        rates_by_kind.join(", ")
     );
 }
 
-fn fleet_table() {
+/// Prints traffic, CPU time and memory by fleet size, with constant and with noisy loads.
+fn print_fleet_table() {
     println!("\nPer host: median, and the one that receives most. KB/s out and in, each without and with headers;");
     println!("then the most that one host sends. CPU: of one core, on virtual time, with coding and the fake net and store.");
     println!(
         "Calls of control on the lease and the plan: reads and writes a second of the whole fleet."
     );
     println!("hosts zones unrest |   msg/s    out  out+h     in   in+h |   msg/s    out  out+h     in   in+h |  out+h |  CPU % KB mem | reads writes");
-    for unrest in [0.0, 0.5] {
-        for (zones, hosts) in SIZES {
-            fleet_row(zones, hosts, unrest, 30);
+    for load_noise in [0.0, 0.5] {
+        for (zones, hosts) in FLEET_SIZES {
+            print_fleet_row(zones, hosts, load_noise, 30);
         }
     }
 }
 
-/// A time in milliseconds, if there is one.
-fn shown(time: Option<u64>) -> String {
+/// Formats an optional time in milliseconds.
+fn format_millis(time: Option<u64>) -> String {
     time.map_or_else(|| "none".into(), |time| time.to_string())
 }
 
-/// From a change of load to the plan in force at all hosts, and the deaths of hosts.
-fn course_of_faults() {
+/// Prints how long a new plan takes to reach all hosts, and how long the fleet takes to detect the
+/// failures of hosts and to replace the planner.
+fn print_fault_table() {
     println!("\nFaults, ms: a plan from its write to all hosts; a host killed, a host without power, a first delegate");
     println!("killed, until no host has it in its live set; a planner killed, until another holds the lease.");
     println!("hosts zones |  plan | killed  power delegate planner");
-    for (zones, hosts) in SIZES {
-        let mut fleet = settled(zones, hosts, 0.0);
+    for (zones, hosts) in FLEET_SIZES {
+        let mut fleet = settled_fleet(zones, hosts, 0.0);
         fleet.nearly_full_zone = fleet.zones().first().copied();
-        let stored = fleet.store.history.last().copied();
-        let written = fleet.until(60_000, |fleet| fleet.store.history.last().copied() > stored);
-        let plan = written.and_then(|_| {
+        let stored_stamp = fleet.store.history.last().copied();
+        let time_to_write = fleet.until(60_000, |fleet| {
+            fleet.store.history.last().copied() > stored_stamp
+        });
+        let time_to_all_hosts = time_to_write.and_then(|_| {
             fleet.until(20_000, |fleet| {
                 let newest = fleet.store.history.last().copied().unwrap_or_default();
                 let mut nodes = fleet.nodes.values();
@@ -173,58 +196,60 @@
             })
         });
         fleet.nearly_full_zone = None;
-        let gone = |fleet: &mut Fleet, host: HostKey| {
-            let took = fleet.until(30_000, |fleet| {
+        // Returns the time until no host has `host` in its live set, then restarts the host.
+        let time_to_removal = |fleet: &mut Fleet, host: HostKey| {
+            let time = fleet.until(30_000, |fleet| {
                 let mut nodes = fleet.nodes.values();
                 nodes.all(|node| !node.agent.live_hosts().contains(&host))
             });
             fleet.start(host, FIRST_INCARNATION + 1 + fleet.time);
             fleet.settle();
-            shown(took)
+            format_millis(time)
         };
-        let holder = fleet.holder().expect("a planner");
+        let lease_holder = fleet.holder().expect("no host holds the planner lease");
         let zone = *fleet
             .zones()
             .iter()
-            .find(|&&zone| zone != fleet.catalog.host(holder).zone)
-            .expect("a zone");
+            .find(|&&zone| zone != fleet.catalog.host(lease_holder).zone)
+            .expect("no zone without the planner");
         let live = fleet.zone_hosts(zone).into_iter().collect();
         let delegates = delegate::choose_delegates(zone, &live, &fleet.catalog);
-        let last = *live
+        let other_host = *live
             .iter()
             .find(|host| !delegates.contains(host))
             .unwrap_or(&delegates[1]);
-        fleet.kill(last);
-        let killed = gone(&mut fleet, last);
-        fleet.unplug(last);
-        let power = gone(&mut fleet, last);
+        fleet.kill(other_host);
+        let killed_ms = time_to_removal(&mut fleet, other_host);
+        fleet.unplug(other_host);
+        let power_loss_ms = time_to_removal(&mut fleet, other_host);
         fleet.kill(delegates[0]);
-        let delegate = gone(&mut fleet, delegates[0]);
-        let holder = fleet.holder().expect("a planner");
-        fleet.kill(holder);
-        let planner = fleet.until(60_000, |fleet| fleet.holder().is_some());
+        let delegate_ms = time_to_removal(&mut fleet, delegates[0]);
+        let lease_holder = fleet.holder().expect("no host holds the planner lease");
+        fleet.kill(lease_holder);
+        let time_to_new_planner = fleet.until(60_000, |fleet| fleet.holder().is_some());
         println!(
-            "{hosts:5} {zones:5} | {:>5} | {killed:>6} {power:>6} {delegate:>8} {:>7}",
-            shown(plan),
-            shown(planner),
+            "{hosts:5} {zones:5} | {:>5} | {killed_ms:>6} {power_loss_ms:>6} {delegate_ms:>8} {:>7}",
+            format_millis(time_to_all_hosts),
+            format_millis(time_to_new_planner),
         );
     }
 }
 
-/// 130 restarts in an hour.
-fn restart_table() {
+/// Prints how many plans 130 restarts within an hour cause.
+fn print_restart_table() {
     let mut fleet = Fleet::new(6, 48, 2, 1);
     fleet.step = 50;
     fleet.settle();
     let splits = fleet.restarts(130, 2_000, 25_700);
-    let other = fleet.plans.values().filter(|plan| **plan != splits).count();
+    let differing_plans = fleet.plans.values().filter(|plan| **plan != splits).count();
     println!(
-        "\n130 restarts in an hour, 48 hosts in 6 zones: {} plans (one for each new holder of the lease), {other} of them with other splits.",
+        "\n130 restarts in an hour, 48 hosts in 6 zones: {} plans (one for each new holder of the lease), {differing_plans} of them with other splits.",
         fleet.plans.len(),
     );
 }
 
-fn death_table() {
+/// Prints how often live hosts are declared dead, by zone size, heartbeat loss and jitter.
+fn print_false_death_table() {
     println!("\nFalse deaths in one zone: heartbeats of 500 ms, lost at random, delayed by up to the jitter.");
     println!("hosts   loss jitter ms  deaths  pair-hours");
     for hosts in [2, 6] {
@@ -237,19 +262,21 @@
             (0.05, 400),
             (0.2, 100),
         ] {
-            let (mut deaths, mut hours) = (0, 0.0);
+            let (mut deaths, mut pair_hours) = (0, 0.0);
             for seed in 0..4 {
-                let span = if hosts == 2 { 18_000_000 } else { 3_600_000 };
-                let (d, h) = net::false_deaths(seed, hosts, loss, jitter, span);
-                deaths += d;
-                hours += h;
+                let duration_ms = if hosts == 2 { 18_000_000 } else { 3_600_000 };
+                let (seed_deaths, seed_pair_hours) =
+                    net::false_deaths(seed, hosts, loss, jitter, duration_ms);
+                deaths += seed_deaths;
+                pair_hours += seed_pair_hours;
             }
-            println!("{hosts:5} {loss:6.2} {jitter:9} {deaths:7} {hours:11.0}");
+            println!("{hosts:5} {loss:6.2} {jitter:9} {deaths:7} {pair_hours:11.0}");
         }
     }
 }
 
-fn course_table() {
+/// Prints how splits converge after a burst of load, by cap, summary lag and causality rule.
+fn print_burst_table() {
     println!("\nCourse of a split after a burst, an hour: share per window, lag of summaries, which samples count.");
     println!("   cap       lag  rule     overshoot crossings  settled s  overload s  steps");
     for cap in [(0.05, 60), (0.1, 20), (0.25, 10), (0.5, 10)] {
@@ -259,7 +286,7 @@
                 ("window", Causality::Window),
                 ("ignored", Causality::Ignored),
             ] {
-                let (_, course) = model::burst(cap, rule, lag, 3_600);
+                let (_, course) = planning::burst(cap, rule, lag, 3_600);
                 println!(
                     "{:5.2}/{:2} s {:4.1} s  {name:8} {:9.3} {:9} {:10} {:11} {:6}",
                     cap.0,
@@ -276,10 +303,10 @@
     }
 }
 
-/// A plan as large as the sizes of the brief allow, read two ways.
-fn plan_sizes() {
+/// Prints the encoded sizes, as JSON and as CBOR, of plans for the largest supported fleet.
+fn print_plan_sizes() {
     println!("\nSize of a plan, bytes: JSON, CBOR");
-    for (name, services, bonuses) in [
+    for (name, services, has_bonuses) in [
         ("10 services", 10, false),
         ("140 services", 140, false),
         ("140 services, all bonuses", 140, true),
@@ -293,7 +320,7 @@
                 plan.splits.insert((service, locality), shares);
             }
         }
-        if bonuses {
+        if has_bonuses {
             let bonus = Bonus {
                 amount: 123.5,
                 ttl: Duration::from_secs(6),
@@ -305,15 +332,17 @@
             }
         }
         let record = plan.to_record(&catalog);
-        let json = serde_json::to_vec(&record).expect("JSON").len();
+        let json = serde_json::to_vec(&record)
+            .expect("cannot encode the plan as JSON")
+            .len();
         let mut cbor = Vec::new();
-        ciborium::into_writer(&record, &mut cbor).expect("CBOR");
+        ciborium::into_writer(&record, &mut cbor).expect("cannot encode the plan as CBOR");
         println!("{name:28} {json:9} {:9}", cbor.len());
     }
 }
 
-/// The reports of the hosts of one zone, and the summaries of all zones.
-fn tables(now: Instant, zone: ZoneKey, catalog: &Catalog) -> (Table, Table) {
+/// Returns a table of the reports of one zone's hosts, and a table of the summaries of all zones.
+fn report_tables(now: Instant, zone: ZoneKey, catalog: &Catalog) -> (Table, Table) {
     let loads: BTreeMap<_, _> = catalog
         .services()
         .map(|(service, _)| {
@@ -342,23 +371,27 @@
     (reports, summaries)
 }
 
-/// A first delegate of a fleet of 680 hosts that has run for a while.
-fn operations(criterion: &mut Criterion) {
-    let fleet = settled(15, 680, 0.5);
+/// Benchmarks single operations of a delegate in a settled fleet of 680 hosts.
+fn bench_operations(criterion: &mut Criterion) {
+    let fleet = settled_fleet(15, 680, 0.5);
     let catalog = &*fleet.catalog;
     let now = fleet.now();
     let (&host, node) = fleet
         .nodes
         .iter()
         .find(|(_, node)| node.agent.is_delegate())
-        .expect("a delegate");
+        .expect("the fleet has no delegate");
     let mut membership = node.agent.membership().clone();
     let peers = membership.zone_hosts(node.zone);
-    let peer = *peers.iter().find(|&&peer| peer != host).expect("a peer");
-    let beat = Membership::new(now, peer, 2, catalog).heartbeat(delegate::heartbeat_interval(0));
-    let (reports, summaries) = tables(now, node.zone, catalog);
+    let peer = *peers
+        .iter()
+        .find(|&&peer| peer != host)
+        .expect("the zone has no other host");
+    let heartbeat =
+        Membership::new(now, peer, 2, catalog).heartbeat(delegate::heartbeat_interval(0));
+    let (reports, summaries) = report_tables(now, node.zone, catalog);
     criterion.bench_function("membership/receive", |b| {
-        b.iter(|| membership.receive(now, black_box(&beat)))
+        b.iter(|| membership.receive(now, black_box(&heartbeat)))
     });
     criterion.bench_function("membership/tick at 680", |b| {
         b.iter(|| membership.tick(now))
@@ -369,13 +402,13 @@
     criterion.bench_function("summary/merge 46 reports", |b| {
         b.iter(|| reports.merge(now, peers.iter().copied()))
     });
-    let sights = BTreeMap::new();
+    let zone_statuses = BTreeMap::new();
     let mut planner = Planner::default();
     criterion.bench_function("plan/make at 150 sites", |b| {
         let view = View {
             catalog,
             summaries: &summaries,
-            zone_statuses: &sights,
+            zone_statuses: &zone_statuses,
         };
         b.iter(|| planner.make_plan(now, Stamp::default(), &view))
     });
@@ -383,22 +416,22 @@
 
 fn main() {
     let arguments: Vec<String> = std::env::args().collect();
-    let tables = arguments.iter().any(|a| a == "--tables");
-    if arguments.iter().any(|a| a == "--test") {
-        return fleet_row(6, 12, 0.5, 5);
+    let is_tables_only = arguments.iter().any(|argument| argument == "--tables");
+    if arguments.iter().any(|argument| argument == "--test") {
+        return print_fleet_row(6, 12, 0.5, 5);
     }
-    fleet_table();
-    course_of_faults();
-    restart_table();
-    if arguments.iter().any(|a| a == "--fleet") {
+    print_fleet_table();
+    print_fault_table();
+    print_restart_table();
+    if arguments.iter().any(|argument| argument == "--fleet") {
         return;
     }
-    plan_sizes();
-    course_table();
-    death_table();
-    if !tables {
+    print_plan_sizes();
+    print_burst_table();
+    print_false_death_table();
+    if !is_tables_only {
         let mut criterion = Criterion::default().sample_size(20);
-        operations(&mut criterion);
+        bench_operations(&mut criterion);
         criterion.final_summary();
     }
 }
--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -1,4 +1,5 @@
-//! What one decision costs: splits, client blocks, look-ups, budgets and quotas, over sizes.
+//! Cost of a single routing decision: splits, client blocks, look-ups, budgets and quotas, at several
+//! sizes of the catalog.
 
 #[path = "../tests/places/mod.rs"]
 mod places;
@@ -28,7 +29,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-/// 688 hosts in 16 zones of 4 regions, 144 sites, 54 targets a zone.
+/// 688 hosts in 16 zones of 4 regions, 144 sites, 54 targets per zone.
 const LARGE: Size = Size {
     regions: 4,
     zones: 4,
@@ -36,12 +37,13 @@
     services: 9,
     targets: 6,
 };
-const BLOCKS: [usize; 3] = [20_000, 200_000, 2_200_000];
-/// Addresses that a bench asks for in turn.
-const CALLERS: usize = 1 << 16;
+/// Numbers of client blocks to measure.
+const BLOCK_COUNTS: [usize; 3] = [20_000, 200_000, 2_200_000];
+/// Number of caller addresses that are looked up in turn.
+const CALLER_COUNT: usize = 1 << 16;
 
-/// Random blocks of one family, some within others.
-fn blocks(family: u8, count: usize) -> BTreeSet<IpNet> {
+/// Returns random blocks of one address family; some contain others.
+fn random_blocks(family: u8, count: usize) -> BTreeSet<IpNet> {
     let mut rng = Pcg64::seed_from_u64(7);
     let mut blocks = BTreeSet::new();
     while blocks.len() < count {
@@ -56,24 +58,25 @@
     blocks
 }
 
-/// Addresses within blocks taken at random.
-fn callers(blocks: &[(IpNet, RegionKey)]) -> Vec<IpAddr> {
+/// Returns random addresses from randomly chosen blocks.
+fn random_callers(blocks: &[(IpNet, RegionKey)]) -> Vec<IpAddr> {
     let mut rng = Pcg64::seed_from_u64(8);
-    (0..CALLERS)
+    (0..CALLER_COUNT)
         .map(|_| match blocks[rng.random_range(0..blocks.len())].0 {
             IpNet::V4(net) => {
-                let host = rng.random::<u32>() & u32::from(net.hostmask());
-                IpAddr::V4(Ipv4Addr::from(u32::from(net.network()) | host))
+                let host_bits = rng.random::<u32>() & u32::from(net.hostmask());
+                IpAddr::V4(Ipv4Addr::from(u32::from(net.network()) | host_bits))
             }
             IpNet::V6(net) => {
-                let host = rng.random::<u128>() & u128::from(net.hostmask());
-                IpAddr::V6(Ipv6Addr::from(u128::from(net.network()) | host))
+                let host_bits = rng.random::<u128>() & u128::from(net.hostmask());
+                IpAddr::V6(Ipv6Addr::from(u128::from(net.network()) | host_bits))
             }
         })
         .collect()
 }
 
-fn with_regions(catalog: &Catalog, blocks: &BTreeSet<IpNet>) -> Vec<(IpNet, RegionKey)> {
+/// Assigns the regions of the catalog to the blocks in turn.
+fn assign_regions(catalog: &Catalog, blocks: &BTreeSet<IpNet>) -> Vec<(IpNet, RegionKey)> {
     let regions: Vec<RegionKey> = catalog.regions().map(|(key, _)| key).collect();
     blocks
         .iter()
@@ -82,25 +85,26 @@
         .collect()
 }
 
-/// Memory of this process, in bytes.
-fn resident() -> usize {
+/// Returns the resident memory of this process in bytes, or 0 if it cannot be read.
+fn resident_bytes() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|pages| pages.parse().ok());
     pages.unwrap_or(0) * 4096
 }
 
-/// Calls `decide` with one of the callers after the other.
-fn in_turn<'a, T>(
+/// Returns a closure that calls `decide` with the next caller address at each call.
+fn cycle_callers<'a, T>(
     callers: &'a [IpAddr],
     decide: impl Fn(IpAddr) -> T + 'a,
 ) -> impl FnMut() -> T + 'a {
-    let mut at = 0;
+    let mut index = 0;
     move || {
-        at = (at + 1) % callers.len();
-        decide(callers[at])
+        index = (index + 1) % callers.len();
+        decide(callers[index])
     }
 }
 
+/// Choosing a zone from a split and moving a split toward a goal, by number of zones.
 fn choose(criterion: &mut Criterion) {
     let catalog = places::catalog(LARGE);
     let mut group = criterion.benchmark_group("split");
@@ -117,60 +121,68 @@
                 split.choose(black_box(block), |_| true)
             });
         });
-        let goal = Split::new(
+        let goal_split = Split::new(
             &catalog,
             split.shares().map(|(zone, share)| (zone, share * share)),
         );
         group.bench_function(BenchmarkId::new("toward", count), |bencher| {
-            bencher.iter(|| split.step_toward(black_box(&goal), 0.01));
+            bencher.iter(|| split.step_toward(black_box(&goal_split), 0.01));
         });
     }
     group.finish();
 }
 
+/// Look-ups in and updates of the table of client blocks, by address family and number of blocks.
 fn tables(criterion: &mut Criterion) {
     let catalog = places::catalog(LARGE);
     let mut group = criterion.benchmark_group("table");
     for (family, count) in [4, 6]
         .into_iter()
-        .flat_map(|family| BLOCKS.map(|count| (family, count)))
+        .flat_map(|family| BLOCK_COUNTS.map(|count| (family, count)))
     {
-        let name = |what: &str| BenchmarkId::new(format!("{what}_v{family}"), count);
-        let blocks = with_regions(&catalog, &blocks(family, count));
-        let callers = callers(&blocks);
-        let before = resident();
+        let benchmark_id =
+            |operation: &str| BenchmarkId::new(format!("{operation}_v{family}"), count);
+        let blocks = assign_regions(&catalog, &random_blocks(family, count));
+        let callers = random_callers(&blocks);
+        let resident_before = resident_bytes();
         let table = Table::default().with_blocks(&blocks);
-        let (bytes, grown) = (table.bytes(), resident().saturating_sub(before));
+        let (bytes, resident_growth) = (
+            table.bytes(),
+            resident_bytes().saturating_sub(resident_before),
+        );
         println!(
-            "table_v{family}/{count}: {bytes} bytes of records, resident memory grew by {grown}"
+            "table_v{family}/{count}: {bytes} bytes of records, resident memory grew by {resident_growth}"
         );
-        group.bench_function(name("find"), |bencher| {
-            bencher.iter(in_turn(&callers, |client| table.find(client)));
+        group.bench_function(benchmark_id("find"), |bencher| {
+            bencher.iter(cycle_callers(&callers, |client| table.find(client)));
         });
-        group.bench_function(name("change_10"), |bencher| {
-            let put: Vec<_> = blocks.iter().step_by(count / 10).copied().collect();
-            let put: Vec<_> = put.iter().map(|&(net, _)| (net, blocks[1].1)).collect();
-            bencher.iter(|| table.with_changes(black_box(&put), &[]));
+        group.bench_function(benchmark_id("change_10"), |bencher| {
+            let changed_blocks: Vec<_> = blocks.iter().step_by(count / 10).copied().collect();
+            let changed_blocks: Vec<_> = changed_blocks
+                .iter()
+                .map(|&(net, _)| (net, blocks[1].1))
+                .collect();
+            bencher.iter(|| table.with_changes(black_box(&changed_blocks), &[]));
         });
-        group.bench_function(name("all_again"), |bencher| {
+        group.bench_function(benchmark_id("all_again"), |bencher| {
             bencher.iter(|| table.with_blocks(black_box(&blocks)));
         });
-        group.bench_function(name("from_nothing"), |bencher| {
+        group.bench_function(benchmark_id("from_nothing"), |bencher| {
             bencher.iter(|| Table::default().with_blocks(black_box(&blocks)));
         });
     }
     group.finish();
 }
 
-/// The library's trie, to compare with.
+/// Look-ups in the map of the `prefix_trie` crate, for comparison with [`Table`].
 fn tries(criterion: &mut Criterion) {
     let catalog = places::catalog(LARGE);
     let mut group = criterion.benchmark_group("prefix_trie");
     for family in [4, 6] {
-        let count = BLOCKS[2];
-        let blocks = with_regions(&catalog, &blocks(family, count));
-        let callers = callers(&blocks);
-        let before = resident();
+        let count = BLOCK_COUNTS[2];
+        let blocks = assign_regions(&catalog, &random_blocks(family, count));
+        let callers = random_callers(&blocks);
+        let resident_before = resident_bytes();
         let (mut v4, mut v6) = (PrefixMap::new(), PrefixMap::new());
         for &(net, region) in &blocks {
             match net {
@@ -178,12 +190,12 @@
                 IpNet::V6(net) => v6.insert(net, region),
             };
         }
-        let grown = resident().saturating_sub(before);
-        println!("prefix_trie_v{family}/{count}: resident memory grew by {grown}");
+        let resident_growth = resident_bytes().saturating_sub(resident_before);
+        println!("prefix_trie_v{family}/{count}: resident memory grew by {resident_growth}");
         group.bench_function(
             BenchmarkId::new(format!("find_v{family}"), count),
             |bencher| {
-                bencher.iter(in_turn(&callers, |client| match client {
+                bencher.iter(cycle_callers(&callers, |client| match client {
                     IpAddr::V4(ip) => v4.get_lpm(&Ipv4Net::from(ip)).map(|(_, region)| *region),
                     IpAddr::V6(ip) => v6.get_lpm(&Ipv6Net::from(ip)).map(|(_, region)| *region),
                 }));
@@ -193,93 +205,102 @@
     group.finish();
 }
 
-/// A catalog with client blocks, half of each family.
-fn with_clients(count: usize) -> Catalog {
+/// Returns a catalog with `count` client blocks, half of them IPv4 and half IPv6.
+fn catalog_with_clients(count: usize) -> Catalog {
     let mut configuration: Configuration =
-        serde_json::from_value(configuration(LARGE)).expect("a configuration");
-    let both = [4, 6]
+        serde_json::from_value(configuration(LARGE)).expect("invalid configuration");
+    let networks = [4, 6]
         .into_iter()
-        .flat_map(|family| blocks(family, count / 2));
-    configuration.clients = both
+        .flat_map(|family| random_blocks(family, count / 2));
+    configuration.clients = networks
         .enumerate()
-        .map(|(at, net)| {
-            let region = format!("r{}", at % LARGE.regions);
+        .map(|(index, net)| {
+            let region = format!("r{}", index % LARGE.regions);
             (net.to_string(), Client { region })
         })
         .collect();
     let catalog = Catalog::default().with_revision(1, &configuration);
-    catalog.expect("a catalog")
+    catalog.expect("invalid catalog")
 }
 
+/// Answering a look-up and building its snapshot, by number of client blocks.
 fn lookups(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("lookup");
-    for count in BLOCKS {
-        let catalog = with_clients(count);
+    for count in BLOCK_COUNTS {
+        let catalog = catalog_with_clients(count);
         let live: BTreeSet<HostKey> = catalog.hosts().map(|(key, _)| key).collect();
-        let own = |locality| {
+        let split_in_region = |locality| {
             let zones = catalog
                 .zones()
                 .filter(move |(_, zone)| zone.region == locality);
             Split::new(&catalog, zones.map(|(key, _)| (key, 1.0)))
         };
-        let splits: Vec<Split> = catalog.regions().map(|(key, _)| own(key)).collect();
-        let split = |_: ServiceKey, locality: RegionKey| {
-            let at = locality.into_raw().into_u32() as usize;
-            Some(splits[at].clone())
+        let splits: Vec<Split> = catalog
+            .regions()
+            .map(|(key, _)| split_in_region(key))
+            .collect();
+        let split_for = |_: ServiceKey, locality: RegionKey| {
+            let index = locality.into_raw().into_u32() as usize;
+            Some(splits[index].clone())
         };
-        let zone: ZoneKey = catalog.zone_key("r0-z0").expect("a zone");
-        let service = catalog.service_key("s4").expect("a service");
-        let make = || Snapshot::new(&catalog, &live, split, zone);
-        let snapshot = make();
+        let zone: ZoneKey = catalog
+            .zone_key("r0-z0")
+            .expect("the catalog has no such zone");
+        let service = catalog
+            .service_key("s4")
+            .expect("the catalog has no such service");
+        let build_snapshot = || Snapshot::new(&catalog, &live, split_for, zone);
+        let snapshot = build_snapshot();
         let blocks: Vec<_> = [4, 6]
             .into_iter()
-            .flat_map(|family| with_regions(&catalog, &blocks(family, count / 2)))
+            .flat_map(|family| assign_regions(&catalog, &random_blocks(family, count / 2)))
             .collect();
-        let callers = callers(&blocks);
+        let callers = random_callers(&blocks);
         group.bench_function(BenchmarkId::new("answer", count), |bencher| {
-            bencher.iter(in_turn(&callers, |client| {
+            bencher.iter(cycle_callers(&callers, |client| {
                 snapshot.answer(service, client, 0)
             }));
         });
         group.bench_function(BenchmarkId::new("snapshot", count), |bencher| {
-            bencher.iter(make)
+            bencher.iter(build_snapshot)
         });
     }
     group.finish();
 }
 
+/// Recording and spilling requests in a move budget with a full window, and taking from a quota.
 fn budgets(criterion: &mut Criterion) {
     let cap = Cap {
         share: 0.05,
         window: Duration::from_secs(60),
     };
-    let base = Instant::now();
-    let busy = || {
-        let mut ledger = MoveBudget::new();
+    let start = Instant::now();
+    let filled_budget = || {
+        let mut budget = MoveBudget::new();
         for ms in 0..120_000 {
-            ledger.record_request(base + Duration::from_millis(ms));
+            budget.record_request(start + Duration::from_millis(ms));
         }
-        ledger
+        budget
     };
-    let end = base + Duration::from_secs(120);
+    let window_end = start + Duration::from_secs(120);
     criterion.bench_function("ledger/request", |bencher| {
-        let mut ledger = busy();
-        let mut now = end;
+        let mut budget = filled_budget();
+        let mut now = window_end;
         bencher.iter(|| {
             now += Duration::from_millis(1);
-            ledger.record_request(now);
+            budget.record_request(now);
         });
     });
     criterion.bench_function("ledger/spill", |bencher| {
         bencher.iter_batched_ref(
-            busy,
-            |ledger| ledger.try_spill(end, cap),
+            filled_budget,
+            |budget| budget.try_spill(window_end, cap),
             BatchSize::LargeInput,
         );
     });
     criterion.bench_function("quota/take", |bencher| {
-        let mut quota = Quota::new(100.0, base, 1);
-        let mut now = base;
+        let mut quota = Quota::new(100.0, start, 1);
+        let mut now = start;
         bencher.iter(|| {
             now += Duration::from_millis(1);
             quota.take(now, 1.0)
@@ -287,17 +308,18 @@
     });
 }
 
-/// An engine of one host that knows all zones, and what tells it of them.
-fn engine(size: Size, now: Instant) -> (Engine, Arc<Catalog>, View) {
+/// Builds the engine of one host, with all zones alive and all slots free. Returns it with its catalog
+/// and view.
+fn ready_engine(size: Size, now: Instant) -> (Engine, Arc<Catalog>, View) {
     let catalog = Arc::new(places::catalog(size));
     let mut view = View::default();
-    let mut free = BTreeMap::new();
+    let mut free_slots = BTreeMap::new();
     for (zone, _) in catalog.zones() {
         view.zones.insert(zone, ZoneHealth::Alive);
         for (service, _) in catalog.services() {
             let slots = catalog.site(service, zone).map_or(0, |site| site.slots);
             view.slots.insert((service, zone), slots);
-            free.insert((service, zone), slots);
+            free_slots.insert((service, zone), slots);
         }
     }
     let mut engine = Engine::new(&Steer::default(), 1);
@@ -305,14 +327,19 @@
     let live = catalog.hosts().map(|(key, _)| key).collect();
     let now = now + Duration::from_secs(2);
     engine.set_live(now, live);
-    engine.set_free_slots(free);
+    engine.set_free_slots(free_slots);
     engine.set_view(now, view.clone());
     (engine, catalog, view)
 }
 
-/// Asks and hands back what was given, one request a call.
-fn decide(engine: &mut Engine, now: Instant, ask: RouteRequest, rng: &mut Pcg64) -> &'static str {
-    match engine.submit(now, ask, rng) {
+/// Submits one request, finishes it at once and returns the name of its verdict.
+fn submit_and_finish(
+    engine: &mut Engine,
+    now: Instant,
+    request: RouteRequest,
+    rng: &mut Pcg64,
+) -> &'static str {
+    match engine.submit(now, request, rng) {
         Some(Verdict::Target { grant, .. }) => {
             let report = Report {
                 end: End::Answered,
@@ -323,8 +350,8 @@
             black_box(engine.finish(now, grant, report, rng));
             "target"
         }
-        Some(Verdict::Host(pass)) => {
-            engine.finish_relay(now, &pass, PermitUsage::Unused);
+        Some(Verdict::Host(permit)) => {
+            engine.finish_relay(now, &permit, PermitUsage::Unused);
             "host"
         }
         Some(Verdict::Refused(_)) => "refused",
@@ -332,65 +359,77 @@
     }
 }
 
-/// How a request is decided.
+/// Where a request is expected to be routed.
 #[derive(Clone, Copy)]
-enum Course {
-    /// By a target of the own zone.
+enum ExpectedRoute {
+    /// To a target of the own zone.
     Own,
-    /// By another region, as the split says.
+    /// To another region, which the split selects.
     Split,
-    /// By another zone, as all own targets were tried.
+    /// To another zone, because all targets of the own zone were already tried.
     Spill,
 }
 
+/// Whole decisions of the engine by number of sites, targets and hosts, then updates of its view and
+/// live hosts and building its look-up snapshot by number of sites.
 fn whole(criterion: &mut Criterion) {
-    let sizes = |of: &str| -> Vec<(usize, Size)> {
-        let all = match of {
+    let sizes = |dimension: &str| -> Vec<(usize, Size)> {
+        let all = match dimension {
             "sites" => [1, 3, 9].map(|services| Size { services, ..LARGE }),
             "targets" => [2, 6, 50].map(|targets| Size { targets, ..LARGE }),
             _ => [3, 12, 43].map(|hosts| Size { hosts, ..LARGE }),
         };
-        let count = |size: Size| match of {
+        let item_count = |size: Size| match dimension {
             "sites" => size.services * size.regions * size.zones,
             "targets" => size.services * size.targets,
             _ => size.hosts * size.regions * size.zones,
         };
-        all.map(|size| (count(size), size)).to_vec()
+        all.map(|size| (item_count(size), size)).to_vec()
     };
     let mut group = criterion.benchmark_group("engine");
-    let courses = [
-        ("own", Course::Own),
-        ("split", Course::Split),
-        ("spill", Course::Spill),
+    let routes = [
+        ("own", ExpectedRoute::Own),
+        ("split", ExpectedRoute::Split),
+        ("spill", ExpectedRoute::Spill),
     ];
-    for of in ["sites", "targets", "hosts"] {
-        for (count, size) in sizes(of) {
-            for (name, course) in courses {
-                let base = Instant::now();
-                let (mut engine, catalog, _) = engine(size, base);
-                let mut now = base + Duration::from_secs(30);
+    for dimension in ["sites", "targets", "hosts"] {
+        for (count, size) in sizes(dimension) {
+            for (name, route) in routes {
+                let start = Instant::now();
+                let (mut engine, catalog, _) = ready_engine(size, start);
+                let mut now = start + Duration::from_secs(30);
                 let mut rng = Pcg64::seed_from_u64(5);
-                let service = catalog.service_key("s0").expect("a service");
-                let zone = catalog.zone_key("r0-z0").expect("a zone");
-                let own = catalog.site(service, zone).expect("a site");
-                let region = |name| catalog.region_key(name).expect("a region");
-                let locality = match course {
-                    Course::Split => region("r1"),
+                let service = catalog
+                    .service_key("s0")
+                    .expect("the catalog has no such service");
+                let zone = catalog
+                    .zone_key("r0-z0")
+                    .expect("the catalog has no such zone");
+                let own_site = catalog
+                    .site(service, zone)
+                    .expect("the service has no site in the zone");
+                let region = |name| {
+                    catalog
+                        .region_key(name)
+                        .expect("the catalog has no such region")
+                };
+                let locality = match route {
+                    ExpectedRoute::Split => region("r1"),
                     _ => region("r0"),
                 };
-                let tried = match course {
-                    Course::Spill => own.targets.clone(),
+                let tried_targets = match route {
+                    ExpectedRoute::Spill => own_site.targets.clone(),
                     _ => vec![],
                 };
                 let mut id = 0;
-                let mut ways: BTreeMap<&str, u64> = BTreeMap::new();
+                let mut verdict_counts: BTreeMap<&str, u64> = BTreeMap::new();
                 group.bench_function(
-                    BenchmarkId::new(format!("{name}_by_{of}"), count),
+                    BenchmarkId::new(format!("{name}_by_{dimension}"), count),
                     |bencher| {
                         bencher.iter(|| {
                             id += 1;
                             now += Duration::from_millis(1);
-                            let ask = RouteRequest {
+                            let request = RouteRequest {
                                 id,
                                 kind: AttemptKind::First,
                                 origin: Origin::Caller,
@@ -399,24 +438,24 @@
                                 block: id,
                                 bytes: 100,
                                 deadline: now + Duration::from_secs(1),
-                                targets: tried.clone(),
+                                targets: tried_targets.clone(),
                                 hosts: vec![],
                                 fingerprint: Fingerprint(0),
                             };
-                            *ways
-                                .entry(decide(&mut engine, now, ask, &mut rng))
+                            *verdict_counts
+                                .entry(submit_and_finish(&mut engine, now, request, &mut rng))
                                 .or_default() += 1;
                         });
                     },
                 );
-                println!("engine/{name}_by_{of}/{count}: {ways:?}");
+                println!("engine/{name}_by_{dimension}/{count}: {verdict_counts:?}");
             }
         }
     }
     for (count, size) in sizes("sites") {
-        let base = Instant::now();
-        let (mut engine, _, view) = engine(size, base);
-        let mut now = base + Duration::from_secs(30);
+        let start = Instant::now();
+        let (mut engine, _, view) = ready_engine(size, start);
+        let mut now = start + Duration::from_secs(30);
         group.bench_function(BenchmarkId::new("set_view", count), |bencher| {
             bencher.iter(|| {
                 now += Duration::from_millis(500);
