--- a/benches/config.rs
+++ b/benches/config.rs
@@ -1,5 +1,5 @@
-//! How long it takes to check a configuration folder, by its number of client blocks: from its
-//! texts alone, and after a change of one small file.
+//! Measures how long it takes to check a configuration folder, by its number of client blocks: from
+//! scratch, and after a change of one small file.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -10,51 +10,56 @@
 
 use ragwortfold::config::{self, Folder};
 
-/// Numbers of client blocks.
-const SIZES: [u32; 3] = [1_000, 10_000, 100_000];
-/// Client blocks in one file.
-const BLOCKS_IN_FILE: u32 = 20_000;
-/// A small late file.
-const LATE: &str = r#"{"targets": {"look-01": {"state": "draining"}}}"#;
+/// Numbers of client blocks to measure.
+const BLOCK_COUNTS: [u32; 3] = [1_000, 10_000, 100_000];
+/// Largest number of client blocks per file.
+const BLOCKS_PER_FILE: u32 = 20_000;
+/// Content of a small file whose name sorts after all others.
+const LATE_FILE: &str = r#"{"targets": {"look-01": {"state": "draining"}}}"#;
 
 type Files = BTreeMap<Arc<str>, Arc<str>>;
 
-/// The example folder and `count` client blocks, in files of their own.
-fn files(count: u32) -> Files {
-    let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/quispe");
-    let folder = config::read(&dir).unwrap_or_default();
+/// Returns the files of the example folder, and further files with `count` client blocks.
+fn folder_files(count: u32) -> Files {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/quispe");
+    let folder = config::read(&path).unwrap_or_default();
     let mut files = folder.files().clone();
-    for first in (0..count).step_by(BLOCKS_IN_FILE as usize) {
-        let last = count.min(first + BLOCKS_IN_FILE);
-        let rows: Vec<String> = (first..last).map(row).collect();
-        let text = format!("{{\"clients\": {{\n{}\n}}}}\n", rows.join(",\n"));
+    for first in (0..count).step_by(BLOCKS_PER_FILE as usize) {
+        let last = count.min(first + BLOCKS_PER_FILE);
+        let entries: Vec<String> = (first..last).map(client_entry).collect();
+        let text = format!("{{\"clients\": {{\n{}\n}}}}\n", entries.join(",\n"));
         files.insert(format!("41-{first:08}.json").into(), text.into());
     }
     files
 }
 
-fn row(i: u32) -> String {
-    let address = Ipv4Addr::from((11 << 24) + (i << 5));
-    let region = ["arequipa", "lima", "cusco"][i as usize % 3];
+/// Returns the configuration entry of a client block.
+fn client_entry(index: u32) -> String {
+    let address = Ipv4Addr::from((11 << 24) + (index << 5));
+    let region = ["arequipa", "lima", "cusco"][index as usize % 3];
     format!("\"{address}/27\": {{\"region\": \"{region}\"}}")
 }
 
-fn check(c: &mut Criterion) {
-    let mut group = c.benchmark_group("config");
+/// Checking a whole folder, and checking it again after one small file was added.
+fn check(criterion: &mut Criterion) {
+    let mut group = criterion.benchmark_group("config");
     group.sample_size(10);
-    for size in SIZES {
-        group.throughput(Throughput::Elements(size.into()));
-        let files = files(size);
-        group.bench_function(BenchmarkId::new("whole", size), |b| {
-            b.iter(|| Folder::with_files(files.clone()).parts().is_ok());
+    for block_count in BLOCK_COUNTS {
+        group.throughput(Throughput::Elements(block_count.into()));
+        let files = folder_files(block_count);
+        group.bench_function(BenchmarkId::new("whole", block_count), |bencher| {
+            bencher.iter(|| Folder::with_files(files.clone()).parts().is_ok());
         });
-        let known = Folder::with_files(files.clone());
-        assert!(known.parts().is_ok(), "the folder is right");
+        let folder = Folder::with_files(files.clone());
+        assert!(folder.parts().is_ok(), "the folder is invalid");
         let mut changed = files.clone();
-        changed.insert("99-late.json".into(), LATE.into());
-        group.bench_function(BenchmarkId::new("one small file changed", size), |b| {
-            b.iter(|| known.updated(changed.clone()).parts().is_ok());
-        });
+        changed.insert("99-late.json".into(), LATE_FILE.into());
+        group.bench_function(
+            BenchmarkId::new("one small file changed", block_count),
+            |bencher| {
+                bencher.iter(|| folder.updated(changed.clone()).parts().is_ok());
+            },
+        );
     }
     group.finish();
 }
--- a/benches/control.rs
+++ b/benches/control.rs
@@ -1,6 +1,6 @@
-//! Cost of the control plane: tables of messages, bytes and processor time by fleet size, of plans and
-//! calls to the platform, of false deaths, and of how splits converge after a burst of load; then
-//! benchmarks of single operations in a fleet of 680 hosts.
+//! Cost of the control plane: tables of messages, bytes and processor time by fleet size, of plans
+//! and calls to the platform, of false deaths, and of how splits converge after a burst of load;
+//! then benchmarks of single operations in a fleet of 680 hosts.
 //!
 //! `cargo bench --bench control -- --tables` prints only the tables, `--fleet` only those that
 //! simulate whole fleets.
@@ -49,8 +49,8 @@
     4_096.0 * pages.parse::<f64>().expect("page count is not a number")
 }
 
-/// Messages per second that one host sends, and kilobytes per second that it sends and receives, with
-/// and without headers.
+/// Messages per second that one host sends, and kilobytes per second that it sends and receives,
+/// with and without headers.
 #[derive(Clone, Copy)]
 struct HostTraffic {
     messages_sent: f64,
--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -1,5 +1,5 @@
-//! Cost of a single routing decision: splits, client blocks, look-ups, budgets and quotas, at several
-//! sizes of the catalog.
+//! Cost of a single routing decision: splits, client blocks, look-ups, budgets and quotas, at
+//! several sizes of the catalog.
 
 #[path = "../tests/places/mod.rs"]
 mod places;
@@ -308,8 +308,8 @@
     });
 }
 
-/// Builds the engine of one host, with all zones alive and all slots free. Returns it with its catalog
-/// and view.
+/// Builds the engine of one host, with all zones alive and all slots free. Returns it with its
+/// catalog and view.
 fn ready_engine(size: Size, now: Instant) -> (Engine, Arc<Catalog>, View) {
     let catalog = Arc::new(places::catalog(size));
     let mut view = View::default();
@@ -370,8 +370,8 @@
     Spill,
 }
 
-/// Whole decisions of the engine by number of sites, targets and hosts, then updates of its view and
-/// live hosts and building its look-up snapshot by number of sites.
+/// Whole decisions of the engine by number of sites, targets and hosts, then updates of its view
+/// and live hosts and building its look-up snapshot by number of sites.
 fn whole(criterion: &mut Criterion) {
     let sizes = |dimension: &str| -> Vec<(usize, Size)> {
         let all = match dimension {
--- a/benches/peer.rs
+++ b/benches/peer.rs
@@ -1,6 +1,6 @@
-//! Figures of the links between hosts, two meshes in one process on loopback: time of a relayed
-//! request, throughput of uploads, latency of control messages alone and beside uploads, and the bytes
-//! of a heartbeat.
+//! Measures the links between hosts, with two meshes in one process over loopback: round-trip time
+//! of relayed requests, throughput of uploads, latency of control messages with and without
+//! concurrent uploads, and size of a heartbeat.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -18,76 +18,88 @@
 use ragwortfold::peer::stream::{Incoming, Open};
 use standin::link::{Fault, Link};
 
-const PATIENCE: Duration = Duration::from_secs(60);
-/// Threads that reply.
-const WORKERS: usize = 16;
-/// Body of an upload, in bytes.
-const UPLOAD: usize = 8 << 20;
-/// Uploads that run beside control messages.
-const UPLOADS: usize = 4;
-/// Threads that ask at once.
-const CALLERS: usize = 8;
-/// Samples of each distribution.
-const SAMPLES: usize = 20_000;
-/// The same between regions.
-const SAMPLES_FAR: usize = 100;
+/// Timeout of a relayed request and longest duration that is recorded.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
+/// Threads that reply to requests.
+const REPLY_THREADS: usize = 16;
+/// Size of the body of an upload, in bytes.
+const UPLOAD_BYTES: usize = 8 << 20;
+/// Uploads that run concurrently with control messages.
+const CONCURRENT_UPLOADS: usize = 4;
+/// Threads that send requests concurrently.
+const CONCURRENT_CALLERS: usize = 8;
+/// Samples of each distribution over loopback.
+const SAMPLE_COUNT: usize = 20_000;
+/// Samples of each distribution over the delayed link between regions.
+const SAMPLE_COUNT_BETWEEN_REGIONS: usize = 100;
 
-/// Two linked hosts; the second one replies to what the first asks.
-struct Pair {
-    from: Mesh,
-    _to: Mesh,
+/// Two linked hosts. The second replies to the requests of the first and signals each of its
+/// control messages on `heartbeats`.
+struct LinkedHosts {
+    caller: Mesh,
+    _replier: Mesh,
     _link: Option<Link>,
-    beats: Receiver<()>,
+    heartbeats: Receiver<()>,
 }
 
-fn mesh(host: &str, events: impl Fn(Event) + Send + Sync + 'static) -> Mesh {
-    let any = Listen::Address(SocketAddr::from(([127, 0, 0, 1], 0)));
-    Mesh::new(Config::new(host, 1, "zone", "secret", any), events).expect("a mesh")
+/// Starts the mesh of a host on a free loopback port.
+fn start_mesh(host: &str, events: impl Fn(Event) + Send + Sync + 'static) -> Mesh {
+    let any_port = Listen::Address(SocketAddr::from(([127, 0, 0, 1], 0)));
+    Mesh::new(Config::new(host, 1, "zone", "secret", any_port), events)
+        .expect("cannot start the mesh")
 }
 
-fn pair() -> Pair {
-    pair_over(None)
+/// Returns two hosts that are linked directly.
+fn linked_hosts() -> LinkedHosts {
+    linked_hosts_with_fault(None)
 }
 
-/// The same with a slow link between them.
-fn pair_over(fault: Option<Fault>) -> Pair {
-    let (work, queue) = sync_channel::<Incoming>(1024);
-    let (beat, beats) = sync_channel(1 << 20);
-    let queue = Arc::new(Mutex::new(queue));
-    for _ in 0..WORKERS {
-        let queue = queue.clone();
+/// Returns two linked hosts; a given `fault` applies to the connection between them.
+fn linked_hosts_with_fault(fault: Option<Fault>) -> LinkedHosts {
+    let (request_sender, request_receiver) = sync_channel::<Incoming>(1024);
+    let (heartbeat_sender, heartbeats) = sync_channel(1 << 20);
+    let request_receiver = Arc::new(Mutex::new(request_receiver));
+    for _ in 0..REPLY_THREADS {
+        let request_receiver = request_receiver.clone();
         thread::spawn(move || loop {
-            let next = queue.lock().expect("no panic").recv();
+            let next = request_receiver
+                .lock()
+                .expect("a reply thread panicked")
+                .recv();
             let Ok(incoming) = next else { return };
             let _ = reply(incoming);
         });
     }
-    let to = mesh("ent-b", move |event| match event {
-        Event::Open(incoming) => work.send(incoming).expect("workers"),
-        Event::Control { .. } => beat.send(()).expect("a reader"),
+    let replier = start_mesh("ent-b", move |event| match event {
+        Event::Open(incoming) => request_sender
+            .send(incoming)
+            .expect("no reply thread is running"),
+        Event::Control { .. } => heartbeat_sender
+            .send(())
+            .expect("the heartbeat receiver is gone"),
         _ => {}
     });
-    let from = mesh("ent-a", |_| {});
+    let caller = start_mesh("ent-a", |_| {});
     let link = fault.map(|fault| {
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let link = Link::new(any, to.address()).expect("a link");
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        let link = Link::new(any_port, replier.address()).expect("cannot open the link");
         link.set_fault(fault);
         link
     });
-    let address = link.as_ref().map_or(to.address(), Link::address);
-    from.set_peers([("ent-b".into(), address)].into_iter().collect());
-    while from.linked().is_empty() {
+    let address = link.as_ref().map_or(replier.address(), Link::address);
+    caller.set_peers([("ent-b".into(), address)].into_iter().collect());
+    while caller.linked().is_empty() {
         thread::yield_now();
     }
-    Pair {
-        from,
-        _to: to,
+    LinkedHosts {
+        caller,
+        _replier: replier,
         _link: link,
-        beats,
+        heartbeats,
     }
 }
 
-/// Reads the whole body and replies with a small one.
+/// Reads the whole request body and replies with a body of 64 bytes.
 fn reply(mut incoming: Incoming) -> Result<(), ragwortfold::peer::error::StreamError> {
     let mut buffer = vec![0; 64 << 10];
     while incoming.read_body(&mut buffer)? > 0 {}
@@ -100,21 +112,30 @@
     incoming.finish()
 }
 
-fn relay(mesh: &Mesh, body: &[u8]) {
+/// Relays one request with `body` and reads the whole reply.
+fn relay_request(mesh: &Mesh, body: &[u8]) {
     let open = Open::new(
         "request-1",
         "lookups",
         "GET",
         "/passes?satellite=7",
-        PATIENCE,
+        REQUEST_TIMEOUT,
     )
     .with_length(Some(body.len() as u64));
-    let mut stream = mesh.open("ent-b", &open, PATIENCE).expect("a stream");
-    stream.write_body(body).expect("room");
-    stream.finish_body().expect("room");
-    stream.read_head(PATIENCE).expect("a head");
+    let mut stream = mesh
+        .open("ent-b", &open, REQUEST_TIMEOUT)
+        .expect("cannot open the stream");
+    stream.write_body(body).expect("cannot send the body");
+    stream.finish_body().expect("cannot finish the body");
+    stream
+        .read_head(REQUEST_TIMEOUT)
+        .expect("cannot read the response head");
     let mut buffer = [0; 256];
-    while stream.read_body(&mut buffer).expect("a body") > 0 {}
+    while stream
+        .read_body(&mut buffer)
+        .expect("cannot read the response body")
+        > 0
+    {}
 }
 
 fn heartbeat(sequence: u64) -> Message {
@@ -127,141 +148,165 @@
     })
 }
 
-/// Prints a distribution of times.
-fn print(name: &str, times: &Histogram<u64>) {
-    let at = |quantile| times.value_at_quantile(quantile) as f64 / 1000.0;
+/// Prints percentiles of a distribution of times in nanoseconds.
+fn print_distribution(name: &str, times: &Histogram<u64>) {
+    let micros_at = |quantile| times.value_at_quantile(quantile) as f64 / 1000.0;
     println!(
         "{name}: p50 {:.1} us, p99 {:.1} us, p99.9 {:.1} us, {} samples",
-        at(0.5),
-        at(0.99),
-        at(0.999),
+        micros_at(0.5),
+        micros_at(0.99),
+        micros_at(0.999),
         times.len()
     );
 }
 
-fn timed(times: &mut Histogram<u64>, step: impl FnOnce()) {
+/// Runs `operation` and records its duration in nanoseconds.
+fn record_duration(times: &mut Histogram<u64>, operation: impl FnOnce()) {
     let start = Instant::now();
-    step();
+    operation();
     times.saturating_record(start.elapsed().as_nanos() as u64);
 }
 
-fn histogram() -> Histogram<u64> {
-    let longest = PATIENCE.as_nanos() as u64;
-    Histogram::new_with_max(longest, 3).expect("a histogram")
+/// Returns a histogram of nanoseconds with 3 significant digits.
+fn new_histogram() -> Histogram<u64> {
+    let longest = REQUEST_TIMEOUT.as_nanos() as u64;
+    Histogram::new_with_max(longest, 3).expect("invalid histogram bounds")
 }
 
+/// Round-trip time of requests that follow each other.
 fn round_trip(criterion: &mut Criterion) {
-    let pair = pair();
+    let hosts = linked_hosts();
     criterion.bench_function("relay/round_trip", |bencher| {
-        bencher.iter(|| relay(&pair.from, b""));
+        bencher.iter(|| relay_request(&hosts.caller, b""));
     });
-    let mut times = histogram();
-    for _ in 0..SAMPLES {
-        timed(&mut times, || relay(&pair.from, b""));
+    let mut times = new_histogram();
+    for _ in 0..SAMPLE_COUNT {
+        record_duration(&mut times, || relay_request(&hosts.caller, b""));
     }
-    print("relay/round_trip", &times);
+    print_distribution("relay/round_trip", &times);
 }
 
+/// Round-trip time and rate of concurrent requests over one link.
 fn at_once(_: &mut Criterion) {
-    let pair = pair();
+    let hosts = linked_hosts();
     let start = Instant::now();
-    let callers = || {
-        let mut times = histogram();
-        for _ in 0..SAMPLES {
-            timed(&mut times, || relay(&pair.from, b""));
+    let run_caller = || {
+        let mut times = new_histogram();
+        for _ in 0..SAMPLE_COUNT {
+            record_duration(&mut times, || relay_request(&hosts.caller, b""));
         }
         times
     };
-    let mut all = histogram();
+    let mut all_times = new_histogram();
     thread::scope(|scope| {
-        let running: Vec<_> = (0..CALLERS).map(|_| scope.spawn(callers)).collect();
-        for times in running {
-            all.add(times.join().expect("times")).expect("one range");
+        let threads: Vec<_> = (0..CONCURRENT_CALLERS)
+            .map(|_| scope.spawn(run_caller))
+            .collect();
+        for times in threads {
+            all_times
+                .add(times.join().expect("a caller panicked"))
+                .expect("histograms have different ranges");
         }
     });
-    let rate = all.len() as f64 / start.elapsed().as_secs_f64();
-    print(&format!("relay/{CALLERS}_callers"), &all);
-    println!("relay/{CALLERS}_callers: {rate:.0} requests/s over one link");
+    let rate = all_times.len() as f64 / start.elapsed().as_secs_f64();
+    print_distribution(&format!("relay/{CONCURRENT_CALLERS}_callers"), &all_times);
+    println!("relay/{CONCURRENT_CALLERS}_callers: {rate:.0} requests/s over one link");
 }
 
+/// Throughput of uploads that follow each other.
 fn throughput(criterion: &mut Criterion) {
-    let pair = pair();
-    let body = vec![7; UPLOAD];
+    let hosts = linked_hosts();
+    let body = vec![7; UPLOAD_BYTES];
     let mut group = criterion.benchmark_group("relay");
-    group.throughput(Throughput::Bytes(UPLOAD as u64));
+    group.throughput(Throughput::Bytes(UPLOAD_BYTES as u64));
     group.bench_function("upload", |bencher| {
-        bencher.iter(|| relay(&pair.from, &body));
+        bencher.iter(|| relay_request(&hosts.caller, &body));
     });
 }
 
+/// Latency of control messages and small requests over loopback.
 fn control(_: &mut Criterion) {
-    beside_uploads("loopback", &pair(), SAMPLES);
+    print_control_and_request_times("loopback", &linked_hosts(), SAMPLE_COUNT);
 }
 
-/// The same between regions: 55 ms one way, 50 MB/s.
+/// Latency of control messages and small requests between regions: 55 ms one way, 50 MB/s.
 fn control_between_regions(_: &mut Criterion) {
     let mut fault = Fault::delay(Duration::from_millis(55));
     fault.forth.bytes_per_s = 50_000_000;
     fault.back.bytes_per_s = 50_000_000;
-    beside_uploads("between_regions", &pair_over(Some(fault)), SAMPLES_FAR);
+    print_control_and_request_times(
+        "between_regions",
+        &linked_hosts_with_fault(Some(fault)),
+        SAMPLE_COUNT_BETWEEN_REGIONS,
+    );
 }
 
-/// Times of control messages, one way, and of small requests: alone, then beside uploads.
-fn beside_uploads(place: &str, pair: &Pair, samples: usize) {
-    let control = |name: &str| {
-        let mut times = histogram();
+/// Prints the one-way times of control messages and the round-trip times of small requests, first
+/// without other traffic and then with concurrent uploads.
+fn print_control_and_request_times(place: &str, hosts: &LinkedHosts, samples: usize) {
+    let measure_control = |name: &str| {
+        let mut times = new_histogram();
         for sequence in 0..samples as u64 {
-            timed(&mut times, || {
-                let sent = pair.from.send("ent-b", &heartbeat(sequence));
-                sent.expect("room");
-                pair.beats.recv().expect("a heartbeat");
+            record_duration(&mut times, || {
+                let sent = hosts.caller.send("ent-b", &heartbeat(sequence));
+                sent.expect("cannot send the heartbeat");
+                hosts
+                    .heartbeats
+                    .recv()
+                    .expect("the heartbeat sender is gone");
             });
         }
-        print(&format!("control/{place}/{name}"), &times);
+        print_distribution(&format!("control/{place}/{name}"), &times);
     };
-    let small = |name: &str| {
-        let mut times = histogram();
+    let measure_requests = |name: &str| {
+        let mut times = new_histogram();
         for _ in 0..samples {
-            timed(&mut times, || relay(&pair.from, b""));
+            record_duration(&mut times, || relay_request(&hosts.caller, b""));
         }
-        print(&format!("relay/{place}/{name}"), &times);
+        print_distribution(&format!("relay/{place}/{name}"), &times);
     };
-    control("alone");
-    small("alone");
-    let stop = AtomicBool::new(false);
-    let mesh = &pair.from;
-    let upload = || {
-        let body = vec![7; UPLOAD];
+    measure_control("alone");
+    measure_requests("alone");
+    let is_stopping = AtomicBool::new(false);
+    let mesh = &hosts.caller;
+    let run_uploads = || {
+        let body = vec![7; UPLOAD_BYTES];
         let mut count = 0;
-        while !stop.load(Ordering::Relaxed) {
-            relay(mesh, &body);
+        while !is_stopping.load(Ordering::Relaxed) {
+            relay_request(mesh, &body);
             count += 1;
         }
         count
     };
     let start = Instant::now();
     let count: usize = thread::scope(|scope| {
-        let running: Vec<_> = (0..UPLOADS).map(|_| scope.spawn(upload)).collect();
-        control("beside_uploads");
-        small("beside_uploads");
-        stop.store(true, Ordering::Relaxed);
-        let counts = running.into_iter().map(|upload| upload.join());
-        counts.map(|count| count.expect("a count")).sum()
+        let threads: Vec<_> = (0..CONCURRENT_UPLOADS)
+            .map(|_| scope.spawn(run_uploads))
+            .collect();
+        measure_control("beside_uploads");
+        measure_requests("beside_uploads");
+        is_stopping.store(true, Ordering::Relaxed);
+        let counts = threads.into_iter().map(|upload| upload.join());
+        counts.map(|count| count.expect("an upload panicked")).sum()
     });
-    let rate = (count * UPLOAD) as f64 / start.elapsed().as_secs_f64() / 1e6;
-    println!("upload/{place}: {rate:.0} MB/s meanwhile, {UPLOADS} at once");
+    let rate = (count * UPLOAD_BYTES) as f64 / start.elapsed().as_secs_f64() / 1e6;
+    println!("upload/{place}: {rate:.0} MB/s meanwhile, {CONCURRENT_UPLOADS} at once");
 }
 
+/// Size of a heartbeat on the link.
 fn bytes(_: &mut Criterion) {
-    let pair = pair();
-    let before = pair.from.counters();
+    let hosts = linked_hosts();
+    let counters_before = hosts.caller.counters();
     for sequence in 0..1000 {
-        let sent = pair.from.send("ent-b", &heartbeat(100_000 + sequence));
-        sent.expect("room");
-        pair.beats.recv().expect("a heartbeat");
+        let sent = hosts.caller.send("ent-b", &heartbeat(100_000 + sequence));
+        sent.expect("cannot send the heartbeat");
+        hosts
+            .heartbeats
+            .recv()
+            .expect("the heartbeat sender is gone");
     }
-    let after = pair.from.counters();
-    let bytes = after.control_bytes_out - before.control_bytes_out;
+    let counters_after = hosts.caller.counters();
+    let bytes = counters_after.control_bytes_out - counters_before.control_bytes_out;
     println!(
         "control/heartbeat: {:.1} bytes with WebSocket header, without TCP/IP",
         bytes as f64 / 1000.0
--- a/benches/publication.rs
+++ b/benches/publication.rs
@@ -1,4 +1,5 @@
-//! Time of an operator's `apply` and of a host's reading, against the stand-in of the platform.
+//! Measures an operator's `apply` and a host's `fetch` of a configuration, against a simulated
+//! platform.
 
 #![allow(clippy::unwrap_used)]
 
@@ -13,53 +14,70 @@
 use ragwortfold::store::publication::{fetch, Base, Fetched, Files, Publication, Signature, Undo};
 use standin::platform::Platform;
 
-/// Files in the folder.
-const FILES: usize = 20;
-/// Size of each, in bytes.
-const SIZE: usize = 4096;
+/// Number of files in the configuration folder.
+const FILE_COUNT: usize = 20;
+/// Size of each file, in bytes.
+const FILE_BYTES: usize = 4096;
 
-fn guard(platform: &Platform) -> Guard {
-    let step = Duration::from_millis(1);
+/// Returns a client of the platform whose call budget and circuit breaker do not limit the
+/// benchmark.
+fn unlimited_guard(platform: &Platform) -> Guard {
+    let backoff_time = Duration::from_millis(1);
     Guard::new(Client::new(&format!("http://{}", platform.address())))
         .with_budget(Budget::new(1e9, 1e9))
-        .with_breaker(Breaker::new(u32::MAX, step, Backoff::new(step, step)))
+        .with_breaker(Breaker::new(
+            u32::MAX,
+            backoff_time,
+            Backoff::new(backoff_time, backoff_time),
+        ))
 }
 
-fn folder() -> Files {
-    (0..FILES)
-        .map(|n| (format!("{n}.json").into(), format!("{n:SIZE$}").into()))
+fn folder_files() -> Files {
+    (0..FILE_COUNT)
+        .map(|index| {
+            (
+                format!("{index}.json").into(),
+                format!("{index:FILE_BYTES$}").into(),
+            )
+        })
         .collect()
 }
 
+/// Applying a change of one file, and fetching with and without a change.
 fn publication(criterion: &mut Criterion) {
     let platform = Platform::new(([127, 0, 0, 1], 0).into()).unwrap();
-    let guard = guard(&platform);
+    let guard = unlimited_guard(&platform);
     let operator = Publication::new(guard.clone());
     let signature = Signature {
         author: "bench".into(),
         note: "one file of many".into(),
         time: SystemTime::UNIX_EPOCH,
     };
-    let mut files = folder();
+    let mut files = folder_files();
     let mut base = Base::Head(Undo::Refuse);
-    let mut number = 0_u64;
-    let mut apply = || {
-        number += 1;
-        files.insert("0.json".into(), format!("{number:SIZE$}").into());
+    let mut change_number = 0_u64;
+    let mut apply_change = || {
+        change_number += 1;
+        files.insert(
+            "0.json".into(),
+            format!("{change_number:FILE_BYTES$}").into(),
+        );
         let check = |_: &Files| Ok::<(), String>(());
         let applied = operator.apply(&files, &base, &signature, check).unwrap();
         base = Base::Pulled(applied.marker);
     };
-    criterion.bench_function("apply one file of 20", |b| b.iter(&mut apply));
-    let mut known = Fetched::default();
-    criterion.bench_function("apply, then fetch one file of 20", |b| {
-        b.iter(|| {
-            apply();
-            known = fetch(&guard, &known).unwrap().unwrap();
+    criterion.bench_function("apply one file of 20", |bencher| {
+        bencher.iter(&mut apply_change)
+    });
+    let mut last_fetched = Fetched::default();
+    criterion.bench_function("apply, then fetch one file of 20", |bencher| {
+        bencher.iter(|| {
+            apply_change();
+            last_fetched = fetch(&guard, &last_fetched).unwrap().unwrap();
         });
     });
-    criterion.bench_function("fetch nothing new", |b| {
-        b.iter(|| assert!(fetch(&guard, &known).unwrap().is_none()));
+    criterion.bench_function("fetch nothing new", |bencher| {
+        bencher.iter(|| assert!(fetch(&guard, &last_fetched).unwrap().is_none()));
     });
 }
 
