--- a/benches/config.rs
+++ b/benches/config.rs
@@ -14,7 +14,7 @@
 const BLOCK_COUNTS: [u32; 3] = [1_000, 10_000, 100_000];
 /// Largest number of client blocks per file.
 const BLOCKS_PER_FILE: u32 = 20_000;
-/// Content of a small file whose name sorts after all others.
+/// Content of the small file `99-late.json` that is added to the folder.
 const LATE_FILE: &str = r#"{"targets": {"look-01": {"state": "draining"}}}"#;
 
 type Files = BTreeMap<Arc<str>, Arc<str>>;
