--- a/benches/publication.rs
+++ b/benches/publication.rs
@@ -7,10 +7,10 @@
 use criterion::{criterion_group, criterion_main, Criterion};
 use ragwortfold::store::backoff::Backoff;
 use ragwortfold::store::breaker::Breaker;
-use ragwortfold::store::budget::Budget;
 use ragwortfold::store::client::Client;
-use ragwortfold::store::guard::Guard;
+use ragwortfold::store::guarded_client::GuardedClient;
 use ragwortfold::store::publication::{fetch, Base, Fetched, Files, Publication, Signature, Undo};
+use ragwortfold::store::token_bucket::TokenBucket;
 use standin::platform::Platform;
 
 /// Files in the folder.
@@ -18,10 +18,10 @@
 /// Size of each, in bytes.
 const SIZE: usize = 4096;
 
-fn guard(platform: &Platform) -> Guard {
+fn guard(platform: &Platform) -> GuardedClient {
     let step = Duration::from_millis(1);
-    Guard::new(Client::new(&format!("http://{}", platform.address())))
-        .with_budget(Budget::new(1e9, 1e9))
+    GuardedClient::new(Client::new(&format!("http://{}", platform.address())))
+        .with_budget(TokenBucket::new(1e9, 1e9))
         .with_breaker(Breaker::new(u32::MAX, step, Backoff::new(step, step)))
 }
 
--- a/benches/publish.rs
+++ b/benches/publish.rs
@@ -19,7 +19,7 @@
 use ragwortfold::border::objects::Head;
 use ragwortfold::config::{self, Folder};
 use ragwortfold::store::client::Client;
-use ragwortfold::store::guard::Guard;
+use ragwortfold::store::guarded_client::GuardedClient;
 use ragwortfold::store::publication::{marker, Base, Files, Publication, Signature};
 use serde_json::{json, Value};
 use standin::link::{self, Flow, Link};
@@ -185,7 +185,7 @@
 
 impl Writer {
     fn new(url: &str, file: String) -> Self {
-        let publication = Publication::new(Guard::new(Client::new(url)));
+        let publication = Publication::new(GuardedClient::new(Client::new(url)));
         let fetched = publication.pull().unwrap().unwrap();
         Self {
             publication,
--- a/src/bin/ragwortfold/demo/operator.rs
+++ b/src/bin/ragwortfold/demo/operator.rs
@@ -5,7 +5,7 @@
 
 use ragwortfold::config::{self, Folder};
 use ragwortfold::store::client::Client;
-use ragwortfold::store::guard::Guard;
+use ragwortfold::store::guarded_client::GuardedClient;
 use ragwortfold::store::publication::{self, Base, Files, Publication, Signature, Undo};
 
 /// One operator.
@@ -21,7 +21,7 @@
     pub(crate) fn new(name: &str, platform: &str, files: Files) -> Self {
         Self {
             name: name.into(),
-            publication: Publication::new(Guard::new(Client::new(platform))),
+            publication: Publication::new(GuardedClient::new(Client::new(platform))),
             files,
             base: Base::Head(Undo::Allow),
         }
--- a/src/bin/ragwortfold/publish.rs
+++ b/src/bin/ragwortfold/publish.rs
@@ -11,7 +11,7 @@
 use ragwortfold::border::configuration::Configuration;
 use ragwortfold::config::{self, Folder};
 use ragwortfold::store::client::Client;
-use ragwortfold::store::guard::Guard;
+use ragwortfold::store::guarded_client::GuardedClient;
 use ragwortfold::store::publication::{
     self, marker, Answer, Applied, Base, Difference, Effect, Fetched, Files, Kind, Publication,
     Signature, Step, Undo,
@@ -162,7 +162,7 @@
 
 /// The publication on a platform.
 pub(crate) fn connect(platform: &str) -> Publication {
-    Publication::new(Guard::new(Client::new(&fetch::base(platform))))
+    Publication::new(GuardedClient::new(Client::new(&fetch::base(platform))))
 }
 
 /// The signature of a change made now.
--- a/src/entry/platform.rs
+++ b/src/entry/platform.rs
@@ -22,7 +22,7 @@
 use crate::control::plan::PlanRecord;
 use crate::control::{lease, publish};
 use crate::store::client::{Client, Condition, Error as StoreError, Versioned, Written};
-use crate::store::guard::Guard;
+use crate::store::guarded_client::GuardedClient;
 use crate::store::publication::{self, Fetched};
 
 /// How long one watch waits. One whose connection falls silent hides a change until it is given up, which has to be well within
@@ -95,7 +95,7 @@
     }
 
     fn watch(&self) {
-        let guard = Guard::new(Client::new(&self.url));
+        let guard = GuardedClient::new(Client::new(&self.url));
         let mut rng = Pcg64Mcg::seed_from_u64(self.seed);
         let mut after = 0;
         let mut seen = Arc::new(Fetched::default());
@@ -128,7 +128,7 @@
 
     /// Reads a newer revision, if there is one. Tells whether the platform could be asked. What was
     /// `seen` before is not read again, even if it has faults and never came into force.
-    fn refresh(&self, guard: &Guard, seen: &mut Arc<Fetched>) -> bool {
+    fn refresh(&self, guard: &GuardedClient, seen: &mut Arc<Fetched>) -> bool {
         let known = self.known.fetched();
         if known.revision >= seen.revision {
             *seen = known;
@@ -159,7 +159,7 @@
 
     fn keep(&self, asks: &Receiver<Ask>) {
         let client = Client::new(&self.url).with_timeout(Duration::from_secs(2));
-        let guard = Guard::new(client);
+        let guard = GuardedClient::new(client);
         let mut list = Instant::now();
         while self.is_running() {
             match asks.recv_timeout(LOOK) {
@@ -188,7 +188,7 @@
     }
 }
 
-fn lease(guard: &Guard, command: lease::Command) -> lease::Event {
+fn lease(guard: &GuardedClient, command: lease::Command) -> lease::Event {
     match command {
         lease::Command::Read => match read::<Lease>(guard, LEASE) {
             Ok(found) => lease::Event::Read(
@@ -213,7 +213,7 @@
 
 /// Carries out a command on the plan. Returns what came of it, and the plan that was read.
 fn plan(
-    guard: &Guard,
+    guard: &GuardedClient,
     command: publish::Command,
     record: &PlanRecord,
 ) -> (publish::Event, Option<PlanRecord>) {
@@ -229,7 +229,7 @@
     (event, None)
 }
 
-fn read_plan(guard: &Guard) -> (publish::Event, Option<PlanRecord>) {
+fn read_plan(guard: &GuardedClient) -> (publish::Event, Option<PlanRecord>) {
     match read::<PlanRecord>(guard, PLAN) {
         Ok(Some(found)) => {
             let seen = (version(found.version), found.value.stamp);
@@ -243,7 +243,10 @@
     }
 }
 
-fn read<T: DeserializeOwned>(guard: &Guard, key: &str) -> Result<Option<Versioned<T>>, StoreError> {
+fn read<T: DeserializeOwned>(
+    guard: &GuardedClient,
+    key: &str,
+) -> Result<Option<Versioned<T>>, StoreError> {
     let found: Option<Versioned<Value>> = guard.get(key)?;
     found.map(Versioned::typed).transpose()
 }
--- a/src/store/settle.rs
+++ b/src/store/confirmed_write.rs
@@ -14,8 +14,8 @@
 use serde_json::Value;
 
 use super::client::{Condition, Error, Versioned, Written};
-use super::guard::Guard;
-use super::patience::Patience;
+use super::guarded_client::GuardedClient;
+use super::retry::RetryPolicy;
 
 /// The identity of one write: 128 random bits in hexadecimal.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -103,16 +103,16 @@
 ///
 /// A failure after which the write surely had no effect.
 pub fn put<T: Serialize>(
-    guard: &Guard,
+    guard: &GuardedClient,
     key: &str,
     value: &T,
     condition: Condition,
     evidence: impl Fn(&Value) -> Evidence,
-    patience: &mut Patience,
+    retry: &mut RetryPolicy,
 ) -> Result<Outcome, Error> {
     let mut doubt = false;
     // Readings that work in between must not make the number of writes unbounded.
-    let mut writes = patience.renewed();
+    let mut writes = retry.renewed();
     loop {
         let failure = match guard.put(key, value, condition) {
             Ok(written) => return Ok(Outcome::Mine(written)),
@@ -128,7 +128,7 @@
             _ if !doubt => return Err(failure),
             _ => {}
         }
-        let found = match patience.insist(|| guard.get(key)) {
+        let found = match retry.insist(|| guard.get(key)) {
             Ok(found) => found,
             Err(e) => return unknown(doubt, e),
         };
--- a/src/store/guard.rs
+++ b/src/store/guarded_client.rs
@@ -9,8 +9,8 @@
 
 use super::backoff::Backoff;
 use super::breaker::Breaker;
-use super::budget::Budget;
 use super::client::{Client, Condition, Error, Events, Host, Listing, Versioned, Written};
+use super::token_bucket::TokenBucket;
 
 /// Calls a second that one host may make, on average.
 const DEFAULT_RATE: f64 = 20.0;
@@ -29,26 +29,26 @@
 
 /// A client whose calls are counted against one budget and one breaker. Clones share both.
 #[derive(Clone, Debug)]
-pub struct Guard {
+pub struct GuardedClient {
     client: Client,
     shared: Arc<Mutex<Shared>>,
 }
 
 #[derive(Debug)]
 struct Shared {
-    budget: Budget,
+    budget: TokenBucket,
     breaker: Breaker,
     rng: StdRng,
 }
 
-impl Guard {
+impl GuardedClient {
     /// Puts the default budget and breaker before `client`; jitter is seeded by the system.
     pub fn new(client: Client) -> Self {
         let backoff = Backoff::new(DEFAULT_FIRST, DEFAULT_MOST);
         Self {
             client,
             shared: Arc::new(Mutex::new(Shared {
-                budget: Budget::new(DEFAULT_RATE, DEFAULT_BURST),
+                budget: TokenBucket::new(DEFAULT_RATE, DEFAULT_BURST),
                 breaker: Breaker::new(DEFAULT_THRESHOLD, DEFAULT_TRIAL, backoff),
                 rng: rand::make_rng(),
             })),
@@ -56,7 +56,7 @@
     }
 
     /// Sets the budget, in place of the one shared so far.
-    pub fn with_budget(self, budget: Budget) -> Self {
+    pub fn with_budget(self, budget: TokenBucket) -> Self {
         self.lock().budget = budget;
         self
     }
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Guard::put`].
+    /// As [`GuardedClient::put`].
     pub fn delete(&self, key: &str, version: u64) -> Result<(), Error> {
         self.call(|client| client.delete(key, version))
     }
@@ -103,7 +103,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Guard::get`].
+    /// As [`GuardedClient::get`].
     pub fn list(&self, prefix: &str) -> Result<Listing, Error> {
         self.call(|client| client.list(prefix))
     }
@@ -112,7 +112,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Guard::get`].
+    /// As [`GuardedClient::get`].
     pub fn watch(&self, prefix: &str, after: u64, timeout: Duration) -> Result<Events, Error> {
         self.call(|client| client.watch(prefix, after, timeout))
     }
@@ -121,7 +121,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Guard::get`].
+    /// As [`GuardedClient::get`].
     pub fn hosts(&self) -> Result<Vec<Host>, Error> {
         self.call(Client::hosts)
     }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -6,9 +6,9 @@
 
 pub mod backoff;
 pub mod breaker;
-pub mod budget;
 pub mod client;
-pub mod guard;
-pub mod patience;
+pub mod confirmed_write;
+pub mod guarded_client;
 pub mod publication;
-pub mod settle;
+pub mod retry;
+pub mod token_bucket;
--- a/src/store/publication/error.rs
+++ b/src/store/publication/error.rs
@@ -5,7 +5,7 @@
 
 use super::Step;
 use crate::store::client;
-use crate::store::settle::Identity;
+use crate::store::confirmed_write::Identity;
 
 /// A failed publication or reading.
 #[derive(Debug, thiserror::Error)]
--- a/src/store/publication/fetch.rs
+++ b/src/store/publication/fetch.rs
@@ -5,8 +5,8 @@
 
 use super::merge::Hashes;
 use super::{text, Change, Error, Files, Head, HEAD};
-use crate::store::guard::Guard;
-use crate::store::patience::Patience;
+use crate::store::guarded_client::GuardedClient;
+use crate::store::retry::RetryPolicy;
 
 /// A revision with its texts. The default is revision 0, before the first.
 #[derive(Clone, Debug)]
@@ -40,16 +40,16 @@
 ///
 /// [`Error::Stale`] and [`Error::Forked`] if the platform tells a revision that must not be used;
 /// [`Error::Missing`] if a newer revision took its place meanwhile.
-pub fn fetch(guard: &Guard, known: &Fetched) -> Result<Option<Fetched>, Error> {
-    with_patience(guard, known, &mut Patience::none())
+pub fn fetch(guard: &GuardedClient, known: &Fetched) -> Result<Option<Fetched>, Error> {
+    with_retry(guard, known, &mut RetryPolicy::none())
 }
 
-pub(super) fn with_patience(
-    guard: &Guard,
+pub(super) fn with_retry(
+    guard: &GuardedClient,
     known: &Fetched,
-    patience: &mut Patience,
+    retry: &mut RetryPolicy,
 ) -> Result<Option<Fetched>, Error> {
-    let found = patience.insist(|| guard.get(HEAD))?;
+    let found = retry.insist(|| guard.get(HEAD))?;
     let Some(head) = found.map(|found| found.typed::<Head>()).transpose()? else {
         return missing_head(known);
     };
@@ -60,7 +60,7 @@
     head.files
         .keys()
         .try_for_each(|name| text::check_name(name))?;
-    let files = texts(guard, &head.files, &known.files, patience)?;
+    let files = texts(guard, &head.files, &known.files, retry)?;
     Ok(Some(Fetched {
         revision: head.revision,
         change: head.change,
@@ -100,10 +100,10 @@
 
 /// The texts of `hashes`, each read at most once, and not if it is among `at_hand`.
 pub(super) fn texts(
-    guard: &Guard,
+    guard: &GuardedClient,
     hashes: &Hashes,
     at_hand: &Files,
-    patience: &mut Patience,
+    retry: &mut RetryPolicy,
 ) -> Result<Files, Error> {
     let mut held: BTreeMap<String, Arc<str>> = at_hand
         .values()
@@ -113,7 +113,7 @@
     for (name, hash) in hashes {
         let text = match held.get(hash) {
             Some(text) => text.clone(),
-            None => text::get(guard, hash, patience)?,
+            None => text::get(guard, hash, retry)?,
         };
         held.insert(hash.clone(), text.clone());
         files.insert(name.as_str().into(), text);
--- a/src/store/publication/garbage.rs
+++ b/src/store/publication/garbage.rs
@@ -21,20 +21,20 @@
 use super::merge::Hashes;
 use super::{text, Error, Head};
 use crate::store::client::{self, Versioned};
-use crate::store::guard::Guard;
-use crate::store::patience::Patience;
+use crate::store::guarded_client::GuardedClient;
+use crate::store::retry::RetryPolicy;
 
 /// Revisions that are kept, with the one in force.
 pub const KEPT: u64 = 200;
 
 /// Removes what `head` and the kept revisions do not need. Returns the number of objects removed.
 pub(super) fn collect(
-    guard: &Guard,
+    guard: &GuardedClient,
     head: &Versioned<Head>,
-    patience: &mut Patience,
+    retry: &mut RetryPolicy,
 ) -> Result<usize, Error> {
     let revision = head.value.revision;
-    let listed = history::list(guard, patience)?;
+    let listed = history::list(guard, retry)?;
     let (old, kept): (Vec<Entry>, Vec<Entry>) = listed
         .into_iter()
         .partition(|entry| entry.revision + KEPT <= revision);
@@ -44,11 +44,11 @@
     let needed = needed(&head.value.files, &kept);
     let mut removed = 0;
     for candidate in candidates(&old, &needed) {
-        removed += remove_text(guard, &candidate, head.version, patience)?;
+        removed += remove_text(guard, &candidate, head.version, retry)?;
     }
     // Last, so that an interrupted collection finds its candidates again.
     for entry in &old {
-        removed += remove(guard, &entry.key, entry.version, patience)?;
+        removed += remove(guard, &entry.key, entry.version, retry)?;
     }
     Ok(removed)
 }
@@ -79,20 +79,25 @@
 }
 
 fn remove_text(
-    guard: &Guard,
+    guard: &GuardedClient,
     hash: &str,
     head: u64,
-    patience: &mut Patience,
+    retry: &mut RetryPolicy,
 ) -> Result<usize, Error> {
     let key = text::key(hash);
-    match patience.insist(|| guard.get(&key))? {
-        Some(found) if found.version < head => remove(guard, &key, found.version, patience),
+    match retry.insist(|| guard.get(&key))? {
+        Some(found) if found.version < head => remove(guard, &key, found.version, retry),
         _ => Ok(0),
     }
 }
 
-fn remove(guard: &Guard, key: &str, version: u64, patience: &mut Patience) -> Result<usize, Error> {
-    match patience.insist(|| guard.delete(key, version)) {
+fn remove(
+    guard: &GuardedClient,
+    key: &str,
+    version: u64,
+    retry: &mut RetryPolicy,
+) -> Result<usize, Error> {
+    match retry.insist(|| guard.delete(key, version)) {
         Ok(()) => Ok(1),
         Err(client::Error::Conflict { .. }) => Ok(0),
         Err(e) => Err(e.into()),
--- a/src/store/publication/history.rs
+++ b/src/store/publication/history.rs
@@ -8,8 +8,8 @@
 
 use super::{Error, Head, Past, Step};
 use crate::store::client::{self, Condition};
-use crate::store::guard::Guard;
-use crate::store::patience::Patience;
+use crate::store::guarded_client::GuardedClient;
+use crate::store::retry::RetryPolicy;
 
 /// Where past revisions are kept.
 const PREFIX: &str = "config/history/";
@@ -29,17 +29,21 @@
 
 /// Writes a history object. One that is there already is the same: the key holds the change's
 /// identity and its place.
-pub(super) fn put(guard: &Guard, past: &Past, patience: &mut Patience) -> Result<(), Error> {
+pub(super) fn put(
+    guard: &GuardedClient,
+    past: &Past,
+    retry: &mut RetryPolicy,
+) -> Result<(), Error> {
     let key = key(past.step.revision, &past.step.change.id);
-    match patience.insist(|| guard.put(&key, past, Condition::Absent)) {
+    match retry.insist(|| guard.put(&key, past, Condition::Absent)) {
         Ok(_) | Err(client::Error::Conflict { .. }) => Ok(()),
         Err(e) => Err(e.into()),
     }
 }
 
 /// Lists all history objects, with those left over, in order of revisions. The listing may lag.
-pub(super) fn list(guard: &Guard, patience: &mut Patience) -> Result<Vec<Entry>, Error> {
-    let listing = patience.insist(|| guard.list(PREFIX))?;
+pub(super) fn list(guard: &GuardedClient, retry: &mut RetryPolicy) -> Result<Vec<Entry>, Error> {
+    let listing = retry.insist(|| guard.list(PREFIX))?;
     let mut entries = Vec::with_capacity(listing.objects.len());
     for object in listing.objects {
         let object = object.typed::<Past>()?;
@@ -55,13 +59,13 @@
 
 /// The past of one change.
 fn get(
-    guard: &Guard,
+    guard: &GuardedClient,
     revision: u64,
     id: &str,
-    patience: &mut Patience,
+    retry: &mut RetryPolicy,
 ) -> Result<Option<Past>, Error> {
     let key = key(revision, id);
-    let Some(found) = patience.insist(|| guard.get(&key))? else {
+    let Some(found) = retry.insist(|| guard.get(&key))? else {
         return Ok(None);
     };
     Ok(Some(found.typed::<Past>()?.value))
@@ -69,10 +73,10 @@
 
 /// The revision `revision` in the chain that `head` ends.
 pub(super) fn find(
-    guard: &Guard,
+    guard: &GuardedClient,
     head: &Head,
     revision: u64,
-    patience: &mut Patience,
+    retry: &mut RetryPolicy,
 ) -> Result<Past, Error> {
     let gone = || Error::NoRevision(revision);
     let mut recent = head.recent.iter().filter(|step| step.revision >= revision);
@@ -80,7 +84,7 @@
     let start = recent.next_back().ok_or_else(gone)?;
     let (mut at, mut id) = (start.revision, start.change.id.clone());
     loop {
-        let past = get(guard, at, &id, patience)?.ok_or_else(gone)?;
+        let past = get(guard, at, &id, retry)?.ok_or_else(gone)?;
         if at == revision {
             return Ok(past);
         }
--- a/src/store/publication/mod.rs
+++ b/src/store/publication/mod.rs
@@ -24,9 +24,9 @@
 use serde_json::Value;
 
 use super::client::{Condition, Versioned};
-use super::guard::Guard;
-use super::patience::Patience;
-use super::settle::{self, Evidence, Identity, Outcome};
+use super::confirmed_write::{self, Evidence, Identity, Outcome};
+use super::guarded_client::GuardedClient;
+use super::retry::RetryPolicy;
 use crate::border::objects::{Head, Past};
 use merge::Hashes;
 
@@ -137,8 +137,8 @@
 /// The operators' side: publishes and reads revisions.
 #[derive(Clone, Debug)]
 pub struct Publication {
-    guard: Guard,
-    patience: Patience,
+    guard: GuardedClient,
+    retry: RetryPolicy,
 }
 
 /// What a publication wants the folder to be, and from what it changed it.
@@ -150,16 +150,16 @@
 
 impl Publication {
     /// Publishes through `guard`.
-    pub fn new(guard: Guard) -> Self {
+    pub fn new(guard: GuardedClient) -> Self {
         Self {
             guard,
-            patience: Patience::default(),
+            retry: RetryPolicy::default(),
         }
     }
 
     /// Sets how long each operation tries while the platform fails.
-    pub fn with_patience(mut self, patience: Patience) -> Self {
-        self.patience = patience;
+    pub fn with_retry(mut self, retry: RetryPolicy) -> Self {
+        self.retry = retry;
         self
     }
 
@@ -177,18 +177,18 @@
         check: impl Fn(&Files) -> Result<(), E>,
     ) -> Result<Applied, Error> {
         files.keys().try_for_each(|name| text::check_name(name))?;
-        let patience = &mut self.patience.clone();
+        let retry = &mut self.retry.clone();
         let hashes = text::hashes(files);
         let base = match base {
             Base::Pulled(marker) => marker.files.clone(),
-            Base::Head(undo) => self.head_base(&hashes, *undo, patience)?,
+            Base::Head(undo) => self.head_base(&hashes, *undo, retry)?,
         };
         let wanted = Wanted {
             files: files.clone(),
             hashes,
             base,
         };
-        self.publish(&wanted, signature, check, patience)
+        self.publish(&wanted, signature, check, retry)
     }
 
     /// Publishes the content of an earlier revision as a new one. What others publish meanwhile
@@ -203,15 +203,15 @@
         signature: &Signature,
         check: impl Fn(&Files) -> Result<(), E>,
     ) -> Result<Applied, Error> {
-        let patience = &mut self.patience.clone();
-        let head = self.head(patience)?.ok_or(Error::NoRevision(revision))?;
-        let past = history::find(&self.guard, &head.value, revision, patience)?;
+        let retry = &mut self.retry.clone();
+        let head = self.head(retry)?.ok_or(Error::NoRevision(revision))?;
+        let past = history::find(&self.guard, &head.value, revision, retry)?;
         let wanted = Wanted {
-            files: self.texts(&past.files, &Files::new(), patience)?,
+            files: self.texts(&past.files, &Files::new(), retry)?,
             hashes: past.files,
             base: head.value.files,
         };
-        self.publish(&wanted, signature, check, patience)
+        self.publish(&wanted, signature, check, retry)
     }
 
     /// Reads the revision in force; none before the first.
@@ -220,10 +220,10 @@
     ///
     /// As [`fetch()`].
     pub fn pull(&self) -> Result<Option<Fetched>, Error> {
-        let mut tries = self.patience.clone();
+        let mut tries = self.retry.clone();
         loop {
-            let patience = &mut self.patience.clone();
-            match fetch::with_patience(&self.guard, &Fetched::default(), patience) {
+            let retry = &mut self.retry.clone();
+            match fetch::with_retry(&self.guard, &Fetched::default(), retry) {
                 // The revision went out of use between the reading of the head and of its texts.
                 Err(e @ Error::Missing(_)) => tries.spend(e)?,
                 other => return other,
@@ -237,11 +237,11 @@
     ///
     /// [`Error::Store`].
     pub fn history(&self) -> Result<Vec<Step>, Error> {
-        let patience = &mut self.patience.clone();
-        let Some(head) = self.head(patience)? else {
+        let retry = &mut self.retry.clone();
+        let Some(head) = self.head(retry)? else {
             return Ok(Vec::new());
         };
-        let entries = history::list(&self.guard, patience)?;
+        let entries = history::list(&self.guard, retry)?;
         let mut steps = head.value.recent;
         if let Some(oldest) = steps.last() {
             let older = history::chain(oldest, &entries);
@@ -267,15 +267,15 @@
     ///
     /// [`Error::Store`].
     pub fn collect(&self) -> Result<usize, Error> {
-        let patience = &mut self.patience.clone();
-        match self.head(patience)? {
-            Some(head) => garbage::collect(&self.guard, &head, patience),
+        let retry = &mut self.retry.clone();
+        match self.head(retry)? {
+            Some(head) => garbage::collect(&self.guard, &head, retry),
             None => Ok(0),
         }
     }
 
-    fn head(&self, patience: &mut Patience) -> Result<Option<Versioned<Head>>, Error> {
-        let found = patience.insist(|| self.guard.get(HEAD))?;
+    fn head(&self, retry: &mut RetryPolicy) -> Result<Option<Versioned<Head>>, Error> {
+        let found = retry.insist(|| self.guard.get(HEAD))?;
         Ok(found.map(Versioned::typed).transpose()?)
     }
 
@@ -284,16 +284,16 @@
         &self,
         ours: &Hashes,
         undo: Undo,
-        patience: &mut Patience,
+        retry: &mut RetryPolicy,
     ) -> Result<Hashes, Error> {
-        let Some(head) = self.head(patience)? else {
+        let Some(head) = self.head(retry)? else {
             return Ok(Hashes::new());
         };
         let base = head.value.files;
         if undo == Undo::Allow || base == *ours {
             return Ok(base);
         }
-        let entries = history::list(&self.guard, patience)?;
+        let entries = history::list(&self.guard, retry)?;
         let undone: Vec<String> = merge::differing(&base, ours)
             .into_iter()
             .filter(|name| base.contains_key(*name) && is_past(name, ours, &entries))
@@ -310,7 +310,7 @@
         wanted: &Wanted,
         signature: &Signature,
         check: impl Fn(&Files) -> Result<(), E>,
-        patience: &mut Patience,
+        retry: &mut RetryPolicy,
     ) -> Result<Applied, Error> {
         let id = Identity::new(&mut rand::rng());
         let change = change(&id, signature);
@@ -319,7 +319,7 @@
             files: wanted.hashes.clone(),
         };
         for _ in 0..MAX_RACES {
-            let head = self.head(patience)?;
+            let head = self.head(retry)?;
             let theirs = head.as_ref().map(|head| &head.value);
             let files = rebase(wanted, theirs)?;
             if let Some(same) = theirs.filter(|head| head.files == files) {
@@ -331,10 +331,10 @@
                     marker: marker(same.revision),
                 });
             }
-            let texts = self.texts(&files, &wanted.files, patience)?;
+            let texts = self.texts(&files, &wanted.files, retry)?;
             check(&texts).map_err(|e| Error::Check(e.to_string().into()))?;
             let next = next_head(theirs, change.clone(), files);
-            let replaced = self.replace(head.as_ref(), &next, &texts, &id, patience)?;
+            let replaced = self.replace(head.as_ref(), &next, &texts, &id, retry)?;
             let Some(answer) = replaced else {
                 continue;
             };
@@ -363,15 +363,15 @@
         next: &Head,
         texts: &Files,
         id: &Identity,
-        patience: &mut Patience,
+        retry: &mut RetryPolicy,
     ) -> Result<Option<Answer>, Error> {
-        history::put(&self.guard, &past(head, next), patience)?;
+        history::put(&self.guard, &past(head, next), retry)?;
         let old = head.map(|head| &head.value.files);
         let fence = head.map_or(0, |head| head.version);
         for (name, hash) in &next.files {
             let is_held = old.is_some_and(|old| old.values().any(|held| held == hash));
             if let (false, Some(text)) = (is_held, texts.get(name.as_str())) {
-                text::touch(&self.guard, name, text, fence, patience)?;
+                text::touch(&self.guard, name, text, fence, retry)?;
             }
         }
         let condition = head.map_or(Condition::Absent, |head| Condition::Version(head.version));
@@ -381,12 +381,12 @@
             answer.set(Answer::Settled);
             evidence(value, id, next.revision)
         };
-        let outcome = settle::put(&self.guard, HEAD, next, condition, evidence, patience)?;
+        let outcome = confirmed_write::put(&self.guard, HEAD, next, condition, evidence, retry)?;
         match outcome {
             Outcome::Mine(_) => Ok(Some(answer.get())),
             Outcome::Lost(_) => Ok(None),
             Outcome::Unclear(found) => {
-                let is_mine = self.is_in_chain(found, id, next.revision, patience)?;
+                let is_mine = self.is_in_chain(found, id, next.revision, retry)?;
                 Ok(is_mine.then_some(Answer::Settled))
             }
             Outcome::Unknown(cause) => Err(unsettled(id, &cause)),
@@ -399,13 +399,13 @@
         found: Option<Versioned<Value>>,
         id: &Identity,
         revision: u64,
-        patience: &mut Patience,
+        retry: &mut RetryPolicy,
     ) -> Result<bool, Error> {
         let Some(found) = found else {
             return Ok(false);
         };
         let head = found.typed::<Head>()?.value;
-        match history::find(&self.guard, &head, revision, patience) {
+        match history::find(&self.guard, &head, revision, retry) {
             Ok(past) => Ok(past.step.change.id == id.as_str()),
             Err(e) => Err(unsettled(id, &e)),
         }
@@ -426,9 +426,9 @@
         &self,
         hashes: &Hashes,
         at_hand: &Files,
-        patience: &mut Patience,
+        retry: &mut RetryPolicy,
     ) -> Result<Files, Error> {
-        fetch::texts(&self.guard, hashes, at_hand, patience)
+        fetch::texts(&self.guard, hashes, at_hand, retry)
     }
 }
 
--- a/src/store/publication/text.rs
+++ b/src/store/publication/text.rs
@@ -8,8 +8,8 @@
 use super::{Error, Files, MAX_RACES};
 use crate::border::objects as border;
 use crate::store::client::{self, Condition};
-use crate::store::guard::Guard;
-use crate::store::patience::Patience;
+use crate::store::guarded_client::GuardedClient;
+use crate::store::retry::RetryPolicy;
 
 /// Where texts are kept, by their hashes.
 const PREFIX: &str = "config/file/";
@@ -45,9 +45,13 @@
 }
 
 /// Reads a text.
-pub(super) fn get(guard: &Guard, hash_: &str, patience: &mut Patience) -> Result<Arc<str>, Error> {
+pub(super) fn get(
+    guard: &GuardedClient,
+    hash_: &str,
+    retry: &mut RetryPolicy,
+) -> Result<Arc<str>, Error> {
     let key = key(hash_);
-    let found = patience
+    let found = retry
         .insist(|| guard.get(&key))?
         .ok_or_else(|| Error::Missing(hash_.into()))?
         .typed::<border::File>()?;
@@ -63,17 +67,17 @@
 /// Makes sure that the platform holds a text in a version above `fence`, so that no collection of
 /// garbage that began before removes it (see [`super::garbage`]).
 pub(super) fn touch(
-    guard: &Guard,
+    guard: &GuardedClient,
     name: &str,
     text: &str,
     fence: u64,
-    patience: &mut Patience,
+    retry: &mut RetryPolicy,
 ) -> Result<(), Error> {
     let key = key(&hash(text));
     let value = border::File { text: text.into() };
     let mut condition = Condition::Absent;
     for _ in 0..MAX_RACES {
-        match patience.insist(|| guard.put(&key, &value, condition)) {
+        match retry.insist(|| guard.put(&key, &value, condition)) {
             Ok(_) => return Ok(()),
             Err(client::Error::Conflict { .. }) => {}
             Err(client::Error::TooLarge { size, .. }) => {
@@ -84,7 +88,7 @@
             }
             Err(e) => return Err(e.into()),
         }
-        condition = match patience.insist(|| guard.get(&key))? {
+        condition = match retry.insist(|| guard.get(&key))? {
             Some(found) if found.version > fence => return Ok(()),
             Some(found) => Condition::Version(found.version),
             None => Condition::Absent,
--- a/src/store/patience.rs
+++ b/src/store/retry.rs
@@ -9,23 +9,23 @@
 const DEFAULT_FIRST: Duration = Duration::from_millis(50);
 /// Longest wait between two tries.
 const DEFAULT_MOST: Duration = Duration::from_secs(2);
-/// Failures in a row that are let pass, unless [`Patience::new`] sets another number.
+/// Failures in a row that are let pass, unless [`RetryPolicy::new`] sets another number.
 const DEFAULT_TRIES: u32 = 8;
 
 /// Failures in a row that are let pass, with the waits after them. Blocks the calling thread.
 #[derive(Clone, Debug)]
-pub struct Patience {
+pub struct RetryPolicy {
     tries: u32,
     backoff: Backoff,
 }
 
-impl Default for Patience {
+impl Default for RetryPolicy {
     fn default() -> Self {
         Self::new(DEFAULT_TRIES, Backoff::new(DEFAULT_FIRST, DEFAULT_MOST))
     }
 }
 
-impl Patience {
+impl RetryPolicy {
     /// Lets `tries` failures in a row pass and waits after each as long as `backoff` says.
     pub fn new(tries: u32, backoff: Backoff) -> Self {
         Self { tries, backoff }
--- a/src/store/budget.rs
+++ b/src/store/token_bucket.rs
@@ -4,14 +4,14 @@
 
 /// A token bucket. It starts full.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct TokenBucket {
     rate: f64,
     burst: f64,
     tokens: f64,
     filled: Option<Instant>,
 }
 
-impl Budget {
+impl TokenBucket {
     /// Allows `rate` calls a second on average and up to `burst` at once. Both are taken as at
     /// least a token an hour and one token, so that a wait always ends.
     pub fn new(rate: f64, burst: f64) -> Self {
--- a/tests/publication.rs
+++ b/tests/publication.rs
@@ -12,14 +12,14 @@
 use ragwortfold::border::objects::{Head, Past};
 use ragwortfold::store::backoff::Backoff;
 use ragwortfold::store::breaker::Breaker;
-use ragwortfold::store::budget::Budget;
 use ragwortfold::store::client::Client;
-use ragwortfold::store::guard::Guard;
-use ragwortfold::store::patience::Patience;
+use ragwortfold::store::guarded_client::GuardedClient;
 use ragwortfold::store::publication::{
     fetch, marker, text, Applied, Base, Effect, Error, Fetched, Files, Kind, Publication,
     Signature, Undo,
 };
+use ragwortfold::store::retry::RetryPolicy;
+use ragwortfold::store::token_bucket::TokenBucket;
 use serde_json::json;
 
 /// Names each test case.
@@ -33,16 +33,16 @@
 /// Revisions kept, as documented.
 const KEPT: u64 = 200;
 
-fn guard(url: &str) -> Guard {
+fn guard(url: &str) -> GuardedClient {
     let client = Client::new(url).with_timeout(Duration::from_secs(20));
-    Guard::new(client)
-        .with_budget(Budget::new(1e9, 1e9))
+    GuardedClient::new(client)
+        .with_budget(TokenBucket::new(1e9, 1e9))
         .with_breaker(Breaker::new(u32::MAX, STEP, Backoff::new(STEP, STEP)))
 }
 
 fn publication(url: &str) -> Publication {
-    let patience = Patience::new(40, Backoff::new(STEP, STEP * 4));
-    Publication::new(guard(url)).with_patience(patience)
+    let retry = RetryPolicy::new(40, Backoff::new(STEP, STEP * 4));
+    Publication::new(guard(url)).with_retry(retry)
 }
 
 fn files(list: &[(&str, &str)]) -> Files {
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -11,11 +11,11 @@
 use proptest::test_runner::RngSeed;
 use ragwortfold::store::backoff::Backoff;
 use ragwortfold::store::breaker::{Breaker, State};
-use ragwortfold::store::budget::Budget;
 use ragwortfold::store::client::{Client, Condition, Error, HostState};
-use ragwortfold::store::guard::Guard;
-use ragwortfold::store::patience::Patience;
-use ragwortfold::store::settle::{self, judge, Evidence, Outcome, Verdict};
+use ragwortfold::store::confirmed_write::{self, judge, Evidence, Outcome, Verdict};
+use ragwortfold::store::guarded_client::GuardedClient;
+use ragwortfold::store::retry::RetryPolicy;
+use ragwortfold::store::token_bucket::TokenBucket;
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 use serde_json::{json, Value};
@@ -227,14 +227,17 @@
     let platform = Platform::new();
     platform.set_plan(|_| Fault::Answer(500, "", ""));
     let hour = Duration::from_secs(3600);
-    let guard =
-        Guard::new(client(&platform)).with_breaker(Breaker::new(3, hour, Backoff::new(hour, hour)));
+    let guard = GuardedClient::new(client(&platform)).with_breaker(Breaker::new(
+        3,
+        hour,
+        Backoff::new(hour, hour),
+    ));
     let kinds: Vec<_> = (0..5).map(|_| kind(guard.get("a"))).collect();
     assert_eq!(kinds, ["status", "status", "status", "unsent", "unsent"]);
     let answers = [Fault::Answer(412, "", ""), Fault::Answer(200, "", "{")];
     for answer in answers {
         platform.set_plan(move |_| answer.clone());
-        let guard = Guard::new(client(&platform)).with_breaker(Breaker::new(
+        let guard = GuardedClient::new(client(&platform)).with_breaker(Breaker::new(
             1,
             hour,
             Backoff::new(hour, hour),
@@ -250,7 +253,7 @@
 
 fn guard_keeps_to_its_budget() {
     let platform = Platform::new();
-    let guard = Guard::new(client(&platform)).with_budget(Budget::new(0.0, 2.0));
+    let guard = GuardedClient::new(client(&platform)).with_budget(TokenBucket::new(0.0, 2.0));
     let kinds: Vec<_> = (0..3).map(|_| kind(guard.get("a"))).collect();
     assert_eq!(kinds, ["ok", "ok", "unsent"]);
 }
@@ -279,7 +282,7 @@
 /// Writes `"mine"` over `"old"` while `fault` hits the first write and `other` comes between.
 fn settled(fault: Fault, other: Option<&'static str>) -> &'static str {
     let platform = Platform::new();
-    let guard = Guard::new(client(&platform).with_timeout(SHORT));
+    let guard = GuardedClient::new(client(&platform).with_timeout(SHORT));
     guard.put("a", &"old", Condition::Absent).unwrap();
     platform.once("PUT", "/a", fault);
     if let Some(other) = other {
@@ -296,9 +299,9 @@
         false => Evidence::Other,
     };
     let step = Duration::from_millis(1);
-    let patience = &mut Patience::new(3, Backoff::new(step, step));
+    let retry = &mut RetryPolicy::new(3, Backoff::new(step, step));
     let condition = Condition::Version(1);
-    match settle::put(&guard, "a", &"mine", condition, evidence, patience) {
+    match confirmed_write::put(&guard, "a", &"mine", condition, evidence, retry) {
         Ok(Outcome::Mine(_)) => "mine",
         Ok(Outcome::Lost(_)) => "lost",
         Ok(Outcome::Unclear(_)) => "unclear",
@@ -333,16 +336,16 @@
 
 fn lost_answer_in_a_lasting_outage_is_unknown() {
     let platform = Platform::new();
-    let guard = Guard::new(client(&platform));
+    let guard = GuardedClient::new(client(&platform));
     platform.set_plan(|_| Fault::LoseAnswer);
     let step = Duration::from_millis(1);
-    let patience = &mut Patience::new(3, Backoff::new(step, step));
+    let retry = &mut RetryPolicy::new(3, Backoff::new(step, step));
     let evidence = |_: &Value| Evidence::Mine;
-    let outcome = settle::put(&guard, "a", &1, Condition::Absent, evidence, patience);
+    let outcome = confirmed_write::put(&guard, "a", &1, Condition::Absent, evidence, retry);
     assert!(matches!(outcome, Ok(Outcome::Unknown(_))), "{outcome:?}");
     platform.set_plan(|_| Fault::Answer(412, "", ""));
-    let guard = Guard::new(client(&platform));
-    let outcome = settle::put(&guard, "a", &1, Condition::Absent, evidence, patience);
+    let guard = GuardedClient::new(client(&platform));
+    let outcome = confirmed_write::put(&guard, "a", &1, Condition::Absent, evidence, retry);
     assert!(
         matches!(outcome, Err(Error::Conflict { .. })),
         "{outcome:?}"
@@ -360,7 +363,7 @@
         gaps in prop::collection::vec(0..400u64, 1..200),
     ) {
         let mut now = Instant::now();
-        let mut budget = Budget::new(rate, burst);
+        let mut budget = TokenBucket::new(rate, burst);
         let mut taken = Vec::new();
         for gap in gaps {
             now += Duration::from_millis(gap);
