--- a/benches/publication.rs
+++ b/benches/publication.rs
@@ -21,7 +21,7 @@
 fn guard(platform: &Platform) -> GuardedClient {
     let step = Duration::from_millis(1);
     GuardedClient::new(Client::new(&format!("http://{}", platform.address())))
-        .with_budget(TokenBucket::new(1e9, 1e9))
+        .with_rate_limit(TokenBucket::new(1e9, 1e9))
         .with_breaker(Breaker::new(u32::MAX, step, Backoff::new(step, step)))
 }
 
--- a/src/entry/platform.rs
+++ b/src/entry/platform.rs
@@ -248,7 +248,7 @@
     key: &str,
 ) -> Result<Option<Versioned<T>>, StoreError> {
     let found: Option<Versioned<Value>> = guard.get(key)?;
-    found.map(Versioned::typed).transpose()
+    found.map(Versioned::deserialize).transpose()
 }
 
 fn version(number: u64) -> lease::Version {
--- a/src/store/backoff.rs
+++ b/src/store/backoff.rs
@@ -1,45 +1,46 @@
-//! How long to wait after failures: exponential with jitter.
+//! Exponential backoff with jitter.
 
 use std::time::Duration;
 
 use rand::{Rng, RngExt};
 
-/// Doublings after which the wait has surely reached any sensible ceiling.
+/// Limit on doublings, which keeps the factor within 32 bits. Any sensible maximum delay is reached
+/// earlier.
 const MAX_DOUBLINGS: u32 = 30;
 
-/// Waits that double with each failure, up to a ceiling.
+/// Delays that double with each consecutive failure, up to a maximum.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
-    first: Duration,
-    most: Duration,
+    initial: Duration,
+    max: Duration,
     failures: u32,
 }
 
 impl Backoff {
-    /// Waits about `first` after one failure and never longer than `most`.
-    pub fn new(first: Duration, most: Duration) -> Self {
+    /// The delay is up to `initial` after one failure and never above `max`.
+    pub fn new(initial: Duration, max: Duration) -> Self {
         Self {
-            first,
-            most,
+            initial,
+            max,
             failures: 0,
         }
     }
 
-    /// Failures since the last success.
+    /// Consecutive failures since the last [`Backoff::reset`].
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Counts a failure and draws the wait that follows it: between half of the exponential wait
-    /// and all of it, so that hosts that failed together come back apart.
-    pub fn fail(&mut self, rng: &mut impl Rng) -> Duration {
+    /// Counts a failure and draws the delay before the next attempt: between half and all of the
+    /// exponential delay, so that hosts that failed at the same time do not retry at the same time.
+    pub fn next_delay(&mut self, rng: &mut impl Rng) -> Duration {
         let doublings = self.failures.min(MAX_DOUBLINGS);
         self.failures = self.failures.saturating_add(1);
-        let wait = self.first.saturating_mul(1 << doublings).min(self.most);
-        wait.mul_f64(rng.random_range(0.5..=1.0))
+        let delay = self.initial.saturating_mul(1 << doublings).min(self.max);
+        delay.mul_f64(rng.random_range(0.5..=1.0))
     }
 
-    /// Forgets the failures.
+    /// Resets the failure count after a success.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
--- a/src/store/breaker.rs
+++ b/src/store/breaker.rs
@@ -1,4 +1,5 @@
-//! A circuit breaker: stops calls to a platform that fails, and tries single ones until it is back.
+//! A circuit breaker: rejects calls to a failing platform and lets single trial calls through until
+//! one succeeds.
 
 use std::time::{Duration, Instant};
 
@@ -6,56 +7,56 @@
 
 use super::backoff::Backoff;
 
-/// Whether calls go through.
+/// State of the circuit breaker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// They do.
+    /// Calls are allowed.
     Closed,
-    /// They do not until then.
+    /// Calls are rejected until this time.
     Open(Instant),
-    /// One is on trial, begun then; the others wait for its end.
+    /// A trial call began at this time; other calls are rejected until it ends.
     HalfOpen(Instant),
 }
 
-/// The circuit breaker.
+/// A circuit breaker that opens after consecutive failures.
 #[derive(Clone, Debug)]
 pub struct Breaker {
     threshold: u32,
-    trial: Duration,
+    trial_timeout: Duration,
     failures: u32,
     backoff: Backoff,
     state: State,
 }
 
 impl Breaker {
-    /// Opens after `threshold` failures in a row, for as long as `backoff` says. A trial that has
-    /// not ended after `trial` is taken as lost and another may begin.
-    pub fn new(threshold: u32, trial: Duration, backoff: Backoff) -> Self {
+    /// Opens after `threshold` consecutive failures, each time for the next delay of `backoff`. A
+    /// trial call that has not ended within `trial_timeout` counts as lost, and another may begin.
+    pub fn new(threshold: u32, trial_timeout: Duration, backoff: Backoff) -> Self {
         Self {
             threshold: threshold.max(1),
-            trial,
+            trial_timeout,
             failures: 0,
             backoff,
             state: State::Closed,
         }
     }
 
-    /// Whether calls go through, as of the last event.
+    /// The state as of the last recorded event; an open state may have expired since.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// Asks to make a call at `now`. Who gets leave reports the end by [`Breaker::succeed`] or
-    /// [`Breaker::fail`].
+    /// Requests permission for a call at `now`. After `Ok`, the caller reports the call's result with
+    /// [`Breaker::record_success`] or [`Breaker::record_failure`].
     ///
     /// # Errors
     ///
-    /// The time until it makes sense to ask again.
-    pub fn enter(&mut self, now: Instant) -> Result<(), Duration> {
+    /// The time to wait before the next request for permission.
+    pub fn begin_call(&mut self, now: Instant) -> Result<(), Duration> {
         let until = match self.state {
             State::Closed => return Ok(()),
             State::Open(until) => until,
-            State::HalfOpen(since) => since + self.trial,
+            State::HalfOpen(since) => since + self.trial_timeout,
         };
         if now < until {
             return Err(until - now);
@@ -64,24 +65,24 @@
         Ok(())
     }
 
-    /// A call had an answer, whatever it said.
-    pub fn succeed(&mut self) {
+    /// Records that the platform answered a call, even if it rejected it.
+    pub fn record_success(&mut self) {
         self.failures = 0;
         self.backoff.reset();
         self.state = State::Closed;
     }
 
-    /// A call had no answer, or one that says that the platform itself failed.
-    pub fn fail(&mut self, now: Instant, rng: &mut impl Rng) {
+    /// Records a call without an answer, or with one that reports a fault of the platform itself.
+    pub fn record_failure(&mut self, now: Instant, rng: &mut impl Rng) {
         self.failures = self.failures.saturating_add(1);
-        let trips = match self.state {
+        let opens = match self.state {
             State::Closed => self.failures >= self.threshold,
             State::HalfOpen(_) => true,
-            // A call from before the breaker opened: it says nothing new.
+            // The call began before the breaker opened, so its failure changes nothing.
             State::Open(_) => false,
         };
-        if trips {
-            self.state = State::Open(now + self.backoff.fail(rng));
+        if opens {
+            self.state = State::Open(now + self.backoff.next_delay(rng));
         }
     }
 }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,6 +1,7 @@
-//! Adapter to the platform's object API over HTTP and JSON. All of the API's shape is in this file.
+//! Client of the platform's object API over HTTP and JSON. No other file of the store depends on the
+//! API's paths, headers and bodies.
 //!
-//! Calls block. A write's failure says whether the write can have taken effect: see [`Error`].
+//! Calls block. The error of a write shows whether the write can have taken effect: see [`Error`].
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,62 +18,62 @@
 
 pub use border::HostState;
 
-/// Largest value the platform takes, in bytes of JSON.
-pub const MAX_VALUE: usize = 1_000_000;
-/// Largest answer that is read, in bytes: a listing of many objects.
-const MAX_ANSWER: u64 = 64 << 20;
-/// Time for one call, unless [`Client::with_timeout`] sets another.
+/// Largest value that the platform accepts, in bytes of JSON.
+pub const MAX_VALUE_BYTES: usize = 1_000_000;
+/// Largest answer that is read, in bytes. Only listings of many objects come near it.
+const MAX_ANSWER_BYTES: u64 = 64 << 20;
+/// Timeout of one call, unless [`Client::with_timeout`] sets another.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Bytes of a key that go into a path or a query as they are, beside letters and digits.
-const PLAIN: &[u8] = b"-._~/";
+/// Bytes, besides ASCII letters and digits, that are not percent-encoded in a path or a query.
+const UNESCAPED: &[u8] = b"-._~/";
 
 /// A failed call.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The condition of a write did not hold, so it had no effect.
+    /// The condition of a write did not hold; the write had no effect.
     #[error("{key}: changed by another writer")]
     Conflict {
         /// The object's key.
         key: Arc<str>,
     },
-    /// The call never left this process: it had no effect.
+    /// The call was not sent; it had no effect.
     #[error("platform not reached: {reason}")]
     Unsent {
-        /// What kept it.
+        /// Why it was not sent.
         reason: Arc<str>,
     },
-    /// A write without a readable answer: it may have taken effect, now or later.
-    #[error("{key}: no answer to a write: {reason}")]
+    /// A write without a usable answer: it may have taken effect or may still do so.
+    #[error("{key}: no usable answer to a write: {reason}")]
     Uncertain {
         /// The object's key.
         key: Arc<str>,
-        /// What was seen in place of an answer.
+        /// Why there is no usable answer.
         reason: Arc<str>,
     },
     /// A read without an answer.
     #[error("platform gave no answer: {reason}")]
-    Down {
-        /// What was seen in place of an answer.
+    Unanswered {
+        /// Why there is no usable answer.
         reason: Arc<str>,
     },
-    /// The platform refused the call with an HTTP status; a refused write had no effect.
+    /// The platform answered with an HTTP error status; a write that fails so had no effect.
     #[error("{key}: platform answered status {status}")]
     Status {
-        /// The key or prefix asked for.
+        /// The requested key or prefix.
         key: Arc<str>,
         /// The HTTP status.
         status: u16,
     },
-    /// An answer or a value that cannot be read.
+    /// An answer or a value that cannot be parsed or serialized.
     #[error("{key}: malformed: {reason}")]
     Malformed {
-        /// The key or prefix asked for.
+        /// The requested key or prefix.
         key: Arc<str>,
-        /// What is wrong with it.
+        /// The fault.
         reason: Arc<str>,
     },
-    /// The value is larger than the platform takes; it was not sent.
-    #[error("{key}: {size} bytes are more than {MAX_VALUE}")]
+    /// The value is larger than the platform accepts; it was not sent.
+    #[error("{key}: value of {size} bytes exceeds the limit of {MAX_VALUE_BYTES} bytes")]
     TooLarge {
         /// The object's key.
         key: Arc<str>,
@@ -82,20 +83,20 @@
 }
 
 impl Error {
-    /// Whether the platform itself failed, as opposed to refusing this one call.
+    /// Whether the platform was unavailable, as opposed to rejecting this one call.
     pub fn is_outage(&self) -> bool {
         match self {
-            Self::Unsent { .. } | Self::Uncertain { .. } | Self::Down { .. } => true,
+            Self::Unsent { .. } | Self::Uncertain { .. } | Self::Unanswered { .. } => true,
             Self::Status { status, .. } => *status >= 500,
             Self::Conflict { .. } | Self::Malformed { .. } | Self::TooLarge { .. } => false,
         }
     }
 }
 
-/// What must hold for a write to take effect.
+/// Condition under which a write takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// There is no such object.
+    /// The object does not exist.
     Absent,
     /// The object is at this version.
     Version(u64),
@@ -113,12 +114,12 @@
 }
 
 impl Versioned<Value> {
-    /// Reads the value as a `T`.
+    /// Deserializes the value as a `T`.
     ///
     /// # Errors
     ///
-    /// [`Error::Malformed`] with the key.
-    pub fn typed<T: DeserializeOwned>(self) -> Result<Versioned<T>, Error> {
+    /// [`Error::Malformed`] if the value does not have this type.
+    pub fn deserialize<T: DeserializeOwned>(self) -> Result<Versioned<T>, Error> {
         let value = serde_json::from_value(self.value).map_err(|e| malformed(&self.key, &e))?;
         Ok(Versioned {
             key: self.key,
@@ -135,28 +136,29 @@
     pub version: u64,
 }
 
-/// The objects under a prefix.
+/// The objects whose keys begin with a prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listing {
-    /// The platform's version as of the listing; a listing may lag.
+    /// The platform's version that the listing reflects; it may be out of date.
     pub version: u64,
     /// The objects, in order of their keys.
     pub objects: Vec<Versioned<Value>>,
 }
 
-/// A change that a watch saw; no value when the object was deleted.
+/// A change that a watch reports, without a value if the object was deleted.
 pub type Event = Versioned<Option<Value>>;
 
-/// What a watch saw.
+/// The result of a watch.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Events {
-    /// Where the next watch goes on; never below where this one began.
+    /// The version after which the next watch continues; never below this watch's start.
     pub version: u64,
-    /// Changes in order of their versions. A watch may skip changes, so take it as a hint to read.
+    /// Changes in order of their versions. A watch may skip changes, so they only show that a read is
+    /// worthwhile.
     pub events: Vec<Event>,
 }
 
-/// A host in the platform's lagging list.
+/// A host in the platform's list of hosts, which may be out of date.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Host {
     /// The host's name.
@@ -165,16 +167,17 @@
     pub state: HostState,
 }
 
-/// Opens connections and marks what fails before one is open: such a call had no effect.
+/// Opens TCP connections and wraps connection errors in [`ConnectError`], because a call that fails
+/// before it has a connection had no effect.
 #[derive(Debug, Default)]
-struct Dial(TcpConnector);
+struct ConnectionOpener(TcpConnector);
 
-/// The mark of a failed connect.
+/// A failure to open a connection.
 #[derive(Debug, thiserror::Error)]
 #[error("connect: {0}")]
-struct DialError(ureq::Error);
+struct ConnectError(ureq::Error);
 
-impl<In: Transport> Connector<In> for Dial {
+impl<In: Transport> Connector<In> for ConnectionOpener {
     type Out = <TcpConnector as Connector<In>>::Out;
 
     fn connect(
@@ -184,11 +187,11 @@
     ) -> Result<Option<Self::Out>, ureq::Error> {
         self.0
             .connect(details, chained)
-            .map_err(|e| ureq::Error::Other(Box::new(DialError(e))))
+            .map_err(|e| ureq::Error::Other(Box::new(ConnectError(e))))
     }
 }
 
-/// A blocking client of the platform. Clones share their connections.
+/// A blocking client of the platform. Clones share a connection pool.
 #[derive(Clone, Debug)]
 pub struct Client {
     url: Arc<str>,
@@ -197,7 +200,7 @@
 }
 
 impl Client {
-    /// A client of the API at the base URL `url`, e.g. `http://127.0.0.1:7000`.
+    /// Creates a client of the API at the base URL `url`, e.g. `http://127.0.0.1:7000`.
     pub fn new(url: &str) -> Self {
         let config = Agent::config_builder()
             .http_status_as_error(false)
@@ -208,27 +211,31 @@
         Self {
             url: url.trim_end_matches('/').into(),
             timeout: DEFAULT_TIMEOUT,
-            agent: Agent::with_parts(config, Dial::default(), LiteralResolver::default()),
+            agent: Agent::with_parts(
+                config,
+                ConnectionOpener::default(),
+                LiteralResolver::default(),
+            ),
         }
     }
 
-    /// Sets the time for one call, from connecting to the last byte of the answer.
+    /// Sets the timeout of one call, from connecting to the last byte of the answer.
     pub fn with_timeout(mut self, timeout: Duration) -> Self {
         self.timeout = timeout;
         self
     }
 
-    /// Reads an object; none if there is no such object.
+    /// Reads an object; none if it does not exist.
     ///
     /// # Errors
     ///
-    /// All but [`Error::Conflict`], [`Error::Uncertain`] and [`Error::TooLarge`].
+    /// Any but [`Error::Conflict`], [`Error::Uncertain`] and [`Error::TooLarge`].
     pub fn get(&self, key: &str) -> Result<Option<Versioned<Value>>, Error> {
-        let (status, etag, body) = self.read(&self.object(key), self.timeout)?;
+        let (status, etag, body) = self.get_response(&self.object_url(key), self.timeout)?;
         match status {
             StatusCode::OK => {}
             StatusCode::NOT_FOUND => return Ok(None),
-            _ => return Err(refused(key, status)),
+            _ => return Err(status_error(key, status)),
         }
         let version = etag.ok_or_else(|| malformed(key, &"no version in the ETag"))?;
         let value = serde_json::from_slice(&body).map_err(|e| malformed(key, &e))?;
@@ -243,7 +250,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Uncertain`] if it may have taken effect; after any other it has not.
+    /// [`Error::Uncertain`] if the write may have taken effect; after any other error it has not.
     pub fn put<T: Serialize>(
         &self,
         key: &str,
@@ -251,7 +258,7 @@
         condition: Condition,
     ) -> Result<Written, Error> {
         let body = serde_json::to_vec(value).map_err(|e| malformed(key, &e))?;
-        if body.len() > MAX_VALUE {
+        if body.len() > MAX_VALUE_BYTES {
             return Err(Error::TooLarge {
                 key: key.into(),
                 size: body.len(),
@@ -259,7 +266,7 @@
         }
         let request = self
             .agent
-            .put(self.object(key))
+            .put(self.object_url(key))
             .config()
             .timeout_global(Some(self.timeout))
             .build()
@@ -269,15 +276,15 @@
             Condition::Version(n) => request.header("If-Match", format!("\"{n}\"")),
         };
         let response = request.send(&body[..]);
-        let (status, etag) = written(key, response)?;
+        let (status, etag) = write_status(key, response)?;
         if !status.is_success() {
-            return Err(refused(key, status));
+            return Err(status_error(key, status));
         }
         let version = etag.ok_or_else(|| uncertain(key, &"no version in the ETag"))?;
         Ok(Written { version })
     }
 
-    /// Deletes an object at `version`. An object that is already gone is no error.
+    /// Deletes an object if it is at `version`. It is no error if the object does not exist.
     ///
     /// # Errors
     ///
@@ -285,28 +292,28 @@
     pub fn delete(&self, key: &str, version: u64) -> Result<(), Error> {
         let response = self
             .agent
-            .delete(self.object(key))
+            .delete(self.object_url(key))
             .config()
             .timeout_global(Some(self.timeout))
             .build()
             .header("If-Match", format!("\"{version}\""))
             .call();
-        let (status, _) = written(key, response)?;
+        let (status, _) = write_status(key, response)?;
         match status {
             StatusCode::NOT_FOUND => Ok(()),
             status if status.is_success() => Ok(()),
-            status => Err(refused(key, status)),
+            status => Err(status_error(key, status)),
         }
     }
 
-    /// Lists the objects whose keys begin with `prefix`. The listing may lag.
+    /// Lists the objects whose keys begin with `prefix`. The listing may be out of date.
     ///
     /// # Errors
     ///
     /// As [`Client::get`].
     pub fn list(&self, prefix: &str) -> Result<Listing, Error> {
-        let url = format!("{}/v1/objects?prefix={}", self.url, encode(prefix));
-        let answer: border::Listing = self.answer(prefix, &url, self.timeout)?;
+        let url = format!("{}/v1/objects?prefix={}", self.url, percent_encode(prefix));
+        let answer: border::Listing = self.get_json(prefix, &url, self.timeout)?;
         let mut objects: Vec<_> = answer
             .objects
             .into_iter()
@@ -324,8 +331,8 @@
         })
     }
 
-    /// Waits up to `timeout` for changes after version `after` under `prefix`. Changes that the
-    /// platform tells again are left out.
+    /// Waits up to `timeout` for changes after version `after` to objects whose keys begin with
+    /// `prefix`. Changes that the platform reports more than once are returned once.
     ///
     /// # Errors
     ///
@@ -334,10 +341,10 @@
         let url = format!(
             "{}/v1/watch?prefix={}&after={after}&timeout_ms={}",
             self.url,
-            encode(prefix),
+            percent_encode(prefix),
             timeout.as_millis()
         );
-        let answer: border::Events = self.answer(prefix, &url, self.timeout + timeout)?;
+        let answer: border::Events = self.get_json(prefix, &url, self.timeout + timeout)?;
         let mut events: Vec<_> = answer
             .events
             .into_iter()
@@ -357,14 +364,14 @@
         })
     }
 
-    /// The platform's list of hosts, which lags.
+    /// Reads the platform's list of hosts, which may be out of date.
     ///
     /// # Errors
     ///
     /// As [`Client::get`].
     pub fn hosts(&self) -> Result<Vec<Host>, Error> {
         let url = format!("{}/v1/hosts", self.url);
-        let answer: border::Hosts = self.answer("hosts", &url, self.timeout)?;
+        let answer: border::Hosts = self.get_json("hosts", &url, self.timeout)?;
         Ok(answer
             .hosts
             .into_iter()
@@ -375,44 +382,44 @@
             .collect())
     }
 
-    fn object(&self, key: &str) -> String {
-        format!("{}/v1/objects/{}", self.url, encode(key))
+    fn object_url(&self, key: &str) -> String {
+        format!("{}/v1/objects/{}", self.url, percent_encode(key))
     }
 
-    fn answer<T: DeserializeOwned>(
+    fn get_json<T: DeserializeOwned>(
         &self,
         key: &str,
         url: &str,
         timeout: Duration,
     ) -> Result<T, Error> {
-        let (status, _, body) = self.read(url, timeout)?;
+        let (status, _, body) = self.get_response(url, timeout)?;
         if status != StatusCode::OK {
-            return Err(refused(key, status));
+            return Err(status_error(key, status));
         }
         serde_json::from_slice(&body).map_err(|e| malformed(key, &e))
     }
 
-    fn read(
+    fn get_response(
         &self,
         url: &str,
         timeout: Duration,
     ) -> Result<(StatusCode, Option<u64>, Vec<u8>), Error> {
-        let mut response = match self.send_read(url, timeout) {
-            // A pooled connection that the platform had closed; a read may be sent again.
-            Err(ureq::Error::Io(_)) => self.send_read(url, timeout),
+        let mut response = match self.send_get(url, timeout) {
+            // The platform may have closed a pooled connection. A read is idempotent, so it is retried.
+            Err(ureq::Error::Io(_)) => self.send_get(url, timeout),
             other => other,
         }
-        .map_err(down)?;
+        .map_err(read_error)?;
         let body = response
             .body_mut()
             .with_config()
-            .limit(MAX_ANSWER)
+            .limit(MAX_ANSWER_BYTES)
             .read_to_vec()
-            .map_err(down)?;
+            .map_err(read_error)?;
         Ok((response.status(), etag(&response), body))
     }
 
-    fn send_read(&self, url: &str, timeout: Duration) -> Result<Response<Body>, ureq::Error> {
+    fn send_get(&self, url: &str, timeout: Duration) -> Result<Response<Body>, ureq::Error> {
         self.agent
             .get(url)
             .config()
@@ -422,8 +429,9 @@
     }
 }
 
-/// The status of a write's answer, if it says what became of the write.
-fn written(
+/// Returns the status and version of a write's answer, or an error if the answer does not show whether
+/// the write took effect.
+fn write_status(
     key: &str,
     response: Result<Response<Body>, ureq::Error>,
 ) -> Result<(StatusCode, Option<u64>), Error> {
@@ -436,15 +444,15 @@
     if status.is_server_error() {
         return Err(uncertain(key, &status));
     }
-    // Reading the body to its end lets the connection be used again; what it says does not matter.
+    // The body is read to its end only so that the connection can be reused; its content is ignored.
     let _ = response.body_mut().read_to_vec();
     Ok((status, etag(&response)))
 }
 
-/// Whether a call failed before its first byte could leave.
+/// Whether a call failed before its first byte was sent.
 fn is_unsent(error: &ureq::Error) -> bool {
     match error {
-        ureq::Error::Other(e) => e.is::<DialError>(),
+        ureq::Error::Other(e) => e.is::<ConnectError>(),
         ureq::Error::HostNotFound
         | ureq::Error::BadUri(_)
         | ureq::Error::Http(_)
@@ -460,10 +468,10 @@
     text.strip_prefix('"')?.strip_suffix('"')?.parse().ok()
 }
 
-fn encode(text: &str) -> String {
+fn percent_encode(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     for byte in text.bytes() {
-        if byte.is_ascii_alphanumeric() || PLAIN.contains(&byte) {
+        if byte.is_ascii_alphanumeric() || UNESCAPED.contains(&byte) {
             out.push(char::from(byte));
         } else {
             out.push_str(&format!("%{byte:02X}"));
@@ -485,11 +493,11 @@
     }
 }
 
-fn down(error: ureq::Error) -> Error {
+fn read_error(error: ureq::Error) -> Error {
     if is_unsent(&error) {
         return unsent(&error);
     }
-    Error::Down {
+    Error::Unanswered {
         reason: error.to_string().into(),
     }
 }
@@ -501,7 +509,7 @@
     }
 }
 
-fn refused(key: &str, status: StatusCode) -> Error {
+fn status_error(key: &str, status: StatusCode) -> Error {
     if status == StatusCode::PRECONDITION_FAILED {
         return Error::Conflict { key: key.into() };
     }
--- a/src/store/confirmed_write.rs
+++ b/src/store/confirmed_write.rs
@@ -1,10 +1,10 @@
-//! What became of a write whose answer was lost.
+//! Writes whose result is confirmed by reading the object back when the answer was lost.
 //!
 //! Each value carries the identity of the write that made it. A writer without an answer reads the
 //! object back: its own identity means that the write took effect. While the object stands at the
-//! version that the write asked for, the write may still be on its way, so reading alone decides
+//! version that the condition requires, the write may still be in transit, so reading alone proves
 //! nothing; it is sent again under the same condition, and the platform lets at most one of the two
-//! take effect. Once the object has moved on, the condition can never hold again.
+//! take effect. Once the object has a later version, the condition can never hold again.
 
 use std::fmt;
 use std::sync::Arc;
@@ -22,13 +22,13 @@
 pub struct Identity(Arc<str>);
 
 impl Identity {
-    /// Draws an identity.
+    /// Draws a random identity.
     pub fn new(rng: &mut impl Rng) -> Self {
         let (high, low) = (rng.next_u64(), rng.next_u64());
         Self(format!("{high:016x}{low:016x}").into())
     }
 
-    /// The identity as it stands in values.
+    /// The identity in the form that is stored in values.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -40,121 +40,123 @@
     }
 }
 
-/// What a value tells of a write.
+/// What an object's value shows about a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evidence {
     /// The write took effect.
-    Mine,
-    /// The write has not taken effect, or has been overwritten by one that need not know of it.
-    Other,
-    /// The value no longer tells: too much was written since.
-    Unclear,
+    Applied,
+    /// The write did not take effect, or was overwritten by a write that does not build on it.
+    NotApplied,
+    /// The value no longer shows it, because too many writes followed.
+    Inconclusive,
 }
 
-/// What a reading tells of a write without an answer.
+/// Status of a write without an answer, as determined by reading the object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum WriteStatus {
     /// It took effect.
-    Mine,
-    /// It is not in force and can never be.
-    Lost,
+    Applied,
+    /// Its value is not in force and can no longer come into force.
+    Superseded,
     /// It may still take effect.
-    Open,
-    /// It can no longer take effect, but whether it did is not told.
-    Unclear,
+    Pending,
+    /// It can no longer take effect, but the value does not show whether it did.
+    Inconclusive,
 }
 
-/// Judges a write under `condition` by the object's version (none if absent) and what its value
-/// tells. Versions never come again, so a version other than the one asked for is final; a lower
-/// one is a stale reading.
-pub fn judge(condition: Condition, found: Option<u64>, evidence: Evidence) -> Verdict {
-    if evidence == Evidence::Mine {
-        return Verdict::Mine;
+/// Determines the status of a write under `condition` from the object's version (none if absent) and
+/// the evidence in its value. Versions are never reused, so a version above the required one is
+/// final; a lower one is a stale read.
+pub fn classify(condition: Condition, found: Option<u64>, evidence: Evidence) -> WriteStatus {
+    if evidence == Evidence::Applied {
+        return WriteStatus::Applied;
     }
-    let moved = match (condition, found) {
+    let is_past_condition = match (condition, found) {
         (Condition::Absent, None) => false,
-        (Condition::Version(asked), Some(version)) => version > asked,
+        (Condition::Version(required), Some(version)) => version > required,
         (Condition::Absent, Some(_)) | (Condition::Version(_), None) => true,
     };
-    match (moved, evidence) {
-        (false, _) => Verdict::Open,
-        (true, Evidence::Unclear) => Verdict::Unclear,
-        (true, _) => Verdict::Lost,
+    match (is_past_condition, evidence) {
+        (false, _) => WriteStatus::Pending,
+        (true, Evidence::Inconclusive) => WriteStatus::Inconclusive,
+        (true, _) => WriteStatus::Superseded,
     }
 }
 
-/// How a write ended.
+/// The result of a confirmed write.
 #[derive(Debug)]
 pub enum Outcome {
-    /// It took effect; for a value that others have built on since, the version is theirs.
-    Mine(Written),
-    /// Another write came first; with the object as it is now, none if it was deleted.
-    Lost(Option<Versioned<Value>>),
-    /// It can no longer be told from the object, which is as given.
-    Unclear(Option<Versioned<Value>>),
-    /// The platform could not be asked: the write may have taken effect and still may.
+    /// The write took effect. If other writes have built on its value since, the version is that of
+    /// the last of them.
+    Applied(Written),
+    /// Another write changed the object first. Holds the current object, none if it was deleted.
+    Superseded(Option<Versioned<Value>>),
+    /// The current object, given here, does not show whether the write took effect.
+    Inconclusive(Option<Versioned<Value>>),
+    /// The retries ran out: the write may have taken effect or may still do so.
     Unknown(Error),
 }
 
-/// Writes an object and finds out what became of the write. `evidence` reads the write's identity
-/// in a value.
+/// Writes an object and, if the answer is lost, determines whether the write took effect. `evidence`
+/// looks for the write's identity in a value.
 ///
 /// # Errors
 ///
-/// A failure after which the write surely had no effect.
+/// A failure after which the write certainly had no effect.
 pub fn put<T: Serialize>(
-    guard: &GuardedClient,
+    client: &GuardedClient,
     key: &str,
     value: &T,
     condition: Condition,
     evidence: impl Fn(&Value) -> Evidence,
     retry: &mut RetryPolicy,
 ) -> Result<Outcome, Error> {
-    let mut doubt = false;
-    // Readings that work in between must not make the number of writes unbounded.
-    let mut writes = retry.renewed();
+    let mut may_have_applied = false;
+    // Writes have their own count of failures, because successful reads in between reset that of
+    // `retry` and would make the number of writes unbounded.
+    let mut write_retries = retry.renewed();
     loop {
-        let failure = match guard.put(key, value, condition) {
-            Ok(written) => return Ok(Outcome::Mine(written)),
+        let failure = match client.put(key, value, condition) {
+            Ok(written) => return Ok(Outcome::Applied(written)),
             Err(e) => e,
         };
-        doubt |= matches!(failure, Error::Uncertain { .. });
+        may_have_applied |= matches!(failure, Error::Uncertain { .. });
         match failure {
-            Error::Unsent { .. } if !doubt => {
-                writes.spend(failure)?;
+            Error::Unsent { .. } if !may_have_applied => {
+                write_retries.wait_after(failure)?;
                 continue;
             }
             Error::Conflict { .. } => {}
-            _ if !doubt => return Err(failure),
+            _ if !may_have_applied => return Err(failure),
             _ => {}
         }
-        let found = match retry.insist(|| guard.get(key)) {
+        let found = match retry.retry_outages(|| client.get(key)) {
             Ok(found) => found,
-            Err(e) => return unknown(doubt, e),
+            Err(e) => return give_up(may_have_applied, e),
         };
-        let told = found
+        let found_evidence = found
             .as_ref()
-            .map_or(Evidence::Other, |found| evidence(&found.value));
+            .map_or(Evidence::NotApplied, |found| evidence(&found.value));
         let version = found.as_ref().map(|found| found.version);
-        match judge(condition, version, told) {
-            Verdict::Mine => {
+        match classify(condition, version, found_evidence) {
+            WriteStatus::Applied => {
                 let version = version.unwrap_or_default();
-                return Ok(Outcome::Mine(Written { version }));
+                return Ok(Outcome::Applied(Written { version }));
             }
-            Verdict::Lost => return Ok(Outcome::Lost(found)),
-            Verdict::Unclear => return Ok(Outcome::Unclear(found)),
-            Verdict::Open => {
-                if let Err(e) = writes.spend(failure) {
-                    return unknown(doubt, e);
+            WriteStatus::Superseded => return Ok(Outcome::Superseded(found)),
+            WriteStatus::Inconclusive => return Ok(Outcome::Inconclusive(found)),
+            WriteStatus::Pending => {
+                if let Err(e) = write_retries.wait_after(failure) {
+                    return give_up(may_have_applied, e);
                 }
             }
         }
     }
 }
 
-/// How a write ends that is given up after `error`.
-fn unknown(doubt: bool, error: Error) -> Result<Outcome, Error> {
-    if doubt {
+/// The result of a write that is abandoned after `error`.
+fn give_up(may_have_applied: bool, error: Error) -> Result<Outcome, Error> {
+    if may_have_applied {
         return Ok(Outcome::Unknown(error));
     }
     Err(error)
--- a/src/store/guarded_client.rs
+++ b/src/store/guarded_client.rs
@@ -1,4 +1,4 @@
-//! The client behind a rate budget and a circuit breaker: what all of a host shares.
+//! A client of the platform with a rate limit and a circuit breaker, both shared by its clones.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -12,22 +12,23 @@
 use super::client::{Client, Condition, Error, Events, Host, Listing, Versioned, Written};
 use super::token_bucket::TokenBucket;
 
-/// Calls a second that one host may make, on average.
-const DEFAULT_RATE: f64 = 20.0;
-/// Calls that one host may make at once.
-const DEFAULT_BURST: f64 = 100.0;
-/// Failures in a row that open the breaker.
-const DEFAULT_THRESHOLD: u32 = 5;
-/// Time after which a trial call without an end is given up.
-const DEFAULT_TRIAL: Duration = Duration::from_secs(5);
-/// Shortest time for which the breaker stays open.
-const DEFAULT_FIRST: Duration = Duration::from_millis(200);
-/// Longest time for which the breaker stays open.
-const DEFAULT_MOST: Duration = Duration::from_secs(10);
-/// Longest time that a call waits for its token; beyond it the call fails unsent.
-const MAX_WAIT: Duration = Duration::from_secs(1);
-
-/// A client whose calls are counted against one budget and one breaker. Clones share both.
+/// Average limit on calls, per second.
+const DEFAULT_CALLS_PER_S: f64 = 20.0;
+/// Limit on calls in a burst.
+const DEFAULT_BURST_CALLS: f64 = 100.0;
+/// Consecutive failures that open the breaker.
+const DEFAULT_FAILURE_THRESHOLD: u32 = 5;
+/// Time after which a trial call that has not ended counts as lost.
+const DEFAULT_TRIAL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time for which the breaker stays open the first time, before jitter.
+const DEFAULT_INITIAL_OPEN_TIME: Duration = Duration::from_millis(200);
+/// Maximum time for which the breaker stays open.
+const DEFAULT_MAX_OPEN_TIME: Duration = Duration::from_secs(10);
+/// Maximum time for which a call waits for a token of the rate limit. A call that would wait longer
+/// fails with [`Error::Unsent`].
+const MAX_TOKEN_WAIT: Duration = Duration::from_secs(1);
+
+/// A client whose calls pass a rate limit and a circuit breaker. Clones share both.
 #[derive(Clone, Debug)]
 pub struct GuardedClient {
     client: Client,
@@ -36,32 +37,33 @@
 
 #[derive(Debug)]
 struct Shared {
-    budget: TokenBucket,
+    rate_limit: TokenBucket,
     breaker: Breaker,
     rng: StdRng,
 }
 
 impl GuardedClient {
-    /// Puts the default budget and breaker before `client`; jitter is seeded by the system.
+    /// Wraps `client` with the default rate limit and breaker. The jitter is seeded by the operating
+    /// system.
     pub fn new(client: Client) -> Self {
-        let backoff = Backoff::new(DEFAULT_FIRST, DEFAULT_MOST);
+        let backoff = Backoff::new(DEFAULT_INITIAL_OPEN_TIME, DEFAULT_MAX_OPEN_TIME);
         Self {
             client,
             shared: Arc::new(Mutex::new(Shared {
-                budget: TokenBucket::new(DEFAULT_RATE, DEFAULT_BURST),
-                breaker: Breaker::new(DEFAULT_THRESHOLD, DEFAULT_TRIAL, backoff),
+                rate_limit: TokenBucket::new(DEFAULT_CALLS_PER_S, DEFAULT_BURST_CALLS),
+                breaker: Breaker::new(DEFAULT_FAILURE_THRESHOLD, DEFAULT_TRIAL_TIMEOUT, backoff),
                 rng: rand::make_rng(),
             })),
         }
     }
 
-    /// Sets the budget, in place of the one shared so far.
-    pub fn with_budget(self, budget: TokenBucket) -> Self {
-        self.lock().budget = budget;
+    /// Replaces the rate limit, for all clones.
+    pub fn with_rate_limit(self, rate_limit: TokenBucket) -> Self {
+        self.lock().rate_limit = rate_limit;
         self
     }
 
-    /// Sets the breaker, in place of the one shared so far.
+    /// Replaces the circuit breaker, for all clones.
     pub fn with_breaker(self, breaker: Breaker) -> Self {
         self.lock().breaker = breaker;
         self
@@ -71,7 +73,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Client::get`]; [`Error::Unsent`] also when the budget or the breaker forbids the call.
+    /// As [`Client::get`]; [`Error::Unsent`] also when the rate limit or the breaker rejects the call.
     pub fn get(&self, key: &str) -> Result<Option<Versioned<Value>>, Error> {
         self.call(|client| client.get(key))
     }
@@ -80,7 +82,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Client::put`]; [`Error::Unsent`] also when the budget or the breaker forbids the call.
+    /// As [`Client::put`]; [`Error::Unsent`] also when the rate limit or the breaker rejects the call.
     pub fn put<T: Serialize>(
         &self,
         key: &str,
@@ -127,28 +129,28 @@
     }
 
     fn call<T>(&self, call: impl FnOnce(&Client) -> Result<T, Error>) -> Result<T, Error> {
-        self.enter()?;
+        self.wait_for_permission()?;
         let result = call(&self.client);
-        let outage = result.as_ref().err().is_some_and(Error::is_outage);
+        let is_outage = result.as_ref().err().is_some_and(Error::is_outage);
         let mut shared = self.lock();
-        if outage {
+        if is_outage {
             let Shared { breaker, rng, .. } = &mut *shared;
-            breaker.fail(Instant::now(), rng);
+            breaker.record_failure(Instant::now(), rng);
         } else {
-            shared.breaker.succeed();
+            shared.breaker.record_success();
         }
         result
     }
 
-    fn enter(&self) -> Result<(), Error> {
-        let deadline = Instant::now() + MAX_WAIT;
+    fn wait_for_permission(&self) -> Result<(), Error> {
+        let deadline = Instant::now() + MAX_TOKEN_WAIT;
         loop {
             let now = Instant::now();
             let wait = {
                 let mut shared = self.lock();
-                match shared.budget.take(now) {
+                match shared.rate_limit.take(now) {
                     Ok(()) => {
-                        return shared.breaker.enter(now).map_err(|wait| {
+                        return shared.breaker.begin_call(now).map_err(|wait| {
                             unsent(format!("circuit open for {} ms", wait.as_millis()))
                         })
                     }
@@ -156,7 +158,7 @@
                 }
             };
             if now + wait > deadline {
-                return Err(unsent("over the rate budget".into()));
+                return Err(unsent("rate limit exceeded".into()));
             }
             std::thread::sleep(wait);
         }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,8 +1,9 @@
-//! The platform's object API: versions, conditional updates, watches, and what to do in its outages.
+//! Access to the platform's object API: versioned objects, conditional writes, watches, and the
+//! handling of outages.
 //!
-//! [`client`] is the one file that knows the API's shape. [`guard`] puts a rate budget and a circuit
-//! breaker before it, [`settle`] finds out what became of a write whose answer was lost, and
-//! [`publication`] keeps the configuration's revisions.
+//! [`client`] implements the API. [`guarded_client`] adds a rate limit and a circuit breaker,
+//! [`confirmed_write`] determines whether a write whose answer was lost took effect, and
+//! [`publication`] stores the revisions of the configuration.
 
 pub mod backoff;
 pub mod breaker;
--- a/src/store/publication/fetch.rs
+++ b/src/store/publication/fetch.rs
@@ -40,17 +40,17 @@
 ///
 /// [`Error::Stale`] and [`Error::Forked`] if the platform tells a revision that must not be used;
 /// [`Error::Missing`] if a newer revision took its place meanwhile.
-pub fn fetch(guard: &GuardedClient, known: &Fetched) -> Result<Option<Fetched>, Error> {
-    with_retry(guard, known, &mut RetryPolicy::none())
+pub fn fetch(client: &GuardedClient, known: &Fetched) -> Result<Option<Fetched>, Error> {
+    with_retry(client, known, &mut RetryPolicy::none())
 }
 
 pub(super) fn with_retry(
-    guard: &GuardedClient,
+    client: &GuardedClient,
     known: &Fetched,
     retry: &mut RetryPolicy,
 ) -> Result<Option<Fetched>, Error> {
-    let found = retry.insist(|| guard.get(HEAD))?;
-    let Some(head) = found.map(|found| found.typed::<Head>()).transpose()? else {
+    let found = retry.retry_outages(|| client.get(HEAD))?;
+    let Some(head) = found.map(|found| found.deserialize::<Head>()).transpose()? else {
         return missing_head(known);
     };
     let head = head.value;
@@ -60,7 +60,7 @@
     head.files
         .keys()
         .try_for_each(|name| text::check_name(name))?;
-    let files = texts(guard, &head.files, &known.files, retry)?;
+    let files = texts(client, &head.files, &known.files, retry)?;
     Ok(Some(Fetched {
         revision: head.revision,
         change: head.change,
@@ -100,7 +100,7 @@
 
 /// The texts of `hashes`, each read at most once, and not if it is among `at_hand`.
 pub(super) fn texts(
-    guard: &GuardedClient,
+    client: &GuardedClient,
     hashes: &Hashes,
     at_hand: &Files,
     retry: &mut RetryPolicy,
@@ -113,7 +113,7 @@
     for (name, hash) in hashes {
         let text = match held.get(hash) {
             Some(text) => text.clone(),
-            None => text::get(guard, hash, retry)?,
+            None => text::get(client, hash, retry)?,
         };
         held.insert(hash.clone(), text.clone());
         files.insert(name.as_str().into(), text);
--- a/src/store/publication/garbage.rs
+++ b/src/store/publication/garbage.rs
@@ -29,12 +29,12 @@
 
 /// Removes what `head` and the kept revisions do not need. Returns the number of objects removed.
 pub(super) fn collect(
-    guard: &GuardedClient,
+    client: &GuardedClient,
     head: &Versioned<Head>,
     retry: &mut RetryPolicy,
 ) -> Result<usize, Error> {
     let revision = head.value.revision;
-    let listed = history::list(guard, retry)?;
+    let listed = history::list(client, retry)?;
     let (old, kept): (Vec<Entry>, Vec<Entry>) = listed
         .into_iter()
         .partition(|entry| entry.revision + KEPT <= revision);
@@ -44,11 +44,11 @@
     let needed = needed(&head.value.files, &kept);
     let mut removed = 0;
     for candidate in candidates(&old, &needed) {
-        removed += remove_text(guard, &candidate, head.version, retry)?;
+        removed += remove_text(client, &candidate, head.version, retry)?;
     }
     // Last, so that an interrupted collection finds its candidates again.
     for entry in &old {
-        removed += remove(guard, &entry.key, entry.version, retry)?;
+        removed += remove(client, &entry.key, entry.version, retry)?;
     }
     Ok(removed)
 }
@@ -79,25 +79,25 @@
 }
 
 fn remove_text(
-    guard: &GuardedClient,
+    client: &GuardedClient,
     hash: &str,
     head: u64,
     retry: &mut RetryPolicy,
 ) -> Result<usize, Error> {
     let key = text::key(hash);
-    match retry.insist(|| guard.get(&key))? {
-        Some(found) if found.version < head => remove(guard, &key, found.version, retry),
+    match retry.retry_outages(|| client.get(&key))? {
+        Some(found) if found.version < head => remove(client, &key, found.version, retry),
         _ => Ok(0),
     }
 }
 
 fn remove(
-    guard: &GuardedClient,
+    client: &GuardedClient,
     key: &str,
     version: u64,
     retry: &mut RetryPolicy,
 ) -> Result<usize, Error> {
-    match retry.insist(|| guard.delete(key, version)) {
+    match retry.retry_outages(|| client.delete(key, version)) {
         Ok(()) => Ok(1),
         Err(client::Error::Conflict { .. }) => Ok(0),
         Err(e) => Err(e.into()),
--- a/src/store/publication/history.rs
+++ b/src/store/publication/history.rs
@@ -30,23 +30,23 @@
 /// Writes a history object. One that is there already is the same: the key holds the change's
 /// identity and its place.
 pub(super) fn put(
-    guard: &GuardedClient,
+    client: &GuardedClient,
     past: &Past,
     retry: &mut RetryPolicy,
 ) -> Result<(), Error> {
     let key = key(past.step.revision, &past.step.change.id);
-    match retry.insist(|| guard.put(&key, past, Condition::Absent)) {
+    match retry.retry_outages(|| client.put(&key, past, Condition::Absent)) {
         Ok(_) | Err(client::Error::Conflict { .. }) => Ok(()),
         Err(e) => Err(e.into()),
     }
 }
 
 /// Lists all history objects, with those left over, in order of revisions. The listing may lag.
-pub(super) fn list(guard: &GuardedClient, retry: &mut RetryPolicy) -> Result<Vec<Entry>, Error> {
-    let listing = retry.insist(|| guard.list(PREFIX))?;
+pub(super) fn list(client: &GuardedClient, retry: &mut RetryPolicy) -> Result<Vec<Entry>, Error> {
+    let listing = retry.retry_outages(|| client.list(PREFIX))?;
     let mut entries = Vec::with_capacity(listing.objects.len());
     for object in listing.objects {
-        let object = object.typed::<Past>()?;
+        let object = object.deserialize::<Past>()?;
         entries.push(Entry {
             key: object.key,
             version: object.version,
@@ -59,21 +59,21 @@
 
 /// The past of one change.
 fn get(
-    guard: &GuardedClient,
+    client: &GuardedClient,
     revision: u64,
     id: &str,
     retry: &mut RetryPolicy,
 ) -> Result<Option<Past>, Error> {
     let key = key(revision, id);
-    let Some(found) = retry.insist(|| guard.get(&key))? else {
+    let Some(found) = retry.retry_outages(|| client.get(&key))? else {
         return Ok(None);
     };
-    Ok(Some(found.typed::<Past>()?.value))
+    Ok(Some(found.deserialize::<Past>()?.value))
 }
 
 /// The revision `revision` in the chain that `head` ends.
 pub(super) fn find(
-    guard: &GuardedClient,
+    client: &GuardedClient,
     head: &Head,
     revision: u64,
     retry: &mut RetryPolicy,
@@ -84,7 +84,7 @@
     let start = recent.next_back().ok_or_else(gone)?;
     let (mut at, mut id) = (start.revision, start.change.id.clone());
     loop {
-        let past = get(guard, at, &id, retry)?.ok_or_else(gone)?;
+        let past = get(client, at, &id, retry)?.ok_or_else(gone)?;
         if at == revision {
             return Ok(past);
         }
--- a/src/store/publication/mod.rs
+++ b/src/store/publication/mod.rs
@@ -137,7 +137,7 @@
 /// The operators' side: publishes and reads revisions.
 #[derive(Clone, Debug)]
 pub struct Publication {
-    guard: GuardedClient,
+    client: GuardedClient,
     retry: RetryPolicy,
 }
 
@@ -149,10 +149,10 @@
 }
 
 impl Publication {
-    /// Publishes through `guard`.
-    pub fn new(guard: GuardedClient) -> Self {
+    /// Publishes through `client`.
+    pub fn new(client: GuardedClient) -> Self {
         Self {
-            guard,
+            client,
             retry: RetryPolicy::default(),
         }
     }
@@ -205,7 +205,7 @@
     ) -> Result<Applied, Error> {
         let retry = &mut self.retry.clone();
         let head = self.head(retry)?.ok_or(Error::NoRevision(revision))?;
-        let past = history::find(&self.guard, &head.value, revision, retry)?;
+        let past = history::find(&self.client, &head.value, revision, retry)?;
         let wanted = Wanted {
             files: self.texts(&past.files, &Files::new(), retry)?,
             hashes: past.files,
@@ -223,9 +223,9 @@
         let mut tries = self.retry.clone();
         loop {
             let retry = &mut self.retry.clone();
-            match fetch::with_retry(&self.guard, &Fetched::default(), retry) {
+            match fetch::with_retry(&self.client, &Fetched::default(), retry) {
                 // The revision went out of use between the reading of the head and of its texts.
-                Err(e @ Error::Missing(_)) => tries.spend(e)?,
+                Err(e @ Error::Missing(_)) => tries.wait_after(e)?,
                 other => return other,
             }
         }
@@ -241,7 +241,7 @@
         let Some(head) = self.head(retry)? else {
             return Ok(Vec::new());
         };
-        let entries = history::list(&self.guard, retry)?;
+        let entries = history::list(&self.client, retry)?;
         let mut steps = head.value.recent;
         if let Some(oldest) = steps.last() {
             let older = history::chain(oldest, &entries);
@@ -269,14 +269,14 @@
     pub fn collect(&self) -> Result<usize, Error> {
         let retry = &mut self.retry.clone();
         match self.head(retry)? {
-            Some(head) => garbage::collect(&self.guard, &head, retry),
+            Some(head) => garbage::collect(&self.client, &head, retry),
             None => Ok(0),
         }
     }
 
     fn head(&self, retry: &mut RetryPolicy) -> Result<Option<Versioned<Head>>, Error> {
-        let found = retry.insist(|| self.guard.get(HEAD))?;
-        Ok(found.map(Versioned::typed).transpose()?)
+        let found = retry.retry_outages(|| self.client.get(HEAD))?;
+        Ok(found.map(Versioned::deserialize).transpose()?)
     }
 
     /// The base of a folder without a marker.
@@ -293,7 +293,7 @@
         if undo == Undo::Allow || base == *ours {
             return Ok(base);
         }
-        let entries = history::list(&self.guard, retry)?;
+        let entries = history::list(&self.client, retry)?;
         let undone: Vec<String> = merge::differing(&base, ours)
             .into_iter()
             .filter(|name| base.contains_key(*name) && is_past(name, ours, &entries))
@@ -365,13 +365,13 @@
         id: &Identity,
         retry: &mut RetryPolicy,
     ) -> Result<Option<Answer>, Error> {
-        history::put(&self.guard, &past(head, next), retry)?;
+        history::put(&self.client, &past(head, next), retry)?;
         let old = head.map(|head| &head.value.files);
         let fence = head.map_or(0, |head| head.version);
         for (name, hash) in &next.files {
             let is_held = old.is_some_and(|old| old.values().any(|held| held == hash));
             if let (false, Some(text)) = (is_held, texts.get(name.as_str())) {
-                text::touch(&self.guard, name, text, fence, retry)?;
+                text::touch(&self.client, name, text, fence, retry)?;
             }
         }
         let condition = head.map_or(Condition::Absent, |head| Condition::Version(head.version));
@@ -381,11 +381,11 @@
             answer.set(Answer::Settled);
             evidence(value, id, next.revision)
         };
-        let outcome = confirmed_write::put(&self.guard, HEAD, next, condition, evidence, retry)?;
+        let outcome = confirmed_write::put(&self.client, HEAD, next, condition, evidence, retry)?;
         match outcome {
-            Outcome::Mine(_) => Ok(Some(answer.get())),
-            Outcome::Lost(_) => Ok(None),
-            Outcome::Unclear(found) => {
+            Outcome::Applied(_) => Ok(Some(answer.get())),
+            Outcome::Superseded(_) => Ok(None),
+            Outcome::Inconclusive(found) => {
                 let is_mine = self.is_in_chain(found, id, next.revision, retry)?;
                 Ok(is_mine.then_some(Answer::Settled))
             }
@@ -404,8 +404,8 @@
         let Some(found) = found else {
             return Ok(false);
         };
-        let head = found.typed::<Head>()?.value;
-        match history::find(&self.guard, &head, revision, retry) {
+        let head = found.deserialize::<Head>()?.value;
+        match history::find(&self.client, &head, revision, retry) {
             Ok(past) => Ok(past.step.change.id == id.as_str()),
             Err(e) => Err(unsettled(id, &e)),
         }
@@ -428,7 +428,7 @@
         at_hand: &Files,
         retry: &mut RetryPolicy,
     ) -> Result<Files, Error> {
-        fetch::texts(&self.guard, hashes, at_hand, retry)
+        fetch::texts(&self.client, hashes, at_hand, retry)
     }
 }
 
@@ -523,17 +523,17 @@
 /// What a head tells of the change `id`, which would have made `revision`.
 fn evidence(value: &Value, id: &Identity, revision: u64) -> Evidence {
     let Ok(head) = serde_json::from_value::<Head>(value.clone()) else {
-        return Evidence::Unclear;
+        return Evidence::Inconclusive;
     };
     let steps = &head.recent;
     if steps.iter().any(|step| step.change.id == id.as_str()) {
-        return Evidence::Mine;
+        return Evidence::Applied;
     }
     let is_told = steps.iter().any(|step| step.revision == revision);
     if is_told || head.revision < revision {
-        return Evidence::Other;
+        return Evidence::NotApplied;
     }
-    Evidence::Unclear
+    Evidence::Inconclusive
 }
 
 fn differences(old: &Files, new: &Files) -> Vec<Difference> {
--- a/src/store/publication/text.rs
+++ b/src/store/publication/text.rs
@@ -46,15 +46,15 @@
 
 /// Reads a text.
 pub(super) fn get(
-    guard: &GuardedClient,
+    client: &GuardedClient,
     hash_: &str,
     retry: &mut RetryPolicy,
 ) -> Result<Arc<str>, Error> {
     let key = key(hash_);
     let found = retry
-        .insist(|| guard.get(&key))?
+        .retry_outages(|| client.get(&key))?
         .ok_or_else(|| Error::Missing(hash_.into()))?
-        .typed::<border::File>()?;
+        .deserialize::<border::File>()?;
     if hash(&found.value.text) != hash_ {
         return Err(Error::Store(client::Error::Malformed {
             key: key.into(),
@@ -67,7 +67,7 @@
 /// Makes sure that the platform holds a text in a version above `fence`, so that no collection of
 /// garbage that began before removes it (see [`super::garbage`]).
 pub(super) fn touch(
-    guard: &GuardedClient,
+    client: &GuardedClient,
     name: &str,
     text: &str,
     fence: u64,
@@ -77,7 +77,7 @@
     let value = border::File { text: text.into() };
     let mut condition = Condition::Absent;
     for _ in 0..MAX_RACES {
-        match retry.insist(|| guard.put(&key, &value, condition)) {
+        match retry.retry_outages(|| client.put(&key, &value, condition)) {
             Ok(_) => return Ok(()),
             Err(client::Error::Conflict { .. }) => {}
             Err(client::Error::TooLarge { size, .. }) => {
@@ -88,7 +88,7 @@
             }
             Err(e) => return Err(e.into()),
         }
-        condition = match retry.insist(|| guard.get(&key))? {
+        condition = match retry.retry_outages(|| client.get(&key))? {
             Some(found) if found.version > fence => return Ok(()),
             Some(found) => Condition::Version(found.version),
             None => Condition::Absent,
--- a/src/store/token_bucket.rs
+++ b/src/store/token_bucket.rs
@@ -1,26 +1,26 @@
-//! How many calls a host may make to the platform: a token bucket.
+//! A token bucket that limits the rate of a host's calls to the platform.
 
 use std::time::{Duration, Instant};
 
-/// A token bucket. It starts full.
+/// A token bucket with one token per call. It starts full.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     rate: f64,
     burst: f64,
     tokens: f64,
-    filled: Option<Instant>,
+    refilled_at: Option<Instant>,
 }
 
 impl TokenBucket {
-    /// Allows `rate` calls a second on average and up to `burst` at once. Both are taken as at
-    /// least a token an hour and one token, so that a wait always ends.
+    /// Allows `rate` calls per second on average and up to `burst` at once. The rate is raised to at
+    /// least one token per hour and the burst to at least one token, so that every wait ends.
     pub fn new(rate: f64, burst: f64) -> Self {
         let burst = burst.max(1.0);
         Self {
             rate: rate.max(1.0 / 3600.0),
             burst,
             tokens: burst,
-            filled: None,
+            refilled_at: None,
         }
     }
 
@@ -28,18 +28,21 @@
     ///
     /// # Errors
     ///
-    /// The time until there is a token, when there is none; nothing is taken then.
+    /// The time until a token is available; no token is taken.
     pub fn take(&mut self, now: Instant) -> Result<(), Duration> {
-        let since = self.filled.map_or(Duration::ZERO, |filled| {
-            now.saturating_duration_since(filled)
+        let elapsed = self.refilled_at.map_or(Duration::ZERO, |refilled_at| {
+            now.saturating_duration_since(refilled_at)
         });
-        self.tokens = (self.tokens + since.as_secs_f64() * self.rate).min(self.burst);
-        self.filled = Some(self.filled.map_or(now, |filled| filled.max(now)));
+        self.tokens = (self.tokens + elapsed.as_secs_f64() * self.rate).min(self.burst);
+        self.refilled_at = Some(
+            self.refilled_at
+                .map_or(now, |refilled_at| refilled_at.max(now)),
+        );
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
             return Ok(());
         }
-        // Rounded up, so that a caller who waits as long as told finds its token.
+        // Rounded up, so that a caller that waits this long finds a token despite rounding errors.
         let wait = Duration::from_secs_f64((1.0 - self.tokens) / self.rate);
         Err(wait + Duration::from_micros(1))
     }
--- a/tests/publication.rs
+++ b/tests/publication.rs
@@ -36,7 +36,7 @@
 fn guard(url: &str) -> GuardedClient {
     let client = Client::new(url).with_timeout(Duration::from_secs(20));
     GuardedClient::new(client)
-        .with_budget(TokenBucket::new(1e9, 1e9))
+        .with_rate_limit(TokenBucket::new(1e9, 1e9))
         .with_breaker(Breaker::new(u32::MAX, STEP, Backoff::new(STEP, STEP)))
 }
 
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -12,7 +12,7 @@
 use ragwortfold::store::backoff::Backoff;
 use ragwortfold::store::breaker::{Breaker, State};
 use ragwortfold::store::client::{Client, Condition, Error, HostState};
-use ragwortfold::store::confirmed_write::{self, judge, Evidence, Outcome, Verdict};
+use ragwortfold::store::confirmed_write::{self, classify, Evidence, Outcome, WriteStatus};
 use ragwortfold::store::guarded_client::GuardedClient;
 use ragwortfold::store::retry::RetryPolicy;
 use ragwortfold::store::token_bucket::TokenBucket;
@@ -42,7 +42,7 @@
         Err(Error::Conflict { .. }) => "conflict",
         Err(Error::Unsent { .. }) => "unsent",
         Err(Error::Uncertain { .. }) => "uncertain",
-        Err(Error::Down { .. }) => "down",
+        Err(Error::Unanswered { .. }) => "down",
         Err(Error::Status { .. }) => "status",
         Err(Error::Malformed { .. }) => "malformed",
         Err(Error::TooLarge { .. }) => "too large",
@@ -200,26 +200,26 @@
     let (start, step) = (Instant::now(), Duration::from_secs(1));
     let rng = &mut Pcg64::seed_from_u64(1);
     let mut breaker = Breaker::new(2, step * 5, Backoff::new(step, step * 4));
-    breaker.fail(start, rng);
-    assert_eq!(breaker.enter(start), Ok(()));
-    breaker.fail(start, rng);
+    breaker.record_failure(start, rng);
+    assert_eq!(breaker.begin_call(start), Ok(()));
+    breaker.record_failure(start, rng);
     let State::Open(until) = breaker.state() else {
         panic!("not open")
     };
     assert!(until > start && until <= start + step);
-    assert!(breaker.enter(start).is_err());
-    assert_eq!(breaker.enter(until), Ok(()));
-    assert!(breaker.enter(until).is_err(), "two on trial");
-    breaker.fail(until, rng);
+    assert!(breaker.begin_call(start).is_err());
+    assert_eq!(breaker.begin_call(until), Ok(()));
+    assert!(breaker.begin_call(until).is_err(), "two on trial");
+    breaker.record_failure(until, rng);
     let State::Open(later) = breaker.state() else {
         panic!("not open again")
     };
     assert!(later > until + step / 2, "no longer than the first time");
-    assert_eq!(breaker.enter(later), Ok(()));
-    assert_eq!(breaker.enter(later + step * 5), Ok(()), "a lost trial");
-    breaker.succeed();
+    assert_eq!(breaker.begin_call(later), Ok(()));
+    assert_eq!(breaker.begin_call(later + step * 5), Ok(()), "a lost trial");
+    breaker.record_success();
     assert_eq!(breaker.state(), State::Closed);
-    breaker.fail(later, rng);
+    breaker.record_failure(later, rng);
     assert_eq!(breaker.state(), State::Closed);
 }
 
@@ -253,7 +253,7 @@
 
 fn guard_keeps_to_its_budget() {
     let platform = Platform::new();
-    let guard = GuardedClient::new(client(&platform)).with_budget(TokenBucket::new(0.0, 2.0));
+    let guard = GuardedClient::new(client(&platform)).with_rate_limit(TokenBucket::new(0.0, 2.0));
     let kinds: Vec<_> = (0..3).map(|_| kind(guard.get("a"))).collect();
     assert_eq!(kinds, ["ok", "ok", "unsent"]);
 }
@@ -261,21 +261,61 @@
 fn judgements() {
     use Condition::{Absent, Version};
     let table = [
-        (Absent, None, Evidence::Other, Verdict::Open),
-        (Absent, Some(7), Evidence::Mine, Verdict::Mine),
-        (Absent, Some(7), Evidence::Other, Verdict::Lost),
-        (Absent, Some(7), Evidence::Unclear, Verdict::Unclear),
-        (Version(5), Some(5), Evidence::Other, Verdict::Open),
-        (Version(5), Some(4), Evidence::Other, Verdict::Open),
-        (Version(5), Some(5), Evidence::Unclear, Verdict::Open),
-        (Version(5), Some(6), Evidence::Mine, Verdict::Mine),
-        (Version(5), Some(6), Evidence::Other, Verdict::Lost),
-        (Version(5), Some(6), Evidence::Unclear, Verdict::Unclear),
-        (Version(5), None, Evidence::Other, Verdict::Lost),
+        (Absent, None, Evidence::NotApplied, WriteStatus::Pending),
+        (Absent, Some(7), Evidence::Applied, WriteStatus::Applied),
+        (
+            Absent,
+            Some(7),
+            Evidence::NotApplied,
+            WriteStatus::Superseded,
+        ),
+        (
+            Absent,
+            Some(7),
+            Evidence::Inconclusive,
+            WriteStatus::Inconclusive,
+        ),
+        (
+            Version(5),
+            Some(5),
+            Evidence::NotApplied,
+            WriteStatus::Pending,
+        ),
+        (
+            Version(5),
+            Some(4),
+            Evidence::NotApplied,
+            WriteStatus::Pending,
+        ),
+        (
+            Version(5),
+            Some(5),
+            Evidence::Inconclusive,
+            WriteStatus::Pending,
+        ),
+        (Version(5), Some(6), Evidence::Applied, WriteStatus::Applied),
+        (
+            Version(5),
+            Some(6),
+            Evidence::NotApplied,
+            WriteStatus::Superseded,
+        ),
+        (
+            Version(5),
+            Some(6),
+            Evidence::Inconclusive,
+            WriteStatus::Inconclusive,
+        ),
+        (
+            Version(5),
+            None,
+            Evidence::NotApplied,
+            WriteStatus::Superseded,
+        ),
     ];
     for (condition, found, evidence, verdict) in table {
         let name = format!("{condition:?} {found:?} {evidence:?}");
-        assert_eq!(judge(condition, found, evidence), verdict, "{name}");
+        assert_eq!(classify(condition, found, evidence), verdict, "{name}");
     }
 }
 
@@ -295,16 +335,16 @@
             .insert("a".into(), (current + 9, json!(other)));
     }
     let evidence = |value: &Value| match value == "mine" {
-        true => Evidence::Mine,
-        false => Evidence::Other,
+        true => Evidence::Applied,
+        false => Evidence::NotApplied,
     };
     let step = Duration::from_millis(1);
     let retry = &mut RetryPolicy::new(3, Backoff::new(step, step));
     let condition = Condition::Version(1);
     match confirmed_write::put(&guard, "a", &"mine", condition, evidence, retry) {
-        Ok(Outcome::Mine(_)) => "mine",
-        Ok(Outcome::Lost(_)) => "lost",
-        Ok(Outcome::Unclear(_)) => "unclear",
+        Ok(Outcome::Applied(_)) => "mine",
+        Ok(Outcome::Superseded(_)) => "lost",
+        Ok(Outcome::Inconclusive(_)) => "unclear",
         Ok(Outcome::Unknown(_)) => "unknown",
         Err(e) => kind::<()>(Err(e)),
     }
@@ -340,7 +380,7 @@
     platform.set_plan(|_| Fault::LoseAnswer);
     let step = Duration::from_millis(1);
     let retry = &mut RetryPolicy::new(3, Backoff::new(step, step));
-    let evidence = |_: &Value| Evidence::Mine;
+    let evidence = |_: &Value| Evidence::Applied;
     let outcome = confirmed_write::put(&guard, "a", &1, Condition::Absent, evidence, retry);
     assert!(matches!(outcome, Ok(Outcome::Unknown(_))), "{outcome:?}");
     platform.set_plan(|_| Fault::Answer(412, "", ""));
@@ -392,12 +432,12 @@
         let mut backoff = Backoff::new(first, most);
         let mut full = first;
         for _ in 0..70 {
-            let wait = backoff.fail(rng);
+            let wait = backoff.next_delay(rng);
             prop_assert!(wait >= full / 2 && wait <= full, "{wait:?} of {full:?}");
             full = (full * 2).min(most);
         }
         backoff.reset();
-        prop_assert!(backoff.fail(rng) <= first);
+        prop_assert!(backoff.next_delay(rng) <= first);
     }
 }
 
