--- a/benches/publication.rs
+++ b/benches/publication.rs
@@ -9,7 +9,9 @@
 use ragwortfold::store::breaker::Breaker;
 use ragwortfold::store::client::Client;
 use ragwortfold::store::guarded_client::GuardedClient;
-use ragwortfold::store::publication::{fetch, Base, Fetched, Files, Publication, Signature, Undo};
+use ragwortfold::store::publication::{
+    fetch, Base, Fetched, Files, OverwritePolicy, Publication, Signature,
+};
 use ragwortfold::store::token_bucket::TokenBucket;
 use standin::platform::Platform;
 
@@ -41,7 +43,7 @@
         time: SystemTime::UNIX_EPOCH,
     };
     let mut files = folder();
-    let mut base = Base::Head(Undo::Refuse);
+    let mut base = Base::Head(OverwritePolicy::Refuse);
     let mut number = 0_u64;
     let mut apply = || {
         number += 1;
--- a/benches/publish.rs
+++ b/benches/publish.rs
@@ -190,7 +190,7 @@
         Self {
             publication,
             file,
-            base: Base::Pulled(marker::of(&fetched)),
+            base: Base::Pulled(marker::for_revision(&fetched)),
             files: fetched.files,
         }
     }
--- a/src/bin/ragwortfold/app.rs
+++ b/src/bin/ragwortfold/app.rs
@@ -10,7 +10,7 @@
 use ragwortfold::border::configuration::State;
 use ragwortfold::config::settings::Overrides;
 use ragwortfold::config::Origin;
-use ragwortfold::store::publication::Undo;
+use ragwortfold::store::publication::OverwritePolicy;
 
 use crate::drain::{Kind, Limits};
 use crate::publish::Edits;
@@ -140,7 +140,12 @@
             Some(&revision) => publish::Source::Revision(revision),
             None => publish::Source::Folder(
                 path(matches, "dir"),
-                flagged(matches, "remove-missing", Undo::Refuse, Undo::Allow),
+                flagged(
+                    matches,
+                    "remove-missing",
+                    OverwritePolicy::Refuse,
+                    OverwritePolicy::Allow,
+                ),
             ),
         },
         note: matches.get_one("note").cloned(),
--- a/src/bin/ragwortfold/demo/operator.rs
+++ b/src/bin/ragwortfold/demo/operator.rs
@@ -6,7 +6,7 @@
 use ragwortfold::config::{self, Folder};
 use ragwortfold::store::client::Client;
 use ragwortfold::store::guarded_client::GuardedClient;
-use ragwortfold::store::publication::{self, Base, Files, Publication, Signature, Undo};
+use ragwortfold::store::publication::{self, Base, Files, OverwritePolicy, Publication, Signature};
 
 /// One operator.
 pub(crate) struct Operator {
@@ -23,7 +23,7 @@
             name: name.into(),
             publication: Publication::new(GuardedClient::new(Client::new(platform))),
             files,
-            base: Base::Head(Undo::Allow),
+            base: Base::Head(OverwritePolicy::Allow),
         }
     }
 
--- a/src/bin/ragwortfold/drain.rs
+++ b/src/bin/ragwortfold/drain.rs
@@ -288,7 +288,7 @@
 ) -> Result<u64, Failure> {
     let signature = sign(config);
     for _ in 0..TRIES {
-        let base = Base::Pulled(marker::of(&fetched));
+        let base = Base::Pulled(marker::for_revision(&fetched));
         edit(&mut fetched, config)?;
         match publication.apply(&fetched.files, &base, &signature, publish::check) {
             Ok(applied) => {
@@ -299,7 +299,7 @@
             Err(error) => return Err(publish::Error::from(error).into()),
         }
     }
-    Err(publish::Error::from(publication::Error::Crowded(TRIES)).into())
+    Err(publish::Error::from(publication::Error::LostRaces(TRIES)).into())
 }
 
 fn sign(config: &Config) -> publication::Signature {
--- a/src/bin/ragwortfold/publish.rs
+++ b/src/bin/ragwortfold/publish.rs
@@ -13,8 +13,8 @@
 use ragwortfold::store::client::Client;
 use ragwortfold::store::guarded_client::GuardedClient;
 use ragwortfold::store::publication::{
-    self, marker, Answer, Applied, Base, Difference, Effect, Fetched, Files, Kind, Publication,
-    Signature, Step, Undo,
+    self, marker, Applied, Base, Confirmation, Difference, Effect, Fetched, Files, Kind,
+    OverwritePolicy, Publication, Signature, Step,
 };
 use serde_json::{json, Value};
 
@@ -67,7 +67,7 @@
 /// Where the files of a new revision come from.
 pub(crate) enum Source {
     /// A folder, and whether it may undo what it does not know of.
-    Folder(PathBuf, Undo),
+    Folder(PathBuf, OverwritePolicy),
     /// An earlier revision.
     Revision(u64),
 }
@@ -134,8 +134,8 @@
     fn from(error: publication::Error) -> Self {
         match error {
             publication::Error::Conflict(_) => Self::Conflict(error),
-            publication::Error::Check(text) => Self::Faults(text),
-            publication::Error::Unpulled(_) => Self::Unpulled(error),
+            publication::Error::Invalid(text) => Self::Faults(text),
+            publication::Error::NotPulled(_) => Self::Unpulled(error),
             error => Self::Publication(error),
         }
     }
@@ -240,14 +240,14 @@
 fn apply_folder(
     publication: &Publication,
     dir: &Path,
-    undo: Undo,
+    undo: OverwritePolicy,
     signature: &Signature,
 ) -> Result<Applied, Failure> {
     let folder = config::read(dir)?;
     folder.parts().map_err(config::Error::from)?;
     let marker = marker::read(dir).map_err(folder_error(dir))?;
     let base = match (marker, undo) {
-        (Some(marker), Undo::Refuse) => Base::Pulled(marker),
+        (Some(marker), OverwritePolicy::Refuse) => Base::Pulled(marker),
         (_, undo) => Base::Head(undo),
     };
     let applied = publication
@@ -288,7 +288,7 @@
         "published revision {revision}: {}\n",
         applied.files.join(", ")
     );
-    if applied.answer == Answer::Settled {
+    if applied.confirmation == Confirmation::ReadBack {
         text.push_str("the platform's answer was lost; reading back shows the change in force\n");
     }
     text
@@ -314,9 +314,9 @@
         Effect::New => "new",
         Effect::Unchanged => "unchanged",
     };
-    let answer = match applied.answer {
-        Answer::Received => "received",
-        Answer::Settled => "settled",
+    let answer = match applied.confirmation {
+        Confirmation::Answer => "received",
+        Confirmation::ReadBack => "settled",
     };
     let mut report = json!({
         "revision": applied.revision,
@@ -368,7 +368,7 @@
 fn refuse_edits(dir: &Path, held: &Files, fetched: &Fetched) -> Result<(), Error> {
     let base = marker::read(dir).map_err(folder_error(dir))?;
     let is_lost = |name: &String| held.get(name.as_str()) != fetched.files.get(name.as_str());
-    let mut edited = marker::edited(held, base.as_ref());
+    let mut edited = marker::edited_files(held, base.as_ref());
     edited.retain(is_lost);
     if edited.is_empty() {
         return Ok(());
@@ -393,7 +393,7 @@
         let path = dir.join(&**name);
         fs::remove_file(&path).map_err(folder_error(&path))?;
     }
-    marker::write(dir, &marker::of(fetched)).map_err(folder_error(dir))
+    marker::write(dir, &marker::for_revision(fetched)).map_err(folder_error(dir))
 }
 
 fn folder_error(path: &Path) -> impl FnOnce(io::Error) -> Error + '_ {
--- a/src/entry/platform.rs
+++ b/src/entry/platform.rs
@@ -102,7 +102,7 @@
         while self.is_running() {
             let mut failed = !self.refresh(&guard, &mut seen);
             if self.is_watcher() && !failed {
-                match guard.watch(publication::HEAD, after, WATCH) {
+                match guard.watch(publication::HEAD_KEY, after, WATCH) {
                     Ok(events) => after = events.version,
                     Err(error) => {
                         spdlog::warn!("platform: {error}");
--- a/src/store/publication/error.rs
+++ b/src/store/publication/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration could not be published or read.
+//! Errors of publishing and reading the configuration.
 
 use std::fmt;
 use std::sync::Arc;
@@ -7,84 +7,91 @@
 use crate::store::client;
 use crate::store::confirmed_write::Identity;
 
-/// A failed publication or reading.
+/// An error of publishing or reading the configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The platform could not be used; nothing was published.
+    /// A call to the platform failed; nothing was published.
     #[error(transparent)]
     Store(#[from] client::Error),
-    /// The publication's answer was lost and the platform could not be asked: it may be in force
-    /// and may still come into force. `history` tells by the identity.
+    /// The answer to the publication was lost and reading it back failed too: the change may be in
+    /// force or may still come into force. If `history` lists its identity, it is in force.
     #[error("change {id} may be in force, see the history: {cause}")]
-    Unsettled {
+    Unconfirmed {
         /// The change's identity.
         id: Identity,
-        /// Why the platform could not be asked.
+        /// Why the result could not be read back.
         cause: Arc<str>,
     },
-    /// Others changed the same files; nothing was published.
-    #[error("{}", lines(.0))]
-    Conflict(Vec<Clash>),
-    /// The merged configuration has faults; nothing was published.
+    /// Other changes affect the same files; nothing was published.
+    #[error("{}", conflict_lines(.0))]
+    Conflict(Vec<FileConflict>),
+    /// The merged configuration is invalid; nothing was published.
     #[error("{0}")]
-    Check(Arc<str>),
-    /// The folder was never pulled, and to publish it would remove these files or bring back older
-    /// texts of them; nothing was published.
+    Invalid(Arc<str>),
+    /// The folder has no marker, and publishing it would remove these files or restore older texts of
+    /// them; nothing was published.
     #[error("the folder was not pulled and is older than the platform in {}: pull first", .0.join(", "))]
-    Unpulled(Vec<String>),
-    /// Too many others published at the same time; nothing was published.
-    #[error("gave up after {0} lost races")]
-    Crowded(u32),
-    /// A name that cannot stand in a folder.
-    #[error("'{0}' cannot be a file's name")]
-    Name(Arc<str>),
-    /// A text that is too large for one object.
-    #[error("{name}: {size} bytes are too many")]
+    NotPulled(Vec<String>),
+    /// Other writers were faster in each attempt; nothing was published.
+    #[error("gave up after losing {0} races against other writers")]
+    LostRaces(u32),
+    /// A name that is not a valid file name for a folder.
+    #[error("'{0}' is not a valid file name")]
+    InvalidName(Arc<str>),
+    /// A file's text that is too large for one object.
+    #[error("{name}: text of {size} bytes is too large")]
     TooLarge {
         /// The file.
         name: Arc<str>,
         /// Its size as JSON, in bytes.
         size: usize,
     },
-    /// There is no such revision, or it is no longer kept.
-    #[error("revision {0} is not kept")]
+    /// The revision does not exist, or is no longer stored.
+    #[error("revision {0} does not exist or is no longer stored")]
     NoRevision(u64),
-    /// A file's text is gone; a newer revision has taken this one's place meanwhile.
-    #[error("text {0} is gone")]
-    Missing(Arc<str>),
-    /// The platform told a revision older than one already known.
-    #[error("revision {found} is older than {known}")]
+    /// A file's text no longer exists, because a newer revision has come into force and this one was
+    /// removed.
+    #[error("text {0} no longer exists")]
+    TextMissing(Arc<str>),
+    /// The platform returned a revision older than one already known.
+    #[error(
+        "the platform returned revision {found}, which is older than the known revision {known}"
+    )]
     Stale {
-        /// The revision already known.
+        /// The known revision.
         known: u64,
-        /// The one told.
+        /// The revision returned.
         found: u64,
     },
-    /// The platform told another change under a revision already known.
-    #[error("revision {revision} is change {found} and not {known}")]
+    /// The platform returned another change for a revision already known.
+    #[error("the platform returned change {found} for revision {revision}, which is known as change {known}")]
     Forked {
         /// The revision.
         revision: u64,
-        /// The change already known.
+        /// The known change.
         known: Arc<str>,
-        /// The one told.
+        /// The change returned.
         found: Arc<str>,
     },
 }
 
-/// A file that another change changed too.
+/// A file that both the operator and another change have changed.
 #[derive(Clone, Debug)]
-pub struct Clash {
+pub struct FileConflict {
     /// The file.
     pub file: Arc<str>,
-    /// The latest change of it; none when that was too long ago to be told.
-    pub other: Option<Step>,
+    /// Its latest change; none if that is not among the recent changes in the head.
+    pub latest: Option<Step>,
 }
 
-impl fmt::Display for Clash {
+impl fmt::Display for FileConflict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Some(step) = &self.other else {
-            return write!(f, "{}: changed by another since it was pulled", self.file);
+        let Some(step) = &self.latest else {
+            return write!(
+                f,
+                "{}: changed by another operator since it was pulled",
+                self.file
+            );
         };
         let change = &step.change;
         write!(
@@ -95,7 +102,7 @@
     }
 }
 
-fn lines(clashes: &[Clash]) -> String {
-    let lines: Vec<String> = clashes.iter().map(Clash::to_string).collect();
+fn conflict_lines(conflicts: &[FileConflict]) -> String {
+    let lines: Vec<String> = conflicts.iter().map(FileConflict::to_string).collect();
     lines.join("\n")
 }
--- a/src/store/publication/fetch.rs
+++ b/src/store/publication/fetch.rs
@@ -1,14 +1,14 @@
-//! The hosts' side: reads the revision in force, and of it only what is not known yet.
+//! Reads the revision in force, for hosts. Only texts that are not known yet are read.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use super::merge::Hashes;
-use super::{text, Change, Error, Files, Head, HEAD};
+use super::{text, Change, Error, Files, Head, HEAD_KEY};
 use crate::store::guarded_client::GuardedClient;
 use crate::store::retry::RetryPolicy;
 
-/// A revision with its texts. The default is revision 0, before the first.
+/// A revision with its texts. The default is revision 0, which stands for no revision.
 #[derive(Clone, Debug)]
 pub struct Fetched {
     /// The revision.
@@ -34,22 +34,22 @@
     }
 }
 
-/// Reads the revision in force if it is newer than `known`. Tries once; a host asks again later.
+/// Reads the revision in force if it is newer than `known`. Does not retry; a host fetches again later.
 ///
 /// # Errors
 ///
-/// [`Error::Stale`] and [`Error::Forked`] if the platform tells a revision that must not be used;
-/// [`Error::Missing`] if a newer revision took its place meanwhile.
+/// [`Error::Stale`] and [`Error::Forked`] if the platform returns a revision that must not be used;
+/// [`Error::TextMissing`] if a newer revision replaced it in the meantime and its texts were removed.
 pub fn fetch(client: &GuardedClient, known: &Fetched) -> Result<Option<Fetched>, Error> {
-    with_retry(client, known, &mut RetryPolicy::none())
+    fetch_with_retry(client, known, &mut RetryPolicy::none())
 }
 
-pub(super) fn with_retry(
+pub(super) fn fetch_with_retry(
     client: &GuardedClient,
     known: &Fetched,
     retry: &mut RetryPolicy,
 ) -> Result<Option<Fetched>, Error> {
-    let found = retry.retry_outages(|| client.get(HEAD))?;
+    let found = retry.retry_outages(|| client.get(HEAD_KEY))?;
     let Some(head) = found.map(|found| found.deserialize::<Head>()).transpose()? else {
         return missing_head(known);
     };
@@ -60,7 +60,7 @@
     head.files
         .keys()
         .try_for_each(|name| text::check_name(name))?;
-    let files = texts(client, &head.files, &known.files, retry)?;
+    let files = read_texts(client, &head.files, &known.files, retry)?;
     Ok(Some(Fetched {
         revision: head.revision,
         change: head.change,
@@ -98,24 +98,24 @@
     Ok(false)
 }
 
-/// The texts of `hashes`, each read at most once, and not if it is among `at_hand`.
-pub(super) fn texts(
+/// Returns the texts of `hashes`. Reads each text at most once, and none that is in `known`.
+pub(super) fn read_texts(
     client: &GuardedClient,
     hashes: &Hashes,
-    at_hand: &Files,
+    known: &Files,
     retry: &mut RetryPolicy,
 ) -> Result<Files, Error> {
-    let mut held: BTreeMap<String, Arc<str>> = at_hand
+    let mut text_by_hash: BTreeMap<String, Arc<str>> = known
         .values()
         .map(|text| (text::hash(text), text.clone()))
         .collect();
     let mut files = Files::new();
     for (name, hash) in hashes {
-        let text = match held.get(hash) {
+        let text = match text_by_hash.get(hash) {
             Some(text) => text.clone(),
-            None => text::get(client, hash, retry)?,
+            None => text::read(client, hash, retry)?,
         };
-        held.insert(hash.clone(), text.clone());
+        text_by_hash.insert(hash.clone(), text.clone());
         files.insert(name.as_str().into(), text);
     }
     Ok(files)
--- a/src/store/publication/garbage.rs
+++ b/src/store/publication/garbage.rs
@@ -1,19 +1,20 @@
-//! Removes revisions beyond [`KEPT`] and the texts that only they refer to.
+//! Removes the revisions older than the latest [`KEPT_REVISIONS`] and the texts that only they refer to.
 //!
-//! A writer reads the head (at version V), then writes its history object and every text that the
-//! head does not refer to yet, each in a version above V, and then replaces the head on condition
-//! that it is still at V. A collector reads the head (at version H) and the kept history, then the
-//! text's version, and deletes the text only on condition that it is still at that version, which
-//! must be below H. So a text that a writer still needs survives:
+//! A writer reads the head (at version V), writes its history object and every text that the head does
+//! not refer to yet, so that each has a version above V, and then replaces the head on condition that it
+//! is still at V. A collector reads the head (at version H), the kept history and then the version of a
+//! text. It deletes the text only if that version is below H and has not changed since. Therefore no
+//! text that a writer needs is lost:
 //!
-//! - If the writer read the head at H or later, it wrote the text in a version above H after that,
-//!   which the collector spares; a deletion that comes earlier is made good by the writer's write.
-//! - If it read the head before H, its update of the head fails and it begins anew.
-//! - Texts that the head refers to, or a kept revision, are never candidates. The history's listing
-//!   may lag, so the collector follows the chain of parents and stops when a link is missing.
+//! - If the writer read the head at H or later, it then writes the text with a version above H, which
+//!   the collector does not delete. If the deletion comes first, the writer writes the text again.
+//! - If the writer read the head before H, its update of the head fails and it starts again.
+//! - Texts that the head or a kept revision refers to are never candidates. The listing of the history
+//!   may be out of date, so the collector follows the chain of parents and removes nothing if one is
+//!   missing.
 //!
 //! Candidates are the texts of the revisions being removed. A history object is written before the
-//! texts it refers to, so what an interrupted writer left behind becomes a candidate too.
+//! texts that it refers to, so texts left over by an interrupted writer become candidates too.
 
 use std::collections::BTreeSet;
 
@@ -24,10 +25,11 @@
 use crate::store::guarded_client::GuardedClient;
 use crate::store::retry::RetryPolicy;
 
-/// Revisions that are kept, with the one in force.
-pub const KEPT: u64 = 200;
+/// Number of latest revisions that are kept, including the one in force.
+pub const KEPT_REVISIONS: u64 = 200;
 
-/// Removes what `head` and the kept revisions do not need. Returns the number of objects removed.
+/// Removes old history objects and the texts that neither `head` nor a kept revision refers to.
+/// Returns the number of objects removed.
 pub(super) fn collect(
     client: &GuardedClient,
     head: &Versioned<Head>,
@@ -37,32 +39,33 @@
     let listed = history::list(client, retry)?;
     let (old, kept): (Vec<Entry>, Vec<Entry>) = listed
         .into_iter()
-        .partition(|entry| entry.revision + KEPT <= revision);
-    if old.is_empty() || !is_whole(&head.value, &kept) {
+        .partition(|entry| entry.revision + KEPT_REVISIONS <= revision);
+    if old.is_empty() || !is_complete(&head.value, &kept) {
         return Ok(0);
     }
-    let needed = needed(&head.value.files, &kept);
+    let needed = needed_hashes(&head.value.files, &kept);
     let mut removed = 0;
-    for candidate in candidates(&old, &needed) {
-        removed += remove_text(client, &candidate, head.version, retry)?;
+    for hash in removable_hashes(&old, &needed) {
+        removed += remove_text(client, &hash, head.version, retry)?;
     }
-    // Last, so that an interrupted collection finds its candidates again.
+    // Removed after the texts, so that the next collection after an interrupted one finds the same
+    // candidates.
     for entry in &old {
-        removed += remove(client, &entry.key, entry.version, retry)?;
+        removed += remove_object(client, &entry.key, entry.version, retry)?;
     }
     Ok(removed)
 }
 
-/// Whether `kept` holds each revision that must be kept, so that all that they need is known.
-fn is_whole(head: &Head, kept: &[Entry]) -> bool {
-    let found = head
+/// Whether `kept` contains every revision to keep, so that all hashes they refer to are known.
+fn is_complete(head: &Head, kept: &[Entry]) -> bool {
+    let chain_length = head
         .recent
         .first()
-        .map_or(0, |newest| history::chain(newest, kept).len());
-    found as u64 == head.revision.min(KEPT)
+        .map_or(0, |newest| history::follow_parents(newest, kept).len());
+    chain_length as u64 == head.revision.min(KEPT_REVISIONS)
 }
 
-fn needed(files: &Hashes, kept: &[Entry]) -> BTreeSet<String> {
+fn needed_hashes(files: &Hashes, kept: &[Entry]) -> BTreeSet<String> {
     kept.iter()
         .flat_map(|entry| entry.past.files.values())
         .chain(files.values())
@@ -70,7 +73,7 @@
         .collect()
 }
 
-fn candidates(old: &[Entry], needed: &BTreeSet<String>) -> BTreeSet<String> {
+fn removable_hashes(old: &[Entry], needed: &BTreeSet<String>) -> BTreeSet<String> {
     old.iter()
         .flat_map(|entry| entry.past.files.values())
         .filter(|hash| !needed.contains(*hash))
@@ -81,17 +84,19 @@
 fn remove_text(
     client: &GuardedClient,
     hash: &str,
-    head: u64,
+    head_version: u64,
     retry: &mut RetryPolicy,
 ) -> Result<usize, Error> {
     let key = text::key(hash);
     match retry.retry_outages(|| client.get(&key))? {
-        Some(found) if found.version < head => remove(client, &key, found.version, retry),
+        Some(found) if found.version < head_version => {
+            remove_object(client, &key, found.version, retry)
+        }
         _ => Ok(0),
     }
 }
 
-fn remove(
+fn remove_object(
     client: &GuardedClient,
     key: &str,
     version: u64,
--- a/src/store/publication/history.rs
+++ b/src/store/publication/history.rs
@@ -1,7 +1,8 @@
-//! Past revisions, kept at `config/history/REVISION-ID`.
+//! The history: past revisions, stored at `config/history/REVISION-ID`.
 //!
-//! A history object is written before the head that makes its revision, so it may be left over from
-//! a lost race. Those in force are the ones that the head's chain of parents leads to.
+//! A history object is written before the head that puts its revision in force. If another writer
+//! replaces the head first, the object is left over. The valid objects are those that the chain of
+//! parents from the head leads to.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,10 +12,10 @@
 use crate::store::guarded_client::GuardedClient;
 use crate::store::retry::RetryPolicy;
 
-/// Where past revisions are kept.
-const PREFIX: &str = "config/history/";
+/// Prefix of the keys of history objects.
+const KEY_PREFIX: &str = "config/history/";
 
-/// A history object.
+/// A history object with its key and its version on the platform.
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
     pub(super) key: Arc<str>,
@@ -24,11 +25,11 @@
 }
 
 fn key(revision: u64, id: &str) -> String {
-    format!("{PREFIX}{revision:010}-{id}")
+    format!("{KEY_PREFIX}{revision:010}-{id}")
 }
 
-/// Writes a history object. One that is there already is the same: the key holds the change's
-/// identity and its place.
+/// Writes a history object. An object that already exists under its key is the same one, because the
+/// key contains the revision and the change's identity.
 pub(super) fn put(
     client: &GuardedClient,
     past: &Past,
@@ -41,9 +42,10 @@
     }
 }
 
-/// Lists all history objects, with those left over, in order of revisions. The listing may lag.
+/// Lists all history objects in order of revisions, including those left over. The listing may be out
+/// of date.
 pub(super) fn list(client: &GuardedClient, retry: &mut RetryPolicy) -> Result<Vec<Entry>, Error> {
-    let listing = retry.retry_outages(|| client.list(PREFIX))?;
+    let listing = retry.retry_outages(|| client.list(KEY_PREFIX))?;
     let mut entries = Vec::with_capacity(listing.objects.len());
     for object in listing.objects {
         let object = object.deserialize::<Past>()?;
@@ -57,8 +59,8 @@
     Ok(entries)
 }
 
-/// The past of one change.
-fn get(
+/// Reads the history object of one change.
+fn read(
     client: &GuardedClient,
     revision: u64,
     id: &str,
@@ -71,36 +73,37 @@
     Ok(Some(found.deserialize::<Past>()?.value))
 }
 
-/// The revision `revision` in the chain that `head` ends.
-pub(super) fn find(
+/// Finds `revision` by following the chain of parents from `head`.
+pub(super) fn find_revision(
     client: &GuardedClient,
     head: &Head,
     revision: u64,
     retry: &mut RetryPolicy,
 ) -> Result<Past, Error> {
-    let gone = || Error::NoRevision(revision);
+    let not_found = || Error::NoRevision(revision);
     let mut recent = head.recent.iter().filter(|step| step.revision >= revision);
-    // The nearest to the wanted one among the recent ones; the way on is from parent to parent.
-    let start = recent.next_back().ok_or_else(gone)?;
-    let (mut at, mut id) = (start.revision, start.change.id.clone());
+    // The oldest recent change that is not older than `revision`. From there on, each history object
+    // is found by its child's `parent`.
+    let start = recent.next_back().ok_or_else(not_found)?;
+    let (mut current, mut id) = (start.revision, start.change.id.clone());
     loop {
-        let past = get(client, at, &id, retry)?.ok_or_else(gone)?;
-        if at == revision {
+        let past = read(client, current, &id, retry)?.ok_or_else(not_found)?;
+        if current == revision {
             return Ok(past);
         }
-        (at, id) = (at - 1, past.parent.ok_or_else(gone)?);
+        (current, id) = (current - 1, past.parent.ok_or_else(not_found)?);
     }
 }
 
-/// The steps that lead to `newest`, newest first, as far as they are in `entries`; `newest` too.
-pub(super) fn chain(newest: &Step, entries: &[Entry]) -> Vec<Step> {
+/// Returns `newest` and its ancestors, newest first, up to the first that is not in `entries`.
+pub(super) fn follow_parents(newest: &Step, entries: &[Entry]) -> Vec<Step> {
     let by_id: BTreeMap<(u64, &str), &Past> = entries
         .iter()
         .map(|entry| ((entry.revision, &*entry.past.step.change.id), &entry.past))
         .collect();
     let mut steps = Vec::new();
     let mut next = Some((newest.revision, &*newest.change.id));
-    while let Some(past) = next.and_then(|at| by_id.get(&at)) {
+    while let Some(past) = next.and_then(|position| by_id.get(&position)) {
         steps.push(past.step.clone());
         next = past
             .parent
--- a/src/store/publication/marker.rs
+++ b/src/store/publication/marker.rs
@@ -1,7 +1,7 @@
-//! The marker in an operator's folder: what the folder was derived from.
+//! The marker file in an operator's folder, which records the revision that the folder is based on.
 //!
-//! `pull` and `apply` write it. Without it, `apply` takes the revision in force as the base, see
-//! [`super::Undo`].
+//! `pull` and `apply` write it. Without it, `apply` uses the revision in force as the base, see
+//! [`super::OverwritePolicy`].
 
 use std::fs;
 use std::io::{self, ErrorKind};
@@ -10,44 +10,44 @@
 use super::merge::{self, Hashes};
 use super::{text, Fetched, Files, Marker};
 
-/// The marker's name. It ends in no `.json`, so it is no part of the configuration.
-pub const NAME: &str = ".ragwortfold-base";
+/// Name of the marker file. It does not end in `.json`, so it is not part of the configuration.
+pub const FILE_NAME: &str = ".ragwortfold-base";
 
-/// The marker of a folder that holds just `fetched`.
-pub fn of(fetched: &Fetched) -> Marker {
+/// Creates the marker of a folder whose files are those of `fetched`.
+pub fn for_revision(fetched: &Fetched) -> Marker {
     Marker {
         revision: fetched.revision,
         files: text::hashes(&fetched.files),
     }
 }
 
-/// Reads a folder's marker; none if it has none.
+/// Reads a folder's marker; none if the folder has none.
 ///
 /// # Errors
 ///
-/// A marker that cannot be read.
+/// The marker cannot be read or parsed.
 pub fn read(folder: &Path) -> io::Result<Option<Marker>> {
-    match fs::read(folder.join(NAME)) {
+    match fs::read(folder.join(FILE_NAME)) {
         Ok(bytes) => Ok(Some(serde_json::from_slice(&bytes)?)),
         Err(e) if e.kind() == ErrorKind::NotFound => Ok(None),
         Err(e) => Err(e),
     }
 }
 
-/// Writes a folder's marker; at no time is it there in part.
+/// Writes a folder's marker atomically.
 ///
 /// # Errors
 ///
-/// A folder that cannot be written.
+/// The folder cannot be written.
 pub fn write(folder: &Path, marker: &Marker) -> io::Result<()> {
-    let part = folder.join(format!("{NAME}.part"));
-    fs::write(&part, serde_json::to_vec_pretty(marker)?)?;
-    fs::rename(part, folder.join(NAME))
+    let temporary = folder.join(format!("{FILE_NAME}.part"));
+    fs::write(&temporary, serde_json::to_vec_pretty(marker)?)?;
+    fs::rename(temporary, folder.join(FILE_NAME))
 }
 
-/// The files that were edited, added or removed since the folder got `marker`: what a pull would
-/// overwrite.
-pub fn edited(files: &Files, marker: Option<&Marker>) -> Vec<String> {
+/// Returns the names of the files that were edited, added or removed since `marker` was written. A pull
+/// would overwrite them.
+pub fn edited_files(files: &Files, marker: Option<&Marker>) -> Vec<String> {
     let none = Hashes::new();
     let base = marker.map_or(&none, |marker| &marker.files);
     merge::differing(base, &text::hashes(files))
--- a/src/store/publication/merge.rs
+++ b/src/store/publication/merge.rs
@@ -1,21 +1,21 @@
-//! Three-way merge of folders, by the hashes of whole files.
+//! Three-way merge of folders. Files are compared as a whole, by their hashes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 /// SHA-256 of each file's text, by the file's name.
 pub type Hashes = BTreeMap<String, String>;
 
-/// Merges what an operator made of `base` (`ours`) with what others made of it (`theirs`).
+/// Merges an operator's changes (from `base` to `ours`) with those of others (from `base` to `theirs`).
 ///
 /// # Errors
 ///
-/// The names of the files that both sides changed, and not in the same way.
+/// The names of the files that both sides changed differently.
 pub fn merge(base: &Hashes, ours: &Hashes, theirs: &Hashes) -> Result<Hashes, Vec<String>> {
     let mut merged = theirs.clone();
     let mut conflicts = Vec::new();
     for name in differing(base, ours) {
-        let (was, mine, other) = (base.get(name), ours.get(name), theirs.get(name));
-        if other != was && other != mine {
+        let (old, mine, other) = (base.get(name), ours.get(name), theirs.get(name));
+        if other != old && other != mine {
             conflicts.push(name.to_owned());
             continue;
         }
@@ -31,7 +31,7 @@
     }
 }
 
-/// The names of the files in which two folders differ, in order.
+/// Returns the names of the files that differ between two folders, in order.
 pub fn differing<'a>(a: &'a Hashes, b: &'a Hashes) -> BTreeSet<&'a str> {
     a.keys()
         .chain(b.keys())
--- a/src/store/publication/mod.rs
+++ b/src/store/publication/mod.rs
@@ -1,12 +1,12 @@
-//! The configuration on the platform: revisions of a folder of files.
+//! Stores the configuration on the platform, as revisions of a folder of files.
 //!
-//! `config/head` names the revision in force, its change and the hash of each file; it alone is
-//! updated, on condition of its version, so that one update is one revision. Texts are kept by
-//! their hashes at `config/file/SHA256`, past revisions at `config/history/REVISION-ID`; both are
-//! written before the head that needs them and harm nothing when they are left over.
+//! `config/head` contains the revision in force, its change and the hash of each file. It is updated on
+//! condition of its version, so that each update makes one revision. Texts are stored by their hashes at
+//! `config/file/SHA256` and past revisions at `config/history/REVISION-ID`. Both are written before the
+//! head that refers to them, and have no effect if they are left over.
 //!
-//! An operator's changes are found against a [`Base`]: what the folder was derived from. Changes by
-//! others since then stay, unless they are to the same files, which is a conflict.
+//! An operator's changes are the differences between the folder and its [`Base`], the revision that it
+//! is based on. Changes of others since then are kept; changes to the same files are a conflict.
 
 pub mod error;
 pub mod fetch;
@@ -31,93 +31,95 @@
 use merge::Hashes;
 
 pub use crate::border::objects::{Base as Marker, Change, Step};
-pub use error::{Clash, Error};
+pub use error::{Error, FileConflict};
 pub use fetch::{fetch, Fetched};
 
 /// Texts of a folder's files, by their names.
 pub type Files = BTreeMap<Arc<str>, Arc<str>>;
 
 /// The key of the head.
-pub const HEAD: &str = "config/head";
-/// Changes that the head tells of.
-const RECENT: usize = 32;
-/// File names that the head's recent changes list together, beyond which the oldest are left out.
-const RECENT_NAMES: usize = 2_000;
-/// Longest author or note in the head, in characters; the rest is cut off.
-const MAX_NOTE: usize = 500;
-/// Lost races after which a publication gives up.
-const MAX_RACES: u32 = 200;
-/// Garbage is collected after each such number of revisions.
-const COLLECT_EVERY: u64 = 16;
-
-/// Whether a folder that was never pulled may undo what it does not know of.
+pub const HEAD_KEY: &str = "config/head";
+/// Maximum number of recent changes listed in the head.
+const MAX_RECENT_CHANGES: usize = 32;
+/// Maximum number of file names in the head's recent changes; the oldest changes are left out beyond
+/// it.
+const MAX_RECENT_FILE_NAMES: usize = 2_000;
+/// Maximum length of an author or a note in the head, in characters; the rest is cut off.
+const MAX_NOTE_CHARS: usize = 500;
+/// Attempts after which a writer gives up because other writers were faster each time.
+const MAX_LOST_RACES: u32 = 200;
+/// Number of revisions between two garbage collections.
+const COLLECTION_INTERVAL: u64 = 16;
+
+/// Whether a folder without a marker may overwrite changes made on the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Undo {
-    /// Files that it lacks, or holds in a text that an earlier revision had, are an error.
+pub enum OverwritePolicy {
+    /// It is an error if the folder lacks a file or has a text that an earlier revision had.
     Refuse,
-    /// The folder is the whole truth: files that it lacks are removed, older texts come back.
+    /// The folder replaces the revision in force: files that it lacks are removed, and older texts are
+    /// restored.
     Allow,
 }
 
-/// What a folder was derived from.
+/// The revision that a folder is based on.
 #[derive(Clone, Debug)]
 pub enum Base {
-    /// What its marker says, see [`marker`].
+    /// The revision in its marker, see [`marker`].
     Pulled(Marker),
-    /// It has no marker: the revision in force when the publication begins.
-    Head(Undo),
+    /// The revision in force when the publication begins, because the folder has no marker.
+    Head(OverwritePolicy),
 }
 
-/// Who publishes, and why.
+/// Author, reason and time of a change.
 #[derive(Clone, Debug)]
 pub struct Signature {
     /// The operator.
     pub author: Arc<str>,
     /// The reason.
     pub note: Arc<str>,
-    /// The operator's clock.
+    /// The time by the operator's clock.
     pub time: SystemTime,
 }
 
-/// Whether a publication made a revision.
+/// Whether a publication made a new revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// It did.
+    /// It made a new revision.
     New,
-    /// The revision in force has this content already.
+    /// The revision in force already has this content.
     Unchanged,
 }
 
-/// How a publication learned that it is in force.
+/// How it was confirmed that a publication is in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
-    /// The platform said so.
-    Received,
-    /// The platform's answer was lost; its identity was found in what the platform holds.
-    Settled,
+pub enum Confirmation {
+    /// By the platform's answer.
+    Answer,
+    /// By reading back: the answer was lost, but the change's identity was found on the platform.
+    ReadBack,
 }
 
 /// A publication that is in force.
 #[derive(Clone, Debug)]
 pub struct Applied {
-    /// The revision it made, or the one in force.
+    /// The new revision, or the one in force if none was made.
     pub revision: u64,
-    /// Whether it made a revision.
+    /// Whether it made a new revision.
     pub effect: Effect,
-    /// How it learned of that.
-    pub answer: Answer,
+    /// How it was confirmed.
+    pub confirmation: Confirmation,
     /// The files that it changed.
     pub files: Vec<Arc<str>>,
-    /// What the folder is now derived from: to be written as its marker.
+    /// The marker to write into the folder.
     pub marker: Marker,
 }
 
 /// How a file differs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// The platform has no such file.
+    /// Only the folder has the file.
     Added,
-    /// The folder has no such file.
+    /// Only the platform has the file.
     Removed,
     /// The texts differ.
     Changed,
@@ -134,22 +136,22 @@
     pub text: Arc<str>,
 }
 
-/// The operators' side: publishes and reads revisions.
+/// Publishes and reads revisions, for operators.
 #[derive(Clone, Debug)]
 pub struct Publication {
     client: GuardedClient,
     retry: RetryPolicy,
 }
 
-/// What a publication wants the folder to be, and from what it changed it.
-struct Wanted {
+/// The desired files of a publication, and the hashes of the base that they were changed from.
+struct DesiredFiles {
     files: Files,
     hashes: Hashes,
     base: Hashes,
 }
 
 impl Publication {
-    /// Publishes through `client`.
+    /// Creates a publication that uses `client`.
     pub fn new(client: GuardedClient) -> Self {
         Self {
             client,
@@ -157,18 +159,18 @@
         }
     }
 
-    /// Sets how long each operation tries while the platform fails.
+    /// Sets how often each operation retries while the platform is unavailable.
     pub fn with_retry(mut self, retry: RetryPolicy) -> Self {
         self.retry = retry;
         self
     }
 
-    /// Publishes `files` as one revision. Changes of others to other files stay, and `check` judges
-    /// the merged whole before each try.
+    /// Publishes `files` as one revision. Changes of others to other files are kept. Each attempt
+    /// validates the merged files with `check` first.
     ///
     /// # Errors
     ///
-    /// After any error but [`Error::Unsettled`] nothing was published.
+    /// After any error but [`Error::Unconfirmed`] nothing was published.
     pub fn apply<E: std::fmt::Display>(
         &self,
         files: &Files,
@@ -181,18 +183,20 @@
         let hashes = text::hashes(files);
         let base = match base {
             Base::Pulled(marker) => marker.files.clone(),
-            Base::Head(undo) => self.head_base(&hashes, *undo, retry)?,
+            Base::Head(overwrite_policy) => {
+                self.base_without_marker(&hashes, *overwrite_policy, retry)?
+            }
         };
-        let wanted = Wanted {
+        let desired = DesiredFiles {
             files: files.clone(),
             hashes,
             base,
         };
-        self.publish(&wanted, signature, check, retry)
+        self.publish(&desired, signature, check, retry)
     }
 
-    /// Publishes the content of an earlier revision as a new one. What others publish meanwhile
-    /// to other files stays.
+    /// Publishes the content of an earlier revision as a new one. Changes that others publish to
+    /// other files in the meantime are kept.
     ///
     /// # Errors
     ///
@@ -204,53 +208,53 @@
         check: impl Fn(&Files) -> Result<(), E>,
     ) -> Result<Applied, Error> {
         let retry = &mut self.retry.clone();
-        let head = self.head(retry)?.ok_or(Error::NoRevision(revision))?;
-        let past = history::find(&self.client, &head.value, revision, retry)?;
-        let wanted = Wanted {
-            files: self.texts(&past.files, &Files::new(), retry)?,
+        let head = self.read_head(retry)?.ok_or(Error::NoRevision(revision))?;
+        let past = history::find_revision(&self.client, &head.value, revision, retry)?;
+        let desired = DesiredFiles {
+            files: self.read_texts(&past.files, &Files::new(), retry)?,
             hashes: past.files,
             base: head.value.files,
         };
-        self.publish(&wanted, signature, check, retry)
+        self.publish(&desired, signature, check, retry)
     }
 
-    /// Reads the revision in force; none before the first.
+    /// Reads the revision in force; none if nothing was published yet.
     ///
     /// # Errors
     ///
     /// As [`fetch()`].
     pub fn pull(&self) -> Result<Option<Fetched>, Error> {
-        let mut tries = self.retry.clone();
+        let mut text_retries = self.retry.clone();
         loop {
             let retry = &mut self.retry.clone();
-            match fetch::with_retry(&self.client, &Fetched::default(), retry) {
-                // The revision went out of use between the reading of the head and of its texts.
-                Err(e @ Error::Missing(_)) => tries.wait_after(e)?,
+            match fetch::fetch_with_retry(&self.client, &Fetched::default(), retry) {
+                // The revision was replaced and removed after its head and before its texts were read.
+                Err(e @ Error::TextMissing(_)) => text_retries.wait_after(e)?,
                 other => return other,
             }
         }
     }
 
-    /// The changes in force, newest first, as far as they are kept.
+    /// Returns the changes that led to the revision in force, newest first, as far as they are stored.
     ///
     /// # Errors
     ///
     /// [`Error::Store`].
     pub fn history(&self) -> Result<Vec<Step>, Error> {
         let retry = &mut self.retry.clone();
-        let Some(head) = self.head(retry)? else {
+        let Some(head) = self.read_head(retry)? else {
             return Ok(Vec::new());
         };
         let entries = history::list(&self.client, retry)?;
         let mut steps = head.value.recent;
         if let Some(oldest) = steps.last() {
-            let older = history::chain(oldest, &entries);
+            let older = history::follow_parents(oldest, &entries);
             steps.extend(older.into_iter().skip(1));
         }
         Ok(steps)
     }
 
-    /// Where `files` differ from the revision in force.
+    /// Returns the differences between the revision in force and `files`.
     ///
     /// # Errors
     ///
@@ -260,90 +264,91 @@
         Ok(differences(&head.files, files))
     }
 
-    /// Removes revisions beyond [`garbage::KEPT`] and texts that nothing needs. Publications do so
-    /// now and then by themselves. Returns the number of objects removed.
+    /// Removes the revisions older than the latest [`garbage::KEPT_REVISIONS`] and the texts that
+    /// nothing refers to. Returns the number of objects removed. Publications also do this after every
+    /// 16 revisions.
     ///
     /// # Errors
     ///
     /// [`Error::Store`].
     pub fn collect(&self) -> Result<usize, Error> {
         let retry = &mut self.retry.clone();
-        match self.head(retry)? {
+        match self.read_head(retry)? {
             Some(head) => garbage::collect(&self.client, &head, retry),
             None => Ok(0),
         }
     }
 
-    fn head(&self, retry: &mut RetryPolicy) -> Result<Option<Versioned<Head>>, Error> {
-        let found = retry.retry_outages(|| self.client.get(HEAD))?;
+    fn read_head(&self, retry: &mut RetryPolicy) -> Result<Option<Versioned<Head>>, Error> {
+        let found = retry.retry_outages(|| self.client.get(HEAD_KEY))?;
         Ok(found.map(Versioned::deserialize).transpose()?)
     }
 
-    /// The base of a folder without a marker.
-    fn head_base(
+    /// Returns the base of a folder without a marker.
+    fn base_without_marker(
         &self,
         ours: &Hashes,
-        undo: Undo,
+        overwrite_policy: OverwritePolicy,
         retry: &mut RetryPolicy,
     ) -> Result<Hashes, Error> {
-        let Some(head) = self.head(retry)? else {
+        let Some(head) = self.read_head(retry)? else {
             return Ok(Hashes::new());
         };
         let base = head.value.files;
-        if undo == Undo::Allow || base == *ours {
+        if overwrite_policy == OverwritePolicy::Allow || base == *ours {
             return Ok(base);
         }
         let entries = history::list(&self.client, retry)?;
-        let undone: Vec<String> = merge::differing(&base, ours)
+        let overwritten: Vec<String> = merge::differing(&base, ours)
             .into_iter()
-            .filter(|name| base.contains_key(*name) && is_past(name, ours, &entries))
+            .filter(|name| base.contains_key(*name) && is_missing_or_past(name, ours, &entries))
             .map(str::to_owned)
             .collect();
-        if undone.is_empty() {
+        if overwritten.is_empty() {
             return Ok(base);
         }
-        Err(Error::Unpulled(undone))
+        Err(Error::NotPulled(overwritten))
     }
 
     fn publish<E: std::fmt::Display>(
         &self,
-        wanted: &Wanted,
+        desired: &DesiredFiles,
         signature: &Signature,
         check: impl Fn(&Files) -> Result<(), E>,
         retry: &mut RetryPolicy,
     ) -> Result<Applied, Error> {
         let id = Identity::new(&mut rand::rng());
-        let change = change(&id, signature);
+        let change = new_change(&id, signature);
         let marker = |revision| Marker {
             revision,
-            files: wanted.hashes.clone(),
+            files: desired.hashes.clone(),
         };
-        for _ in 0..MAX_RACES {
-            let head = self.head(retry)?;
+        for _ in 0..MAX_LOST_RACES {
+            let head = self.read_head(retry)?;
             let theirs = head.as_ref().map(|head| &head.value);
-            let files = rebase(wanted, theirs)?;
-            if let Some(same) = theirs.filter(|head| head.files == files) {
+            let files = rebase(desired, theirs)?;
+            if let Some(current) = theirs.filter(|head| head.files == files) {
                 return Ok(Applied {
-                    revision: same.revision,
+                    revision: current.revision,
                     effect: Effect::Unchanged,
-                    answer: Answer::Received,
+                    confirmation: Confirmation::Answer,
                     files: Vec::new(),
-                    marker: marker(same.revision),
+                    marker: marker(current.revision),
                 });
             }
-            let texts = self.texts(&files, &wanted.files, retry)?;
-            check(&texts).map_err(|e| Error::Check(e.to_string().into()))?;
+            let texts = self.read_texts(&files, &desired.files, retry)?;
+            check(&texts).map_err(|e| Error::Invalid(e.to_string().into()))?;
             let next = next_head(theirs, change.clone(), files);
-            let replaced = self.replace(head.as_ref(), &next, &texts, &id, retry)?;
-            let Some(answer) = replaced else {
+            let replaced = self.replace_head(head.as_ref(), &next, &texts, &id, retry)?;
+            let Some(confirmation) = replaced else {
                 continue;
             };
-            self.collect_sometimes(next.revision);
+            self.collect_periodically(next.revision);
             let changed = next.recent.first().map(|step| &step.files[..]);
             return Ok(Applied {
                 revision: next.revision,
                 effect: Effect::New,
-                answer,
+                confirmation,
                 files: changed
                     .unwrap_or_default()
                     .iter()
@@ -352,49 +357,50 @@
                 marker: marker(next.revision),
             });
         }
-        Err(Error::Crowded(MAX_RACES))
+        Err(Error::LostRaces(MAX_LOST_RACES))
     }
 
-    /// Writes what `next` needs, and then `next` in place of `head`. Tells how it learned that it
-    /// did; none if another writer was faster.
-    fn replace(
+    /// Writes the history object and the texts that `next` refers to, and then replaces `head` by
+    /// `next`. Returns how the write was confirmed, none if another writer was faster.
+    fn replace_head(
         &self,
         head: Option<&Versioned<Head>>,
         next: &Head,
         texts: &Files,
         id: &Identity,
         retry: &mut RetryPolicy,
-    ) -> Result<Option<Answer>, Error> {
-        history::put(&self.client, &past(head, next), retry)?;
+    ) -> Result<Option<Confirmation>, Error> {
+        history::put(&self.client, &history_entry(head, next), retry)?;
         let old = head.map(|head| &head.value.files);
-        let fence = head.map_or(0, |head| head.version);
+        let head_version = head.map_or(0, |head| head.version);
         for (name, hash) in &next.files {
-            let is_held = old.is_some_and(|old| old.values().any(|held| held == hash));
-            if let (false, Some(text)) = (is_held, texts.get(name.as_str())) {
-                text::touch(&self.client, name, text, fence, retry)?;
+            let is_stored = old.is_some_and(|old| old.values().any(|stored| stored == hash));
+            if let (false, Some(text)) = (is_stored, texts.get(name.as_str())) {
+                text::touch(&self.client, name, text, head_version, retry)?;
             }
         }
         let condition = head.map_or(Condition::Absent, |head| Condition::Version(head.version));
-        let answer = Cell::new(Answer::Received);
+        let confirmation = Cell::new(Confirmation::Answer);
         let evidence = |value: &Value| {
-            // Only a write without an answer looks for evidence.
-            answer.set(Answer::Settled);
-            evidence(value, id, next.revision)
+            // Evidence is only looked for if the write got no answer.
+            confirmation.set(Confirmation::ReadBack);
+            head_evidence(value, id, next.revision)
         };
-        let outcome = confirmed_write::put(&self.client, HEAD, next, condition, evidence, retry)?;
+        let outcome =
+            confirmed_write::put(&self.client, HEAD_KEY, next, condition, evidence, retry)?;
         match outcome {
-            Outcome::Applied(_) => Ok(Some(answer.get())),
+            Outcome::Applied(_) => Ok(Some(confirmation.get())),
             Outcome::Superseded(_) => Ok(None),
             Outcome::Inconclusive(found) => {
-                let is_mine = self.is_in_chain(found, id, next.revision, retry)?;
-                Ok(is_mine.then_some(Answer::Settled))
+                let is_mine = self.is_in_history(found, id, next.revision, retry)?;
+                Ok(is_mine.then_some(Confirmation::ReadBack))
             }
-            Outcome::Unknown(cause) => Err(unsettled(id, &cause)),
+            Outcome::Unknown(cause) => Err(unconfirmed(id, &cause)),
         }
     }
 
-    /// Whether `revision` was made by the change `id`, told by the history.
-    fn is_in_chain(
+    /// Whether the change `id` made `revision`, according to the history.
+    fn is_in_history(
         &self,
         found: Option<Versioned<Value>>,
         id: &Identity,
@@ -405,15 +411,16 @@
             return Ok(false);
         };
         let head = found.deserialize::<Head>()?.value;
-        match history::find(&self.client, &head, revision, retry) {
+        match history::find_revision(&self.client, &head, revision, retry) {
             Ok(past) => Ok(past.step.change.id == id.as_str()),
-            Err(e) => Err(unsettled(id, &e)),
+            Err(e) => Err(unconfirmed(id, &e)),
         }
     }
 
-    /// Collects garbage after some revisions. The publication is in force whatever comes of it.
-    fn collect_sometimes(&self, revision: u64) {
-        if !revision.is_multiple_of(COLLECT_EVERY) {
+    /// Collects garbage if `revision` is due for it. A failure is only logged, because the publication
+    /// is in force anyway.
+    fn collect_periodically(&self, revision: u64) {
+        if !revision.is_multiple_of(COLLECTION_INTERVAL) {
             return;
         }
         if let Err(e) = self.collect() {
@@ -421,26 +428,26 @@
         }
     }
 
-    /// The texts of `hashes`, from `at_hand` where they are the same.
-    fn texts(
+    /// Returns the texts of `hashes`; those that are in `known` are not read.
+    fn read_texts(
         &self,
         hashes: &Hashes,
-        at_hand: &Files,
+        known: &Files,
         retry: &mut RetryPolicy,
     ) -> Result<Files, Error> {
-        fetch::texts(&self.client, hashes, at_hand, retry)
+        fetch::read_texts(&self.client, hashes, known, retry)
     }
 }
 
-fn unsettled(id: &Identity, cause: &dyn std::fmt::Display) -> Error {
-    Error::Unsettled {
+fn unconfirmed(id: &Identity, cause: &dyn std::fmt::Display) -> Error {
+    Error::Unconfirmed {
         id: id.clone(),
         cause: cause.to_string().into(),
     }
 }
 
-/// Whether `ours` lacks a file, or holds it in a text that it had in a past revision.
-fn is_past(name: &str, ours: &Hashes, entries: &[history::Entry]) -> bool {
+/// Whether `ours` lacks the file, or has a text of it that a past revision had.
+fn is_missing_or_past(name: &str, ours: &Hashes, entries: &[history::Entry]) -> bool {
     let Some(hash) = ours.get(name) else {
         return true;
     };
@@ -449,31 +456,34 @@
         .any(|entry| entry.past.files.get(name) == Some(hash))
 }
 
-fn rebase(wanted: &Wanted, head: Option<&Head>) -> Result<Hashes, Error> {
+fn rebase(desired: &DesiredFiles, head: Option<&Head>) -> Result<Hashes, Error> {
     let none = Hashes::new();
     let theirs = head.map_or(&none, |head| &head.files);
-    merge::merge(&wanted.base, &wanted.hashes, theirs).map_err(|names| {
-        let clashes = names.into_iter().map(|file| clash(&file, head)).collect();
-        Error::Conflict(clashes)
+    merge::merge(&desired.base, &desired.hashes, theirs).map_err(|names| {
+        let conflicts = names
+            .into_iter()
+            .map(|file| file_conflict(&file, head))
+            .collect();
+        Error::Conflict(conflicts)
     })
 }
 
-fn clash(file: &str, head: Option<&Head>) -> Clash {
-    let is_other = |step: &&Step| step.files.iter().any(|name| name == file);
-    Clash {
+fn file_conflict(file: &str, head: Option<&Head>) -> FileConflict {
+    let has_file = |step: &&Step| step.files.iter().any(|name| name == file);
+    FileConflict {
         file: file.into(),
-        other: head.and_then(|head| head.recent.iter().find(is_other).cloned()),
+        latest: head.and_then(|head| head.recent.iter().find(has_file).cloned()),
     }
 }
 
-fn change(id: &Identity, signature: &Signature) -> Change {
+fn new_change(id: &Identity, signature: &Signature) -> Change {
     let since = signature.time.duration_since(UNIX_EPOCH);
     let millis = since.map_or(0, |since| since.as_millis());
     Change {
         id: id.to_string(),
-        author: signature.author.chars().take(MAX_NOTE).collect(),
+        author: signature.author.chars().take(MAX_NOTE_CHARS).collect(),
         time: u64::try_from(millis).unwrap_or(u64::MAX),
-        note: signature.note.chars().take(MAX_NOTE).collect(),
+        note: signature.note.chars().take(MAX_NOTE_CHARS).collect(),
     }
 }
 
@@ -491,8 +501,8 @@
     let revision = step.revision;
     let older = head.map_or(&[][..], |head| &head.recent);
     let mut recent: Vec<Step> = std::iter::once(&step).chain(older).cloned().collect();
-    recent.truncate(RECENT);
-    while recent.len() > 1 && names(&recent) > RECENT_NAMES {
+    recent.truncate(MAX_RECENT_CHANGES);
+    while recent.len() > 1 && count_file_names(&recent) > MAX_RECENT_FILE_NAMES {
         recent.pop();
     }
     Head {
@@ -503,11 +513,11 @@
     }
 }
 
-fn names(steps: &[Step]) -> usize {
+fn count_file_names(steps: &[Step]) -> usize {
     steps.iter().map(|step| step.files.len()).sum()
 }
 
-fn past(head: Option<&Versioned<Head>>, next: &Head) -> Past {
+fn history_entry(head: Option<&Versioned<Head>>, next: &Head) -> Past {
     let step = next.recent.first().cloned().unwrap_or_else(|| Step {
         revision: next.revision,
         change: next.change.clone(),
@@ -520,8 +530,8 @@
     }
 }
 
-/// What a head tells of the change `id`, which would have made `revision`.
-fn evidence(value: &Value, id: &Identity, revision: u64) -> Evidence {
+/// Returns what a head shows about the change `id`, which would have made `revision`.
+fn head_evidence(value: &Value, id: &Identity, revision: u64) -> Evidence {
     let Ok(head) = serde_json::from_value::<Head>(value.clone()) else {
         return Evidence::Inconclusive;
     };
@@ -529,8 +539,8 @@
     if steps.iter().any(|step| step.change.id == id.as_str()) {
         return Evidence::Applied;
     }
-    let is_told = steps.iter().any(|step| step.revision == revision);
-    if is_told || head.revision < revision {
+    let is_listed = steps.iter().any(|step| step.revision == revision);
+    if is_listed || head.revision < revision {
         return Evidence::NotApplied;
     }
     Evidence::Inconclusive
--- a/src/store/publication/text.rs
+++ b/src/store/publication/text.rs
@@ -1,28 +1,28 @@
-//! Texts of files: hashes, names, and the objects that hold them.
+//! Texts of configuration files: their hashes, their names, and the objects that store them.
 
 use std::sync::Arc;
 
 use sha2::{Digest, Sha256};
 
 use super::merge::Hashes;
-use super::{Error, Files, MAX_RACES};
+use super::{Error, Files, MAX_LOST_RACES};
 use crate::border::objects as border;
 use crate::store::client::{self, Condition};
 use crate::store::guarded_client::GuardedClient;
 use crate::store::retry::RetryPolicy;
 
-/// Where texts are kept, by their hashes.
-const PREFIX: &str = "config/file/";
-/// Longest name of a file, in bytes.
-const MAX_NAME: usize = 255;
+/// Prefix of the keys of texts; the hash follows.
+const KEY_PREFIX: &str = "config/file/";
+/// Maximum length of a file name, in bytes.
+const MAX_NAME_BYTES: usize = 255;
 
-/// SHA-256 of a text, in hexadecimal.
+/// Returns the SHA-256 of a text, in hexadecimal.
 pub fn hash(text: &str) -> String {
     let digest = Sha256::digest(text.as_bytes());
     digest.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The hashes of a folder's files.
+/// Returns the hash of each file of a folder.
 pub fn hashes(files: &Files) -> Hashes {
     files
         .iter()
@@ -30,32 +30,33 @@
         .collect()
 }
 
-/// Whether a file of that name can be written into a folder without leaving it or hiding in it.
+/// Rejects names whose files would be outside the folder or hidden in it, and names that are empty or
+/// too long.
 pub(super) fn check_name(name: &str) -> Result<(), Error> {
-    let fits = !name.is_empty() && name.len() <= MAX_NAME && !name.starts_with('.');
-    if fits && !name.contains(['/', '\\', '\0', '\n']) {
+    let is_valid = !name.is_empty() && name.len() <= MAX_NAME_BYTES && !name.starts_with('.');
+    if is_valid && !name.contains(['/', '\\', '\0', '\n']) {
         return Ok(());
     }
-    Err(Error::Name(name.into()))
+    Err(Error::InvalidName(name.into()))
 }
 
-/// The key of a text.
+/// Returns the key of the object that stores the text with this hash.
 pub(super) fn key(hash: &str) -> String {
-    format!("{PREFIX}{hash}")
+    format!("{KEY_PREFIX}{hash}")
 }
 
-/// Reads a text.
-pub(super) fn get(
+/// Reads a text and verifies its hash.
+pub(super) fn read(
     client: &GuardedClient,
-    hash_: &str,
+    expected: &str,
     retry: &mut RetryPolicy,
 ) -> Result<Arc<str>, Error> {
-    let key = key(hash_);
+    let key = key(expected);
     let found = retry
         .retry_outages(|| client.get(&key))?
-        .ok_or_else(|| Error::Missing(hash_.into()))?
+        .ok_or_else(|| Error::TextMissing(expected.into()))?
         .deserialize::<border::File>()?;
-    if hash(&found.value.text) != hash_ {
+    if hash(&found.value.text) != expected {
         return Err(Error::Store(client::Error::Malformed {
             key: key.into(),
             reason: "the text does not have this hash".into(),
@@ -64,19 +65,19 @@
     Ok(found.value.text.into())
 }
 
-/// Makes sure that the platform holds a text in a version above `fence`, so that no collection of
-/// garbage that began before removes it (see [`super::garbage`]).
+/// Ensures that the platform stores a text with a version above `after_version`, so that no garbage
+/// collection that began before removes it (see [`super::garbage`]).
 pub(super) fn touch(
     client: &GuardedClient,
     name: &str,
     text: &str,
-    fence: u64,
+    after_version: u64,
     retry: &mut RetryPolicy,
 ) -> Result<(), Error> {
     let key = key(&hash(text));
     let value = border::File { text: text.into() };
     let mut condition = Condition::Absent;
-    for _ in 0..MAX_RACES {
+    for _ in 0..MAX_LOST_RACES {
         match retry.retry_outages(|| client.put(&key, &value, condition)) {
             Ok(_) => return Ok(()),
             Err(client::Error::Conflict { .. }) => {}
@@ -89,10 +90,10 @@
             Err(e) => return Err(e.into()),
         }
         condition = match retry.retry_outages(|| client.get(&key))? {
-            Some(found) if found.version > fence => return Ok(()),
+            Some(found) if found.version > after_version => return Ok(()),
             Some(found) => Condition::Version(found.version),
             None => Condition::Absent,
         };
     }
-    Err(Error::Crowded(MAX_RACES))
+    Err(Error::LostRaces(MAX_LOST_RACES))
 }
--- a/tests/publication.rs
+++ b/tests/publication.rs
@@ -15,8 +15,8 @@
 use ragwortfold::store::client::Client;
 use ragwortfold::store::guarded_client::GuardedClient;
 use ragwortfold::store::publication::{
-    fetch, marker, text, Applied, Base, Effect, Error, Fetched, Files, Kind, Publication,
-    Signature, Undo,
+    fetch, marker, text, Applied, Base, Effect, Error, Fetched, Files, Kind, OverwritePolicy,
+    Publication, Signature,
 };
 use ragwortfold::store::retry::RetryPolicy;
 use ragwortfold::store::token_bucket::TokenBucket;
@@ -76,7 +76,7 @@
         Self {
             publication: publication(&platform.url),
             files: files(list),
-            base: Base::Head(Undo::Refuse),
+            base: Base::Head(OverwritePolicy::Refuse),
         }
     }
 
@@ -88,7 +88,7 @@
 
     fn pull(&mut self) {
         let fetched = self.publication.pull().unwrap().unwrap();
-        self.base = Base::Pulled(marker::of(&fetched));
+        self.base = Base::Pulled(marker::for_revision(&fetched));
         self.files = fetched.files;
     }
 
@@ -181,7 +181,7 @@
         panic!("no conflict")
     };
     assert_eq!((clashes.len(), &*clashes[0].file), (1, "a"));
-    let other = clashes[0].other.as_ref().unwrap();
+    let other = clashes[0].latest.as_ref().unwrap();
     assert_eq!((other.revision, other.change.author.as_str()), (2, "ana"));
     let text = Error::Conflict(clashes.clone()).to_string();
     for part in [&other.change.id, "ana", "1000", "a change of ana"] {
@@ -212,7 +212,7 @@
         .publication
         .apply(&ben.files, &ben.base, &signed("ben"), both);
     assert!(
-        matches!(&result, Err(Error::Check(text)) if text.contains("both")),
+        matches!(&result, Err(Error::Invalid(text)) if text.contains("both")),
         "{result:?}"
     );
     assert_eq!(head(&platform).revision, 2);
@@ -223,24 +223,28 @@
     let mut eva = Operator::new(&platform, &[("a", "1"), ("b", "1")]);
     eva.apply("eva").unwrap();
     eva.set("a", "2").apply("eva").unwrap();
-    let table: [(&[_], Undo, &str); 7] = [
-        (&[("a", "2")], Undo::Refuse, "refused: b"),
-        (&[("a", "1"), ("b", "1")], Undo::Refuse, "refused: a"),
-        (&[("a", "1")], Undo::Refuse, "refused: a, b"),
-        (&[("a", "2"), ("b", "1")], Undo::Refuse, "a2 b1"),
+    let table: [(&[_], OverwritePolicy, &str); 7] = [
+        (&[("a", "2")], OverwritePolicy::Refuse, "refused: b"),
+        (
+            &[("a", "1"), ("b", "1")],
+            OverwritePolicy::Refuse,
+            "refused: a",
+        ),
+        (&[("a", "1")], OverwritePolicy::Refuse, "refused: a, b"),
+        (&[("a", "2"), ("b", "1")], OverwritePolicy::Refuse, "a2 b1"),
         (
             &[("a", "2"), ("b", "3"), ("c", "1")],
-            Undo::Refuse,
+            OverwritePolicy::Refuse,
             "a2 b3 c1",
         ),
-        (&[("a", "1"), ("b", "3")], Undo::Allow, "a1 b3"),
-        (&[("c", "9")], Undo::Allow, "c9"),
+        (&[("a", "1"), ("b", "3")], OverwritePolicy::Allow, "a1 b3"),
+        (&[("c", "9")], OverwritePolicy::Allow, "c9"),
     ];
     for (list, undo, expected) in table {
         let mut operator = Operator::new(&platform, list);
         operator.base = Base::Head(undo);
         let told = match operator.apply("x") {
-            Err(Error::Unpulled(names)) => format!("refused: {}", names.join(", ")),
+            Err(Error::NotPulled(names)) => format!("refused: {}", names.join(", ")),
             Err(e) => e.to_string(),
             Ok(_) => {
                 let pairs = in_force(&platform).into_iter();
@@ -349,7 +353,7 @@
         }
         Fault::None
     });
-    let Err(Error::Unsettled { id, .. }) = ana.apply("ana") else {
+    let Err(Error::Unconfirmed { id, .. }) = ana.apply("ana") else {
         panic!("settled")
     };
     platform.set_plan(|_| Fault::None);
@@ -371,7 +375,7 @@
     for (name, content) in table {
         let result = Operator::new(&platform, &[(name, content)]).apply("ana");
         let is_right = match content.len() {
-            1 => matches!(result, Err(Error::Name(_))),
+            1 => matches!(result, Err(Error::InvalidName(_))),
             _ => matches!(&result, Err(Error::TooLarge { name, .. }) if &**name == "a"),
         };
         assert!(is_right, "{name}: {result:?}");
@@ -640,8 +644,8 @@
     let told = |known: &Fetched| match fetch(&guard, known) {
         Err(Error::Stale { known: 2, found }) => format!("stale {found}"),
         Err(Error::Forked { .. }) => "forked".into(),
-        Err(Error::Missing(_)) => "missing".into(),
-        Err(Error::Name(_)) => "name".into(),
+        Err(Error::TextMissing(_)) => "missing".into(),
+        Err(Error::InvalidName(_)) => "name".into(),
         Err(Error::Store(e)) => e.to_string(),
         other => format!("{other:?}"),
     };
@@ -678,9 +682,9 @@
     marker::write(&folder, &applied.marker).unwrap();
     let read = marker::read(&folder).unwrap().unwrap();
     assert_eq!((read.revision, &read.files), (1, &text::hashes(&ana.files)));
-    let edited = marker::edited(&files(&[("a", "2"), ("c", "1")]), Some(&read));
+    let edited = marker::edited_files(&files(&[("a", "2"), ("c", "1")]), Some(&read));
     assert_eq!(edited, ["a", "b", "c"]);
-    std::fs::write(folder.join(marker::NAME), "{").unwrap();
+    std::fs::write(folder.join(marker::FILE_NAME), "{").unwrap();
     assert!(marker::read(&folder).is_err());
     std::fs::remove_dir_all(&folder).unwrap();
 }
