--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -15,7 +15,7 @@
 use prefix_trie::PrefixMap;
 use ragwortfold::border::configuration::{Client, Configuration};
 use ragwortfold::border::settings::Steer;
-use ragwortfold::catalog::{Cap, Catalog, HostKey, RegionKey, ServiceKey, Table, ZoneKey};
+use ragwortfold::catalog::{Cap, Catalog, ClientTable, HostKey, RegionKey, ServiceKey, ZoneKey};
 use ragwortfold::steer::engine::{AttemptKind, Engine, Origin, RouteRequest, Verdict};
 use ragwortfold::steer::fingerprint::Fingerprint;
 use ragwortfold::steer::goal::{View, ZoneHealth};
@@ -139,8 +139,8 @@
         let blocks = with_regions(&catalog, &blocks(family, count));
         let callers = callers(&blocks);
         let before = resident();
-        let table = Table::default().with_blocks(&blocks);
-        let (bytes, grown) = (table.bytes(), resident().saturating_sub(before));
+        let table = ClientTable::default().with_blocks(&blocks);
+        let (bytes, grown) = (table.memory_bytes(), resident().saturating_sub(before));
         println!(
             "table_v{family}/{count}: {bytes} bytes of records, resident memory grew by {grown}"
         );
@@ -156,7 +156,7 @@
             bencher.iter(|| table.with_blocks(black_box(&blocks)));
         });
         group.bench_function(name("from_nothing"), |bencher| {
-            bencher.iter(|| Table::default().with_blocks(black_box(&blocks)));
+            bencher.iter(|| ClientTable::default().with_blocks(black_box(&blocks)));
         });
     }
     group.finish();
--- a/src/bin/ragwortfold/room.rs
+++ b/src/bin/ragwortfold/room.rs
@@ -198,7 +198,7 @@
         }
     }
     let (locality, share) = moves.into_iter().max_by(|a, b| a.1.total_cmp(&b.1))?;
-    let cap = service.shift;
+    let cap = service.planned_cap;
     let windows = (share / cap.share - TINY).ceil();
     (windows > 1.0).then(|| {
         format!(
--- a/src/catalog/error.rs
+++ b/src/catalog/error.rs
@@ -1,30 +1,30 @@
-//! What can be wrong with a configuration when it is laid out.
+//! Errors of building a catalog from a configuration.
 
 use std::sync::Arc;
 
-/// A fault that keeps a configuration from being laid out.
+/// A fault in a configuration from which no catalog can be built.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// Something names a record that is not there.
+    /// A reference to a name that is not defined.
     #[error("no '{name}' in {kind}")]
     Name {
-        /// The map that lacks it.
+        /// The map of the configuration that does not contain the name.
         kind: &'static str,
-        /// The name.
+        /// The undefined name.
         name: Arc<str>,
     },
-    /// An address that is not IP:PORT.
+    /// An address that is not of the form IP:PORT.
     #[error("{path}: '{text}' is not IP:PORT")]
     Address {
-        /// Where it stands.
+        /// The path of the address in the configuration.
         path: Arc<str>,
-        /// What stands there.
+        /// The text in its place.
         text: Arc<str>,
     },
-    /// A client block that is not ADDRESS/LENGTH.
+    /// A client block that is not of the form ADDRESS/LENGTH.
     #[error("clients: '{text}' is not ADDRESS/LENGTH")]
     Block {
-        /// What stands there.
+        /// The text in its place.
         text: Arc<str>,
     },
 }
--- a/src/catalog/mod.rs
+++ b/src/catalog/mod.rs
@@ -1,8 +1,9 @@
-//! The checked configuration, laid out for decisions: arenas of small records under `Copy` keys.
+//! The validated configuration in the form that routing decisions use: arenas of small records with
+//! `Copy` keys.
 //!
-//! A key stays the same for a name from one revision to the next, so that state kept by key
-//! survives a change of configuration. A removed record stays in its arena with
-//! [`State::Off`]; arenas shrink only when the process starts anew.
+//! The key of a name stays the same from one revision to the next, so that state stored by key remains
+//! valid after a change of configuration. A removed record stays in its arena with [`State::Off`];
+//! arenas shrink only when the process restarts.
 
 mod client;
 mod error;
@@ -19,7 +20,7 @@
 use crate::border::configuration as border;
 
 pub use border::State;
-pub use client::Table;
+pub use client::ClientTable;
 pub use error::Error;
 
 /// Key of a region.
@@ -49,7 +50,7 @@
 pub struct Zone {
     /// Its name in the configuration.
     pub name: Arc<str>,
-    /// The region it lies in.
+    /// The region that contains it.
     pub region: RegionKey,
     /// Its own state.
     pub state: State,
@@ -60,61 +61,61 @@
 pub struct Host {
     /// Its name in the configuration.
     pub name: Arc<str>,
-    /// The availability zone it lies in.
+    /// The availability zone that contains it.
     pub zone: ZoneKey,
-    /// Where callers connect.
+    /// The address that callers connect to.
     pub address: SocketAddr,
-    /// Where other entry hosts connect.
+    /// The address that other entry hosts connect to.
     pub peer_address: SocketAddr,
     /// Its own state.
     pub state: State,
 }
 
-/// Whether a request may be sent again after it may have run.
+/// Whether a request may be sent again if an earlier attempt may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Repeat {
-    /// Idempotent: running twice does no harm.
+    /// Idempotent: running it twice has the same effect as once.
     Safe,
-    /// Must run at most once.
+    /// Not idempotent: it must run at most once.
     Never,
 }
 
-/// A service, as callers name it.
+/// A service that callers address by its name.
 #[derive(Clone, Debug)]
 pub struct Service {
     /// Its name in the configuration.
     pub name: Arc<str>,
     /// The traffic class in metrics and queues.
     pub class: Arc<str>,
-    /// Whether its requests are idempotent.
+    /// Whether its requests may be repeated.
     pub repeat: Repeat,
-    /// Time for a request whose caller states none.
+    /// Deadline of a request whose caller sets none.
     pub deadline: Duration,
     /// Largest request body, in bytes.
-    pub max_body: u64,
-    /// Rank in a full queue, 0 (dropped first) to 9.
+    pub max_body_bytes: u64,
+    /// Priority in a full queue, from 0 (dropped first) to 9.
     pub priority: u8,
-    /// The cap on planned moves of its traffic.
-    pub shift: Cap,
+    /// Cap on planned shifts of its traffic.
+    pub planned_cap: Cap,
 }
 
-/// A target: one back end of one service.
+/// A target: one back end server of one service.
 #[derive(Clone, Debug)]
 pub struct Target {
     /// Its name in the configuration.
     pub name: Arc<str>,
     /// The service it runs.
     pub service: ServiceKey,
-    /// The availability zone it lies in.
+    /// The availability zone that contains it.
     pub zone: ZoneKey,
-    /// Where it accepts connections.
+    /// The address that it accepts connections on.
     pub address: SocketAddr,
-    /// Requests it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Connections it accepts.
+    /// Maximum number of connections.
     pub connections: u32,
-    /// Time over which it is brought to full use from cold.
-    pub warm: Duration,
+    /// Time over which its load is increased from a cold start to its full capacity.
+    pub warm_up: Duration,
     /// Its own state; see [`Catalog::target_state`] for the effective one.
     pub state: State,
 }
@@ -124,55 +125,55 @@
 pub struct Link {
     /// Its name in the configuration.
     pub name: Arc<str>,
-    /// The region traffic leaves.
+    /// The region that the traffic leaves.
     pub from: RegionKey,
-    /// The region traffic enters.
+    /// The region that the traffic enters.
     pub to: RegionKey,
     /// One-way latency.
     pub latency: Duration,
-    /// Most requests per second.
-    pub requests: u64,
-    /// Most bytes per second.
-    pub bytes: u64,
+    /// Maximum number of requests per second.
+    pub max_requests_per_s: u64,
+    /// Maximum number of bytes per second.
+    pub max_bytes_per_s: u64,
 }
 
-/// The largest share of traffic that may move within any window.
+/// The maximum share of traffic that may be shifted within any window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cap {
-    /// Share of the traffic, 0 to 1.
+    /// Share of the traffic, from 0 to 1.
     pub share: f64,
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
 }
 
-/// Limits that hold for the whole system.
+/// Limits for the whole system.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Cap on moves away from lost places.
-    pub failover: Cap,
-    /// The part of a capacity that steering may fill, 0 to 1.
+    /// Cap on shifts of traffic away from failed regions and availability zones.
+    pub failover_cap: Cap,
+    /// Share of a capacity that steering may use, from 0 to 1.
     pub utilization: f64,
-    /// Retries allowed, as a share of requests.
-    pub retry: f64,
-    /// Hedged requests allowed, as a share of requests.
-    pub hedge: f64,
-    /// How long callers may keep a look-up's answer.
-    pub ttl: Duration,
+    /// Maximum number of retries, as a share of requests.
+    pub retry_share: f64,
+    /// Maximum number of hedged requests, as a share of requests.
+    pub hedge_share: f64,
+    /// Time for which callers may cache the answer to a look-up.
+    pub lookup_ttl: Duration,
 }
 
 /// The targets of one service in one availability zone.
 #[derive(Clone, Debug, Default)]
 pub struct Site {
-    /// All targets that are not removed, whatever their state.
+    /// All targets that are not removed, in any state.
     pub targets: Vec<TargetKey>,
-    /// Slots of the targets whose effective state is serving.
+    /// Total slots of the targets whose effective state is serving.
     pub slots: u32,
 }
 
 /// One revision of the configuration, immutable.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
-    /// The revision; 0 is the empty configuration.
+    /// The revision; 0 for the empty configuration.
     pub revision: u64,
     regions: Arena<Region>,
     zones: Arena<Zone>,
@@ -183,10 +184,10 @@
     names: Names,
     sites: BTreeMap<(ServiceKey, ZoneKey), Site>,
     limits: Limits,
-    clients: Arc<Table>,
+    clients: Arc<ClientTable>,
 }
 
-/// Keys by name. A name stays after its record was removed.
+/// Keys by name. The names of removed regions, availability zones, hosts and targets stay.
 #[derive(Clone, Debug, Default)]
 struct Names {
     regions: BTreeMap<Arc<str>, RegionKey>,
@@ -197,13 +198,13 @@
     links: BTreeMap<Arc<str>, LinkKey>,
 }
 
-/// Planned moves when the configuration names no cap.
-const DEFAULT_SHIFT: Cap = Cap {
+/// Cap on planned shifts if the configuration sets none.
+const DEFAULT_PLANNED_CAP: Cap = Cap {
     share: 0.05,
     window: Duration::from_secs(60),
 };
-/// Emergency moves when the configuration names no cap.
-const DEFAULT_FAILOVER: Cap = Cap {
+/// Cap on shifts during failover if the configuration sets none.
+const DEFAULT_FAILOVER_CAP: Cap = Cap {
     share: 0.25,
     window: Duration::from_secs(10),
 };
@@ -217,16 +218,16 @@
 impl Limits {
     fn new(limits: &border::Limits) -> Self {
         Self {
-            failover: cap(limits, "failover").unwrap_or(DEFAULT_FAILOVER),
+            failover_cap: find_cap(limits, "failover").unwrap_or(DEFAULT_FAILOVER_CAP),
             utilization: limits.utilization,
-            retry: limits.retry_share,
-            hedge: limits.hedge_share,
-            ttl: Duration::from_millis(limits.lookup_ttl_ms.into()),
+            retry_share: limits.retry_share,
+            hedge_share: limits.hedge_share,
+            lookup_ttl: Duration::from_millis(limits.lookup_ttl_ms.into()),
         }
     }
 }
 
-fn cap(limits: &border::Limits, name: &str) -> Option<Cap> {
+fn find_cap(limits: &border::Limits, name: &str) -> Option<Cap> {
     let cap = limits.shift.get(name)?;
     Some(Cap {
         share: cap.share,
@@ -234,8 +235,8 @@
     })
 }
 
-/// Stores `record` under `name`, in the place that name had before.
-fn put<T>(
+/// Stores `record` under `name`. A name that has a key already keeps it.
+fn insert_or_replace<T>(
     arena: &mut Arena<T>,
     names: &mut BTreeMap<Arc<str>, Idx<T>>,
     name: Arc<str>,
@@ -250,7 +251,7 @@
     key
 }
 
-fn address(path: &str, text: &str) -> Result<SocketAddr, Error> {
+fn parse_address(path: &str, text: &str) -> Result<SocketAddr, Error> {
     text.parse().map_err(|_| Error::Address {
         path: path.into(),
         text: text.into(),
@@ -258,11 +259,11 @@
 }
 
 impl Catalog {
-    /// Lays out `configuration` as `revision`, keeping the keys of this catalog.
+    /// Builds the catalog of `configuration` as `revision`, with the same keys as in this catalog.
     ///
     /// # Errors
     ///
-    /// A name that nothing defines, an address or a client block that cannot be read.
+    /// A reference to an undefined name, or an address or a client block that cannot be parsed.
     pub fn with_revision(
         &self,
         revision: u64,
@@ -275,16 +276,16 @@
             })?;
             blocks.push((net, &*client.region));
         }
-        self.with_parts(revision, configuration, Some(blocks))
+        self.with_client_blocks(revision, configuration, Some(blocks))
     }
 
-    /// Lays out `configuration` as `revision`, with the client blocks apart; without any, those of
-    /// this catalog stay. What the configuration itself says of them is not looked at.
+    /// Builds the catalog of `configuration` as `revision`, with the given client blocks, or with those
+    /// of this catalog if none are given. The client blocks in `configuration` are ignored.
     ///
     /// # Errors
     ///
-    /// A name that nothing defines, or an address that cannot be read.
-    pub fn with_parts<'a>(
+    /// A reference to an undefined name, or an address that cannot be parsed.
+    pub fn with_client_blocks<'a>(
         &self,
         revision: u64,
         configuration: &border::Configuration,
@@ -293,20 +294,20 @@
         let mut next = self.clone();
         next.revision = revision;
         next.limits = Limits::new(&configuration.limits);
-        next.retire();
-        next.put_places(configuration)?;
+        next.mark_all_removed();
+        next.put_regions_zones_and_hosts(configuration)?;
         next.put_services(configuration);
         next.put_targets(configuration)?;
         next.put_links(configuration)?;
         if let Some(clients) = clients {
             next.put_clients(clients)?;
         }
-        next.sites = next.lay_sites();
+        next.sites = next.group_targets_by_site();
         Ok(next)
     }
 
-    /// Marks every record as removed; those that the new revision names come back.
-    fn retire(&mut self) {
+    /// Marks every record as removed, before the records of the new revision are stored.
+    fn mark_all_removed(&mut self) {
         self.regions.values_mut().for_each(|r| r.state = State::Off);
         self.zones.values_mut().for_each(|z| z.state = State::Off);
         self.hosts.values_mut().for_each(|h| h.state = State::Off);
@@ -316,34 +317,40 @@
         self.links = Arena::new();
     }
 
-    fn put_places(&mut self, configuration: &border::Configuration) -> Result<(), Error> {
+    fn put_regions_zones_and_hosts(
+        &mut self,
+        configuration: &border::Configuration,
+    ) -> Result<(), Error> {
         for (name, region) in &configuration.regions {
             let name: Arc<str> = name.as_str().into();
             let record = Region {
                 name: name.clone(),
                 state: region.state,
             };
-            put(&mut self.regions, &mut self.names.regions, name, record);
+            insert_or_replace(&mut self.regions, &mut self.names.regions, name, record);
         }
         for (name, zone) in &configuration.availability_zones {
             let name: Arc<str> = name.as_str().into();
             let record = Zone {
                 name: name.clone(),
-                region: self.need_region(&zone.region)?,
+                region: self.require_region(&zone.region)?,
                 state: zone.state,
             };
-            put(&mut self.zones, &mut self.names.zones, name, record);
+            insert_or_replace(&mut self.zones, &mut self.names.zones, name, record);
         }
         for (name, host) in &configuration.hosts {
             let name: Arc<str> = name.as_str().into();
             let record = Host {
                 name: name.clone(),
-                zone: self.need_zone(&host.availability_zone)?,
-                address: address(&format!("hosts.{name}.address"), &host.address)?,
-                peer_address: address(&format!("hosts.{name}.peer_address"), &host.peer_address)?,
+                zone: self.require_zone(&host.availability_zone)?,
+                address: parse_address(&format!("hosts.{name}.address"), &host.address)?,
+                peer_address: parse_address(
+                    &format!("hosts.{name}.peer_address"),
+                    &host.peer_address,
+                )?,
                 state: host.state,
             };
-            put(&mut self.hosts, &mut self.names.hosts, name, record);
+            insert_or_replace(&mut self.hosts, &mut self.names.hosts, name, record);
         }
         Ok(())
     }
@@ -354,7 +361,7 @@
             .iter()
             .map(|(key, service)| (service.name.clone(), key))
             .collect();
-        let planned = cap(&configuration.limits, "default").unwrap_or(DEFAULT_SHIFT);
+        let default_cap = find_cap(&configuration.limits, "default").unwrap_or(DEFAULT_PLANNED_CAP);
         for (name, service) in &configuration.services {
             let name: Arc<str> = name.as_str().into();
             let record = Service {
@@ -366,9 +373,9 @@
                     Repeat::Never
                 },
                 deadline: Duration::from_millis(u64::from(service.deadline_ms.get())),
-                max_body: service.max_body_bytes,
+                max_body_bytes: service.max_body_bytes,
                 priority: service.priority,
-                shift: cap(&configuration.limits, &name).unwrap_or(planned),
+                planned_cap: find_cap(&configuration.limits, &name).unwrap_or(default_cap),
             };
             let key = match known.get(&name) {
                 Some(&key) => {
@@ -386,15 +393,15 @@
             let name: Arc<str> = name.as_str().into();
             let record = Target {
                 name: name.clone(),
-                service: self.need_service(&target.service)?,
-                zone: self.need_zone(&target.availability_zone)?,
-                address: address(&format!("targets.{name}.address"), &target.address)?,
+                service: self.require_service(&target.service)?,
+                zone: self.require_zone(&target.availability_zone)?,
+                address: parse_address(&format!("targets.{name}.address"), &target.address)?,
                 slots: target.slots.get(),
                 connections: target.connections.get(),
-                warm: Duration::from_secs(target.warm_s.into()),
+                warm_up: Duration::from_secs(target.warm_s.into()),
                 state: target.state,
             };
-            put(&mut self.targets, &mut self.names.targets, name, record);
+            insert_or_replace(&mut self.targets, &mut self.names.targets, name, record);
         }
         Ok(())
     }
@@ -404,13 +411,13 @@
             let name: Arc<str> = name.as_str().into();
             let record = Link {
                 name: name.clone(),
-                from: self.need_region(&link.from)?,
-                to: self.need_region(&link.to)?,
+                from: self.require_region(&link.from)?,
+                to: self.require_region(&link.to)?,
                 latency: Duration::from_secs_f64(link.latency_ms / 1000.0),
-                requests: link.requests_per_s.get(),
-                bytes: link.bytes_per_s.get(),
+                max_requests_per_s: link.requests_per_s.get(),
+                max_bytes_per_s: link.bytes_per_s.get(),
             };
-            put(&mut self.links, &mut self.names.links, name, record);
+            insert_or_replace(&mut self.links, &mut self.names.links, name, record);
         }
         Ok(())
     }
@@ -421,13 +428,13 @@
     ) -> Result<(), Error> {
         let blocks = clients
             .into_iter()
-            .map(|(block, region)| Ok((block, self.need_region(region)?)))
+            .map(|(block, region)| Ok((block, self.require_region(region)?)))
             .collect::<Result<Vec<_>, Error>>()?;
         self.clients = Arc::new(self.clients.with_blocks(&blocks));
         Ok(())
     }
 
-    fn lay_sites(&self) -> BTreeMap<(ServiceKey, ZoneKey), Site> {
+    fn group_targets_by_site(&self) -> BTreeMap<(ServiceKey, ZoneKey), Site> {
         let mut sites: BTreeMap<(ServiceKey, ZoneKey), Site> = BTreeMap::new();
         for (key, target) in self.targets.iter() {
             if target.state == State::Off {
@@ -442,21 +449,21 @@
         sites
     }
 
-    fn need_region(&self, name: &str) -> Result<RegionKey, Error> {
+    fn require_region(&self, name: &str) -> Result<RegionKey, Error> {
         self.region_key(name).ok_or_else(|| Error::Name {
             kind: "regions",
             name: name.into(),
         })
     }
 
-    fn need_zone(&self, name: &str) -> Result<ZoneKey, Error> {
+    fn require_zone(&self, name: &str) -> Result<ZoneKey, Error> {
         self.zone_key(name).ok_or_else(|| Error::Name {
             kind: "availability_zones",
             name: name.into(),
         })
     }
 
-    fn need_service(&self, name: &str) -> Result<ServiceKey, Error> {
+    fn require_service(&self, name: &str) -> Result<ServiceKey, Error> {
         self.service_key(name).ok_or_else(|| Error::Name {
             kind: "services",
             name: name.into(),
@@ -473,17 +480,17 @@
         self.names.zones.get(name).copied()
     }
 
-    /// The key of an entry host, also one that was removed.
+    /// The key of an entry host, even if the host was removed.
     pub fn host_key(&self, name: &str) -> Option<HostKey> {
         self.names.hosts.get(name).copied()
     }
 
-    /// The key of a service; none once it was removed.
+    /// The key of a service; none if the service was removed.
     pub fn service_key(&self, name: &str) -> Option<ServiceKey> {
         self.names.services.get(name).copied()
     }
 
-    /// The key of a target, also one that was removed.
+    /// The key of a target, even if the target was removed.
     pub fn target_key(&self, name: &str) -> Option<TargetKey> {
         self.names.targets.get(name).copied()
     }
@@ -513,17 +520,17 @@
         &self.targets[key]
     }
 
-    /// All regions, with those removed.
+    /// All regions, including removed ones.
     pub fn regions(&self) -> impl Iterator<Item = (RegionKey, &Region)> {
         self.regions.iter()
     }
 
-    /// All availability zones, with those removed.
+    /// All availability zones, including removed ones.
     pub fn zones(&self) -> impl Iterator<Item = (ZoneKey, &Zone)> {
         self.zones.iter()
     }
 
-    /// All entry hosts, with those removed.
+    /// All entry hosts, including removed ones.
     pub fn hosts(&self) -> impl Iterator<Item = (HostKey, &Host)> {
         self.hosts.iter()
     }
@@ -536,12 +543,12 @@
             .map(|&key| (key, &self.services[key]))
     }
 
-    /// All targets, with those removed.
+    /// All targets, including removed ones.
     pub fn targets(&self) -> impl Iterator<Item = (TargetKey, &Target)> {
         self.targets.iter()
     }
 
-    /// The links of this revision. Their keys hold for this revision only.
+    /// The links of this revision. Their keys are valid for this revision only.
     pub fn links(&self) -> impl Iterator<Item = (LinkKey, &Link)> {
         self.links.iter()
     }
@@ -572,20 +579,20 @@
         self.zones[zone].region
     }
 
-    /// The effective state of an availability zone: its own or its region's, whichever is further
-    /// from serving.
+    /// The effective state of an availability zone: its own or its region's, whichever is later in the
+    /// order serving, draining, off.
     pub fn zone_state(&self, key: ZoneKey) -> State {
         let zone = &self.zones[key];
         zone.state.max(self.regions[zone.region].state)
     }
 
-    /// The effective state of an entry host.
+    /// The effective state of an entry host: its own or its zone's effective state, by the same order.
     pub fn host_state(&self, key: HostKey) -> State {
         let host = &self.hosts[key];
         host.state.max(self.zone_state(host.zone))
     }
 
-    /// The effective state of a target.
+    /// The effective state of a target: its own or its zone's effective state, by the same order.
     pub fn target_state(&self, key: TargetKey) -> State {
         let target = &self.targets[key];
         target.state.max(self.zone_state(target.zone))
@@ -597,7 +604,7 @@
     }
 
     /// The client blocks.
-    pub fn clients(&self) -> &Table {
+    pub fn clients(&self) -> &ClientTable {
         &self.clients
     }
 }
--- a/src/control/planner.rs
+++ b/src/control/planner.rs
@@ -186,7 +186,7 @@
         };
         let steps = catalog
             .services()
-            .map(|(key, service)| (key, step(service.shift.window)))
+            .map(|(key, service)| (key, step(service.planned_cap.window)))
             .collect();
         Self {
             splits: plan.splits.clone(),
@@ -250,12 +250,12 @@
             return false;
         };
         let mut site_loads = site_loads(now, service, threshold, view);
-        let planned_cap = view.catalog.service(service).shift;
+        let planned_cap = view.catalog.service(service).planned_cap;
         let has_lost_zone = site_loads
             .values()
             .any(|site_load| site_load.access == Access::Lost);
         let cap = if has_lost_zone {
-            view.catalog.limits().failover
+            view.catalog.limits().failover_cap
         } else {
             planned_cap
         };
--- a/src/entry/front.rs
+++ b/src/entry/front.rs
@@ -175,7 +175,7 @@
             revision: catalog.revision,
             ttl_ms: catalog
                 .limits()
-                .ttl
+                .lookup_ttl
                 .as_millis()
                 .try_into()
                 .unwrap_or(u64::MAX),
@@ -288,7 +288,7 @@
     let hold = u64::from(shared.settings.pool.buffer_bytes);
     let deadline = arrived + head.deadline.unwrap_or(record.deadline);
     request.limit_body(deadline);
-    let body = Body::read(request, head.length, hold, record.max_body)
+    let body = Body::read(request, head.length, hold, record.max_body_bytes)
         .map_err(|error| Reply::not_run(error.status(), &error.to_string(), None))?;
     let place = lookup.locate_client(client, 0);
     Ok(Start {
@@ -405,7 +405,7 @@
         None => Origin::Host,
     };
     let mut reader = relay::Reader(incoming);
-    let body = Body::read(&mut reader, head.length, hold, record.max_body)
+    let body = Body::read(&mut reader, head.length, hold, record.max_body_bytes)
         .map_err(|_| Outcome::NotRun(Reason::BadRequest))?;
     Ok(Start {
         id: shared.next_id(),
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -238,7 +238,7 @@
     pub fn drain(self) -> Duration {
         let started = Instant::now();
         self.shared.core.send(core::Event::Leave);
-        let ttl = self.shared.published.get().catalog.limits().ttl;
+        let ttl = self.shared.published.get().catalog.limits().lookup_ttl;
         let earliest = started + ttl + LEAVE_MARGIN;
         let latest = started + LONGEST_WORK;
         let mut quiet = Instant::now();
--- a/src/entry/revision.rs
+++ b/src/entry/revision.rs
@@ -51,7 +51,7 @@
         let blocks = changed.then(|| clients.iter().map(|(block, region)| (block, &**region)));
         let catalog = self
             .catalog
-            .with_parts(offered, &configuration, blocks)
+            .with_client_blocks(offered, &configuration, blocks)
             .map_err(|error| faulty(error.to_string()))?;
         self.folder = folder;
         self.clients = clients;
--- a/src/steer/budgets.rs
+++ b/src/steer/budgets.rs
@@ -35,15 +35,15 @@
 impl ServiceBudgets {
     pub(crate) fn new(now: Instant, limits: &Limits, switches: Switches) -> Self {
         Self {
-            retry: retry::Budget::new(now, limits.retry).with_switch(switches.retry),
-            hedge: HedgePolicy::new(now, limits.hedge).with_switch(switches.hedge),
+            retry: retry::Budget::new(now, limits.retry_share).with_switch(switches.retry),
+            hedge: HedgePolicy::new(now, limits.hedge_share).with_switch(switches.hedge),
         }
     }
 
     /// Applies the limits of a new configuration.
     pub(crate) fn set_limits(&mut self, limits: &Limits) {
-        self.retry.set_share(limits.retry);
-        self.hedge.set_share(limits.hedge);
+        self.retry.set_share(limits.retry_share);
+        self.hedge.set_share(limits.hedge_share);
     }
 
     /// Counts a request of the service.
--- a/src/steer/group.rs
+++ b/src/steer/group.rs
@@ -242,7 +242,7 @@
         member.limit = member
             .limit
             .with_size(target.slots, target.connections, hosts);
-        member.warm = member.warm.with_ramp(target.warm);
+        member.warm = member.warm.with_ramp(target.warm_up);
         if !was_serving && member.is_serving() {
             member.warm.restart(now);
         }
--- a/src/steer/group/member.rs
+++ b/src/steer/group/member.rs
@@ -55,7 +55,7 @@
             health: Health::Up,
             in_flight: 0,
             limit: Limit::new(target.slots, target.connections, hosts),
-            warm: SlowStart::new(target.warm),
+            warm: SlowStart::new(target.warm_up),
             eject: OutlierDetector::new(),
             estimate: Estimate::new(),
             consecutive_failures: 0,
--- a/src/steer/lookup.rs
+++ b/src/steer/lookup.rs
@@ -7,7 +7,7 @@
 use ipnet::IpNet;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use crate::catalog::{Catalog, HostKey, RegionKey, ServiceKey, State, Table, ZoneKey};
+use crate::catalog::{Catalog, ClientTable, HostKey, RegionKey, ServiceKey, State, ZoneKey};
 
 use super::goal::regions_by_latency;
 use super::split::Split;
@@ -78,7 +78,7 @@
 /// split changes, and is shared by the threads that answer look-ups.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
-    clients: Table,
+    clients: ClientTable,
     own_region: RegionKey,
     /// Live, serving hosts by zone.
     hosts: Vec<Vec<Host>>,
@@ -129,7 +129,7 @@
     /// use 0, the whole block is.
     pub fn locate_client(&self, client: IpAddr, spread: u64) -> ClientLocation {
         let found = self.clients.find(client);
-        let net = Table::block(client, found);
+        let net = ClientTable::steering_block(client, found);
         ClientLocation {
             locality: found.map_or(self.own_region, |(_, region)| region),
             block: block_hash(&net, spread),
--- a/src/steer/relay_permit.rs
+++ b/src/steer/relay_permit.rs
@@ -118,7 +118,7 @@
         let hosts = quota::hosts_inside(catalog, own);
         for (_, link) in catalog.links().filter(|(_, link)| link.from == own) {
             let direction = (link.from, link.to);
-            let requests = quota::static_part(link.requests as f64, utilization, hosts);
+            let requests = quota::static_part(link.max_requests_per_s as f64, utilization, hosts);
             set_static_part(
                 &mut self.link_request_quotas,
                 direction,
@@ -126,7 +126,7 @@
                 requests,
                 incarnation,
             );
-            let bytes = quota::static_part(link.bytes as f64, utilization, hosts);
+            let bytes = quota::static_part(link.max_bytes_per_s as f64, utilization, hosts);
             set_static_part(
                 &mut self.link_byte_quotas,
                 direction,
--- a/src/steer/shift.rs
+++ b/src/steer/shift.rs
@@ -46,8 +46,8 @@
     /// Returns the caps of a service.
     pub fn new(catalog: &Catalog, service: ServiceKey) -> Self {
         Self {
-            planned: catalog.service(service).shift,
-            failover: catalog.limits().failover,
+            planned: catalog.service(service).planned_cap,
+            failover: catalog.limits().failover_cap,
         }
     }
 
--- a/tests/lookup.rs
+++ b/tests/lookup.rs
@@ -12,7 +12,7 @@
 use prefix_trie::PrefixMap;
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestRunner};
-use ragwortfold::catalog::{Catalog, HostKey, RegionKey, Table};
+use ragwortfold::catalog::{Catalog, ClientTable, HostKey, RegionKey};
 use ragwortfold::steer::lookup::{Answer, Snapshot};
 use ragwortfold::steer::split::Split;
 
@@ -77,7 +77,7 @@
 }
 
 fn compare_with_oracle(
-    table: &Table,
+    table: &ClientTable,
     blocks: &BTreeMap<IpNet, RegionKey>,
 ) -> Result<(), TestCaseError> {
     prop_assert_eq!(table.len(), blocks.len());
@@ -125,7 +125,7 @@
         let all = |blocks: &BTreeMap<IpNet, RegionKey>| -> Vec<(IpNet, RegionKey)> {
             blocks.iter().map(|(&net, &region)| (net, region)).collect()
         };
-        let mut table = Table::default().with_blocks(&all(&blocks));
+        let mut table = ClientTable::default().with_blocks(&all(&blocks));
         compare_with_oracle(&table, &blocks)?;
         for (is_complete, changes) in rounds {
             let before = (table.clone(), blocks.clone());
@@ -161,17 +161,17 @@
     let mut blocks: Vec<_> = (0..50_000u32)
         .map(|at| (net(false, at << 8, 24), one))
         .collect();
-    let table = Table::default().with_blocks(&blocks);
-    let chunks = table.shared(&table).0;
+    let table = ClientTable::default().with_blocks(&blocks);
+    let chunks = table.count_shared_chunks(&table).0;
     assert!(chunks >= 90);
     let next = table.with_changes(
         &[(net(false, 7 << 8, 24), other)],
         &[net(false, 40_000 << 8, 24)],
     );
-    assert_eq!(next.shared(&table), (chunks, chunks - 2));
+    assert_eq!(next.count_shared_chunks(&table), (chunks, chunks - 2));
     blocks.insert(25_000, (net(false, 25_000 << 8, 26), one));
     let next = table.with_blocks(&blocks);
-    assert!(next.shared(&table).1 >= chunks - 2);
+    assert!(next.count_shared_chunks(&table).1 >= chunks - 2);
     assert_eq!(table.with_blocks(&blocks[..0]).len(), 0);
     let net = net(false, 9 << 8, 24);
     let twice = [(net, one), (net, other)];
@@ -189,12 +189,15 @@
     let home = region(&catalog, "r0");
     let ip: IpAddr = "10.1.2.3".parse().expect("an address");
     let found = |text: &str| Some((text.parse().expect("an address"), home));
-    let block = |found| Table::block(ip, found).to_string();
+    let block = |found| ClientTable::steering_block(ip, found).to_string();
     assert_eq!(block(found("10.1.0.0/16")), "10.1.2.0/24");
     assert_eq!(block(found("10.1.2.0/28")), "10.1.2.0/28");
     assert_eq!(block(None), "10.1.2.0/24");
     let ip: IpAddr = "2001:db8::1".parse().expect("an address");
-    assert_eq!(Table::block(ip, None).to_string(), "2001:db8::/56");
+    assert_eq!(
+        ClientTable::steering_block(ip, None).to_string(),
+        "2001:db8::/56"
+    );
 }
 
 /// Creates a snapshot in which all splits have the given shares and some hosts are down.
--- a/tests/planning/mod.rs
+++ b/tests/planning/mod.rs
@@ -199,9 +199,9 @@
             .values()
             .any(|status| *status == ZoneStatus::Lost);
         let cap = if lost {
-            self.catalog.limits().failover
+            self.catalog.limits().failover_cap
         } else {
-            self.catalog.service(self.service).shift
+            self.catalog.service(self.service).planned_cap
         };
         let max_step = cap.share / (cap.window.as_secs_f64() * 10.0);
         let mut is_reached = true;
