--- a/src/store/publication/marker.rs
+++ b/src/store/publication/marker.rs
@@ -50,7 +50,7 @@
 pub fn edited_files(files: &Files, marker: Option<&Marker>) -> Vec<String> {
     let none = Hashes::new();
     let base = marker.map_or(&none, |marker| &marker.files);
-    merge::differing(base, &text::hashes(files))
+    merge::differing_names(base, &text::hashes(files))
         .into_iter()
         .map(str::to_owned)
         .collect()
--- a/src/store/publication/merge.rs
+++ b/src/store/publication/merge.rs
@@ -13,7 +13,7 @@
 pub fn merge(base: &Hashes, ours: &Hashes, theirs: &Hashes) -> Result<Hashes, Vec<String>> {
     let mut merged = theirs.clone();
     let mut conflicts = Vec::new();
-    for name in differing(base, ours) {
+    for name in differing_names(base, ours) {
         let (old, mine, other) = (base.get(name), ours.get(name), theirs.get(name));
         if other != old && other != mine {
             conflicts.push(name.to_owned());
@@ -32,7 +32,7 @@
 }
 
 /// Returns the names of the files that differ between two folders, in order.
-pub fn differing<'a>(a: &'a Hashes, b: &'a Hashes) -> BTreeSet<&'a str> {
+pub fn differing_names<'a>(a: &'a Hashes, b: &'a Hashes) -> BTreeSet<&'a str> {
     a.keys()
         .chain(b.keys())
         .filter(|name| a.get(*name) != b.get(*name))
--- a/src/store/publication/mod.rs
+++ b/src/store/publication/mod.rs
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Sets how often each operation retries while the platform is unavailable.
+    /// Sets the retries of each operation while the platform is unavailable.
     pub fn with_retry(mut self, retry: RetryPolicy) -> Self {
         self.retry = retry;
         self
@@ -271,7 +271,7 @@
     /// # Errors
     ///
     /// [`Error::Store`].
-    pub fn collect(&self) -> Result<usize, Error> {
+    pub fn collect_garbage(&self) -> Result<usize, Error> {
         let retry = &mut self.retry.clone();
         match self.read_head(retry)? {
             Some(head) => garbage::collect(&self.client, &head, retry),
@@ -299,7 +299,7 @@
             return Ok(base);
         }
         let entries = history::list(&self.client, retry)?;
-        let overwritten: Vec<String> = merge::differing(&base, ours)
+        let overwritten: Vec<String> = merge::differing_names(&base, ours)
             .into_iter()
             .filter(|name| base.contains_key(*name) && is_missing_or_past(name, ours, &entries))
             .map(str::to_owned)
@@ -384,7 +384,7 @@
         let evidence = |value: &Value| {
             // Evidence is only looked for if the write got no answer.
             confirmation.set(Confirmation::ReadBack);
-            head_evidence(value, id, next.revision)
+            find_evidence(value, id, next.revision)
         };
         let outcome =
             confirmed_write::put(&self.client, HEAD_KEY, next, condition, evidence, retry)?;
@@ -423,7 +423,7 @@
         if !revision.is_multiple_of(COLLECTION_INTERVAL) {
             return;
         }
-        if let Err(e) = self.collect() {
+        if let Err(e) = self.collect_garbage() {
             spdlog::warn!("store: garbage is left: {e}");
         }
     }
@@ -446,7 +446,7 @@
     }
 }
 
-/// Whether `ours` lacks the file, or has a text of it that a past revision had.
+/// Whether `ours` lacks the file or has a text that the file had in a past revision.
 fn is_missing_or_past(name: &str, ours: &Hashes, entries: &[history::Entry]) -> bool {
     let Some(hash) = ours.get(name) else {
         return true;
@@ -493,7 +493,7 @@
     let step = Step {
         revision: head.map_or(0, |head| head.revision) + 1,
         change: change.clone(),
-        files: merge::differing(old, &files)
+        files: merge::differing_names(old, &files)
             .into_iter()
             .map(str::to_owned)
             .collect(),
@@ -531,7 +531,7 @@
 }
 
 /// Returns what a head shows about the change `id`, which would have made `revision`.
-fn head_evidence(value: &Value, id: &Identity, revision: u64) -> Evidence {
+fn find_evidence(value: &Value, id: &Identity, revision: u64) -> Evidence {
     let Ok(head) = serde_json::from_value::<Head>(value.clone()) else {
         return Evidence::Inconclusive;
     };
--- a/tests/publication.rs
+++ b/tests/publication.rs
@@ -1,4 +1,5 @@
-//! Revisions of the configuration: races, lost answers, garbage, and what hosts read.
+//! Publishing and reading revisions of the configuration: races, lost answers, garbage collection, and
+//! the reads of hosts.
 
 #![allow(clippy::unwrap_used)]
 
@@ -22,7 +23,7 @@
 use ragwortfold::store::token_bucket::TokenBucket;
 use serde_json::json;
 
-/// Names each test case.
+/// Defines a test function for each named case.
 macro_rules! case {
     ($($name:ident: $body:expr;)*) => {
         $(#[test] fn $name() { $body })*
@@ -30,7 +31,7 @@
 }
 
 const STEP: Duration = Duration::from_millis(1);
-/// Revisions kept, as documented.
+/// Number of revisions that garbage collection keeps, as documented.
 const KEPT: u64 = 200;
 
 fn guard(url: &str) -> GuardedClient {
@@ -60,11 +61,11 @@
     }
 }
 
-fn sound(_: &Files) -> Result<(), String> {
+fn accept_all(_: &Files) -> Result<(), String> {
     Ok(())
 }
 
-/// An operator with a folder.
+/// An operator with a folder of files and its base.
 struct Operator {
     publication: Publication,
     files: Files,
@@ -101,7 +102,7 @@
         let signature = signed(author);
         let applied = self
             .publication
-            .apply(&self.files, &self.base, &signature, sound)?;
+            .apply(&self.files, &self.base, &signature, accept_all)?;
         self.base = Base::Pulled(applied.marker.clone());
         Ok(applied)
     }
@@ -111,7 +112,7 @@
     serde_json::from_value(platform.state().objects["config/head"].1.clone()).unwrap()
 }
 
-/// The texts in force, each checked to be there.
+/// Reads the files in force as a host does; fails if a text is missing.
 fn in_force(platform: &Platform) -> Files {
     let found = fetch(&guard(&platform.url), &Fetched::default());
     found.unwrap().unwrap().files
@@ -144,7 +145,11 @@
     for applied in [again, fresh] {
         assert_eq!((applied.revision, applied.effect), (1, Effect::Unchanged));
     }
-    assert_eq!(platform.state().version, version, "something was written");
+    assert_eq!(
+        platform.state().version,
+        version,
+        "an unchanged publication wrote an object"
+    );
 }
 
 fn other_files_are_rebased() {
@@ -160,7 +165,7 @@
         in_force(&platform),
         files(&[("a", "2"), ("b", "2"), ("d", "1")])
     );
-    // Ana's folder still holds the old b and c and no d: none of it is a change of hers.
+    // Ana's folder still has the old b and c and lacks d, but these are not changes made by her.
     ana.set("a", "3").apply("ana").unwrap();
     assert_eq!(
         in_force(&platform),
@@ -178,7 +183,7 @@
     ana.set("a", "2").apply("ana").unwrap();
     ben.set("b", "2").apply("ben").unwrap();
     let Err(Error::Conflict(clashes)) = ben.set("a", "3").apply("ben") else {
-        panic!("no conflict")
+        panic!("publication without a conflict")
     };
     assert_eq!((clashes.len(), &*clashes[0].file), (1, "a"));
     let other = clashes[0].latest.as_ref().unwrap();
@@ -188,7 +193,7 @@
         assert!(text.contains(part), "{text}");
     }
     assert_eq!(head(&platform).revision, 3);
-    // Removed by one and changed by another is a conflict; the same change twice is none.
+    // A file removed by one and changed by another is a conflict; the same change by both is none.
     ana.files.remove("b");
     assert!(matches!(ana.apply("ana"), Err(Error::Conflict(_))));
     ben.set("a", "2").apply("ben").unwrap();
@@ -196,7 +201,7 @@
     ben.set("b", "9").apply("ben").unwrap();
 }
 
-fn whole_is_checked_after_a_rebase() {
+fn merged_files_are_checked_after_a_rebase() {
     let platform = Platform::new();
     Operator::new(&platform, &[("a", "1"), ("b", "1")])
         .apply("eva")
@@ -243,7 +248,7 @@
     for (list, undo, expected) in table {
         let mut operator = Operator::new(&platform, list);
         operator.base = Base::Head(undo);
-        let told = match operator.apply("x") {
+        let result = match operator.apply("x") {
             Err(Error::NotPulled(names)) => format!("refused: {}", names.join(", ")),
             Err(e) => e.to_string(),
             Ok(_) => {
@@ -252,11 +257,11 @@
                 pairs.join(" ")
             }
         };
-        assert_eq!(told, expected, "{list:?} {undo:?}");
+        assert_eq!(result, expected, "{list:?} {undo:?}");
     }
 }
 
-/// Each fault on each kind of object written, hit once: the change is in force, once.
+/// A single fault in a write of any kind of object neither loses the change nor applies it twice.
 fn lost_answers() {
     let faults = [
         Fault::LoseAnswer,
@@ -284,9 +289,9 @@
     }
 }
 
-/// Loses an answer to a write of the head, and lets `others` changes come before the writer can
-/// read it back.
-fn overtaken(fault: Fault, others: u32) -> (u64, u64) {
+/// Applies `fault` to a write of the head, and publishes `others` changes before the writer can read the
+/// head back. Returns the writer's revision and the one in force.
+fn publish_while_overtaken(fault: Fault, others: u32) -> (u64, u64) {
     let platform = Platform::new();
     let mut ana = Operator::new(&platform, &[("a", "1"), ("b", "0")]);
     ana.apply("ana").unwrap();
@@ -299,8 +304,8 @@
         if call.method == "PUT" && hit.swap(false, Ordering::SeqCst) {
             return fault.clone();
         }
-        let is_back = call.method == "GET" && !hit.load(Ordering::SeqCst);
-        if is_back && overtake.swap(false, Ordering::SeqCst) {
+        let is_read_back = call.method == "GET" && !hit.load(Ordering::SeqCst);
+        if is_read_back && overtake.swap(false, Ordering::SeqCst) {
             let mut ben = Operator::pulled(&shared);
             for n in 1..=others {
                 ben.set("b", &n.to_string()).apply("ben").unwrap();
@@ -313,7 +318,7 @@
     assert_eq!(in_force(&platform)["b"], others.to_string().into());
     let mine = ana.publication.history().unwrap();
     let mine = mine.iter().filter(|step| step.change.author == "ana");
-    assert_eq!(mine.count(), 2, "made twice or lost");
+    assert_eq!(mine.count(), 2, "the change was applied twice or lost");
     (applied.revision, head(&platform).revision)
 }
 
@@ -321,7 +326,7 @@
     let table = [
         (Fault::LoseAnswer, 1, (2, 3)),
         (Fault::LoseAnswer, 31, (2, 33)),
-        // Beyond what the head tells of: the history decides.
+        // The change is no longer among the head's recent changes, so the history is read.
         (Fault::LoseAnswer, 32, (2, 34)),
         (Fault::LoseAnswer, 70, (2, 72)),
         (Fault::LoseCall, 1, (3, 3)),
@@ -329,7 +334,7 @@
     ];
     for (fault, others, revisions) in table {
         assert_eq!(
-            overtaken(fault.clone(), others),
+            publish_while_overtaken(fault.clone(), others),
             revisions,
             "{fault:?} {others}"
         );
@@ -354,7 +359,7 @@
         Fault::None
     });
     let Err(Error::Unconfirmed { id, .. }) = ana.apply("ana") else {
-        panic!("settled")
+        panic!("the publication is not unconfirmed")
     };
     platform.set_plan(|_| Fault::None);
     let newest = ana.publication.history().unwrap().remove(0);
@@ -362,7 +367,7 @@
     assert_eq!(ana.apply("ana").unwrap().effect, Effect::Unchanged);
 }
 
-fn refused_contents() {
+fn invalid_names_and_sizes_are_rejected() {
     let platform = Platform::new();
     let large = "x".repeat(1_000_000);
     let table = [
@@ -399,13 +404,19 @@
         ("ana5", &["a".into()][..])
     );
     platform.once("PUT", "config/head", Fault::LoseAnswer);
-    let applied = ana.publication.revert(3, &signed("ben"), sound).unwrap();
+    let applied = ana
+        .publication
+        .revert(3, &signed("ben"), accept_all)
+        .unwrap();
     assert_eq!((applied.revision, applied.effect), (41, Effect::New));
     assert_eq!(in_force(&platform), files(&[("a", "3\n"), ("b", "1\n")]));
-    let again = ana.publication.revert(41, &signed("ben"), sound).unwrap();
+    let again = ana
+        .publication
+        .revert(41, &signed("ben"), accept_all)
+        .unwrap();
     assert_eq!((again.revision, again.effect), (41, Effect::Unchanged));
     for missing in [0, 42] {
-        let result = ana.publication.revert(missing, &signed("ben"), sound);
+        let result = ana.publication.revert(missing, &signed("ben"), accept_all);
         assert!(matches!(result, Err(Error::NoRevision(_))), "{result:?}");
     }
     let folder = files(&[("a", "3\n4\n"), ("c", "1\n")]);
@@ -422,8 +433,8 @@
     assert!(found[0].text.contains("\n 3\n+4\n"), "{}", found[0].text);
 }
 
-/// Every text that the head or a kept revision refers to is there.
-fn assert_whole(platform: &Platform) {
+/// Asserts that every text that the head or a kept revision refers to is stored.
+fn assert_texts_stored(platform: &Platform) {
     let head = head(platform);
     let state = platform.state();
     let history = state
@@ -444,7 +455,7 @@
     }
 }
 
-/// Publishes `count` revisions; the text of `a` comes again after some, that of `b` never.
+/// Publishes `count` revisions. The text of `a` recurs every 7 revisions, that of `b` never.
 fn publish_many(operator: &mut Operator, count: u64) {
     for n in 1..=count {
         operator
@@ -454,13 +465,13 @@
     }
 }
 
-fn garbage_goes_and_nothing_else() {
+fn removes_only_garbage() {
     let platform = Platform::new();
     let mut ana = Operator::new(&platform, &[("c", "c")]);
     publish_many(&mut ana, 250);
-    assert_whole(&platform);
-    ana.publication.collect().unwrap();
-    assert_whole(&platform);
+    assert_texts_stored(&platform);
+    ana.publication.collect_garbage().unwrap();
+    assert_texts_stored(&platform);
     let count = |prefix: &str| {
         let state = platform.state();
         state
@@ -472,9 +483,11 @@
     assert_eq!(count("config/history/"), KEPT);
     assert_eq!(count("config/file/"), 1 + 7 + KEPT);
     assert_eq!(ana.publication.history().unwrap().len() as u64, KEPT);
-    ana.publication.revert(51, &signed("ana"), sound).unwrap();
+    ana.publication
+        .revert(51, &signed("ana"), accept_all)
+        .unwrap();
     assert_eq!(in_force(&platform)["b"], "b51".into());
-    let result = ana.publication.revert(50, &signed("ana"), sound);
+    let result = ana.publication.revert(50, &signed("ana"), accept_all);
     assert!(matches!(result, Err(Error::NoRevision(50))), "{result:?}");
 }
 
@@ -489,18 +502,19 @@
         "/v1/objects" => Fault::Stale,
         _ => Fault::None,
     });
-    assert_eq!(ana.publication.collect().unwrap(), 0);
-    assert_whole(&platform);
+    assert_eq!(ana.publication.collect_garbage().unwrap(), 0);
+    assert_texts_stored(&platform);
     platform.set_plan(|_| Fault::None);
-    assert!(ana.publication.collect().unwrap() > 0);
-    assert_whole(&platform);
+    assert!(ana.publication.collect_garbage().unwrap() > 0);
+    assert_texts_stored(&platform);
 }
 
-/// A writer brings back a text that only a revision to be removed refers to, and a collector runs
-/// at each point of it, with and without another writer before it.
+/// Garbage collection must not delete a text that a concurrent writer starts to use again. A writer
+/// publishes a text to which only a revision due for removal refers, and a collector runs before each of
+/// the writer's calls, with and without a publication by another writer before it.
 fn collection_races_with_a_writer() {
     let before = Platform::new();
-    // The last collection by itself was after revision 208.
+    // The last automatic collection was after revision 208.
     publish_many(&mut Operator::new(&before, &[("o", "0")]), 214);
     for (at, other) in (0..12).flat_map(|at| [(at, false), (at, true)]) {
         let platform = Platform::new().with_objects_of(&before);
@@ -518,20 +532,20 @@
                         .apply("ben")
                         .unwrap();
                 }
-                publication(&shared.url).collect().unwrap();
+                publication(&shared.url).collect_garbage().unwrap();
             }
             is_running.store(false, Ordering::SeqCst);
             Fault::None
         });
-        // Revision 10 is about to be removed, and only it refers to this text.
+        // Only revision 10, which is due for removal, refers to this text.
         ana.set("b", "b10").apply("ana").unwrap();
         platform.set_plan(|_| Fault::None);
-        assert_whole(&platform);
+        assert_texts_stored(&platform);
         assert_eq!(in_force(&platform)["b"], "b10".into(), "{at} {other}");
     }
 }
 
-/// How far an interleaving is.
+/// Progress of an interleaving.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
     CollectorBegins,
@@ -541,12 +555,12 @@
     CollectorDone,
 }
 
-/// The stage, and the wait for others.
+/// The current stage, which threads can wait for.
 #[derive(Clone, Default)]
 struct Stages(Arc<(Mutex<Option<Stage>>, Condvar)>);
 
 impl Stages {
-    /// Enters a stage, unless the last one was reached.
+    /// Enters a stage, unless the last stage was entered already.
     fn enter(&self, stage: Stage) {
         let mut current = self.0 .0.lock().unwrap();
         if *current != Some(Stage::CollectorDone) {
@@ -563,8 +577,8 @@
     }
 }
 
-/// The collector stops before its call `first`, the writer runs up to its call `second`, the
-/// collector runs to its end, and so does the writer.
+/// Runs the collector up to its call `first`, the writer up to its call `second`, then the collector to its
+/// end and the writer to its end.
 fn interleave(before: &Platform, first: usize, second: usize) {
     let platform = Platform::new().with_objects_of(before);
     let collector = publication(&format!("{}/collector", platform.url));
@@ -595,25 +609,25 @@
             stages.enter(Stage::WriterDone);
             applied.unwrap();
         });
-        let collected = collector.collect();
+        let collected = collector.collect_garbage();
         stages.enter(Stage::CollectorDone);
         collected.unwrap();
     });
     platform.set_plan(|_| Fault::None);
-    assert_whole(&platform);
+    assert_texts_stored(&platform);
     assert_eq!(in_force(&platform)["b"], "b10".into(), "{first} {second}");
 }
 
 fn collection_interleaves_with_a_writer() {
     let before = Platform::new();
-    // Revisions 9 and 10 are to be removed; only the latter refers to the text that comes back.
+    // Revisions 9 and 10 are due for removal; only 10 refers to the text that is published again.
     publish_many(&mut Operator::new(&before, &[("o", "0")]), 210);
     for (first, second) in (0..9).flat_map(|first| (0..8).map(move |second| (first, second))) {
         interleave(&before, first, second);
     }
 }
 
-fn host_reads_only_what_is_new() {
+fn host_reads_only_new_texts() {
     let platform = Platform::new();
     let guard = guard(&platform.url);
     assert!(fetch(&guard, &Fetched::default()).unwrap().is_none());
@@ -632,7 +646,7 @@
     );
 }
 
-fn host_rejects_what_it_must_not_use() {
+fn host_rejects_unusable_revisions() {
     let platform = Platform::new();
     let guard = guard(&platform.url);
     let mut ana = Operator::new(&platform, &[("a", "1")]);
@@ -641,7 +655,7 @@
     ana.set("a", "2").apply("ana").unwrap();
     let second = platform.state().objects["config/head"].clone();
     let known = fetch(&guard, &Fetched::default()).unwrap().unwrap();
-    let told = |known: &Fetched| match fetch(&guard, known) {
+    let fetch_error = |known: &Fetched| match fetch(&guard, known) {
         Err(Error::Stale { known: 2, found }) => format!("stale {found}"),
         Err(Error::Forked { .. }) => "forked".into(),
         Err(Error::TextMissing(_)) => "missing".into(),
@@ -651,25 +665,25 @@
     };
     let put = |value| platform.state().objects.insert("config/head".into(), value);
     put(first);
-    assert_eq!(told(&known), "stale 1");
+    assert_eq!(fetch_error(&known), "stale 1");
     platform.state().objects.remove("config/head");
-    assert_eq!(told(&known), "stale 0");
+    assert_eq!(fetch_error(&known), "stale 0");
     let mut forked = second.clone();
     forked.1["change"]["id"] = json!("another");
     put(forked);
-    assert_eq!(told(&known), "forked");
-    let mut climbing = second.clone();
-    climbing.1["files"] = json!({"../a": text::hash("2")});
-    put(climbing);
-    assert_eq!(told(&Fetched::default()), "name");
+    assert_eq!(fetch_error(&known), "forked");
+    let mut outside_folder = second.clone();
+    outside_folder.1["files"] = json!({"../a": text::hash("2")});
+    put(outside_folder);
+    assert_eq!(fetch_error(&Fetched::default()), "name");
     put((9, json!({"revision": 3})));
-    assert!(told(&known).starts_with("config/head: malformed"));
+    assert!(fetch_error(&known).starts_with("config/head: malformed"));
     put(second);
     let blob = format!("config/file/{}", text::hash("2"));
     platform.state().objects.get_mut(&blob).unwrap().1 = json!({"text": "3"});
-    assert!(told(&Fetched::default()).contains("malformed: the text"));
+    assert!(fetch_error(&Fetched::default()).contains("malformed: the text"));
     platform.state().objects.remove(&blob);
-    assert_eq!(told(&Fetched::default()), "missing");
+    assert_eq!(fetch_error(&Fetched::default()), "missing");
 }
 
 fn marker_in_a_folder() {
@@ -693,8 +707,9 @@
 /// Changes by each writer.
 const CHANGES: u32 = 40;
 
-/// Each of the writers counts up in its own file, while answers and calls are lost.
-fn race() {
+/// Concurrent writers lose no change and apply none twice while calls and answers are lost. Each writer
+/// counts up in its own file.
+fn writers_race() {
     let platform = Platform::new();
     let names: Vec<String> = (0..WRITERS).map(|n| format!("{n}.json")).collect();
     let list: Vec<_> = names.iter().map(|name| (name.as_str(), "0")).collect();
@@ -720,7 +735,7 @@
             .iter()
             .map(|name| scope.spawn(|| count_up(&platform, name)))
             .collect();
-        // The host stops also after a writer's panic.
+        // Joined before unwrapping, so that the host stops even if a writer panics.
         let ends: Vec<_> = writers.into_iter().map(|writer| writer.join()).collect();
         is_done.store(true, Ordering::SeqCst);
         ends.into_iter().for_each(|end| end.unwrap());
@@ -731,7 +746,7 @@
     assert_eq!(
         head(&platform).revision,
         total,
-        "changes were lost or doubled"
+        "changes were lost or applied twice"
     );
     let steps = publication(&platform.url).history().unwrap();
     let revisions: Vec<u64> = steps.iter().map(|step| step.revision).collect();
@@ -739,7 +754,10 @@
     for name in &names {
         assert_eq!(&*in_force(&platform)[name.as_str()], CHANGES.to_string());
     }
-    assert!(lost.load(Ordering::SeqCst) > 100, "few faults: {lost:?}");
+    assert!(
+        lost.load(Ordering::SeqCst) > 100,
+        "too few faults: {lost:?}"
+    );
 }
 
 fn count_up(platform: &Platform, name: &str) {
@@ -750,7 +768,7 @@
     }
 }
 
-/// Reads as a host does; no revision and no count may go down.
+/// Reads revisions as a host does, and asserts that no revision and no count decreases.
 fn watch_counts(platform: &Platform, is_done: &AtomicBool) {
     let guard = guard(&platform.url);
     let mut known = Fetched::default();
@@ -764,7 +782,10 @@
                 .files
                 .get(name)
                 .map_or(0, |text| text.parse().unwrap());
-            assert!(text.parse::<u32>().unwrap() >= before, "{name} went back");
+            assert!(
+                text.parse::<u32>().unwrap() >= before,
+                "the count in {name} decreased"
+            );
         }
         known = next;
     }
@@ -775,19 +796,19 @@
     unchanged: same_content_makes_no_revision();
     rebase: other_files_are_rebased();
     conflict: same_file_is_a_conflict();
-    recheck: whole_is_checked_after_a_rebase();
+    recheck: merged_files_are_checked_after_a_rebase();
     no_marker_table: folder_without_a_marker();
     lost_answer_table: lost_answers();
     overtaken_table: overtaken_after_a_lost_answer();
     outage: outages();
-    refused_table: refused_contents();
+    refused_table: invalid_names_and_sizes_are_rejected();
     history: history_revert_and_diff();
-    garbage: garbage_goes_and_nothing_else();
+    garbage: removes_only_garbage();
     garbage_stale: stale_listing_removes_nothing_needed();
     garbage_race: collection_races_with_a_writer();
     garbage_interleaved: collection_interleaves_with_a_writer();
-    host_delta: host_reads_only_what_is_new();
-    host_rejects: host_rejects_what_it_must_not_use();
+    host_delta: host_reads_only_new_texts();
+    host_rejects: host_rejects_unusable_revisions();
     marker_file: marker_in_a_folder();
-    race_of_writers: race();
+    race_of_writers: writers_race();
 }
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store's client against a platform with faults.
+//! The store's client, rate limit, circuit breaker and confirmed writes against a platform with faults.
 
 #![allow(clippy::unwrap_used)]
 
@@ -21,14 +21,14 @@
 use serde_json::{json, Value};
 use standin::platform;
 
-/// Names each test case.
+/// Defines a test function for each named case.
 macro_rules! case {
     ($($name:ident: $body:expr;)*) => {
         $(#[test] fn $name() { $body })*
     };
 }
 
-/// Long enough for a loaded machine, short enough to wait for once.
+/// Client timeout that is long enough for a loaded machine and short enough to run out in a test.
 const SHORT: Duration = Duration::from_millis(200);
 
 fn client(platform: &Platform) -> Client {
@@ -95,13 +95,13 @@
     );
 }
 
-fn tells_live_hosts_from_leaving() {
+fn distinguishes_live_and_leaving_hosts() {
     let states: Vec<_> = client(&Platform::new()).hosts().unwrap();
     let states: Vec<_> = states.iter().map(|host| host.state).collect();
     assert_eq!(states, [HostState::Live, HostState::Leaving]);
 }
 
-/// What each fault makes of a read and of a write, and whether the write took effect.
+/// The results of a read and of a write under each fault, and whether the write took effect.
 fn faults() {
     let table = [
         (Fault::LoseCall, "down", "uncertain", false),
@@ -131,8 +131,8 @@
         let platform = Platform::new();
         let client = client(&platform);
         client.put("a", &json!(1), Condition::Absent).unwrap();
-        let spoiled = fault.clone();
-        platform.set_plan(move |_| spoiled.clone());
+        let planned = fault.clone();
+        platform.set_plan(move |_| planned.clone());
         let client = client.with_timeout(SHORT);
         assert_eq!(kind(client.get("a")), read, "{fault:?}");
         let result = client.put("a", &json!(2), Condition::Version(1));
@@ -204,26 +204,36 @@
     assert_eq!(breaker.begin_call(start), Ok(()));
     breaker.record_failure(start, rng);
     let State::Open(until) = breaker.state() else {
-        panic!("not open")
+        panic!("the breaker is not open")
     };
     assert!(until > start && until <= start + step);
     assert!(breaker.begin_call(start).is_err());
     assert_eq!(breaker.begin_call(until), Ok(()));
-    assert!(breaker.begin_call(until).is_err(), "two on trial");
+    assert!(
+        breaker.begin_call(until).is_err(),
+        "a second trial call was permitted"
+    );
     breaker.record_failure(until, rng);
     let State::Open(later) = breaker.state() else {
-        panic!("not open again")
+        panic!("the breaker is not open again")
     };
-    assert!(later > until + step / 2, "no longer than the first time");
+    assert!(
+        later > until + step / 2,
+        "the breaker is not open for longer than the first time"
+    );
     assert_eq!(breaker.begin_call(later), Ok(()));
-    assert_eq!(breaker.begin_call(later + step * 5), Ok(()), "a lost trial");
+    assert_eq!(
+        breaker.begin_call(later + step * 5),
+        Ok(()),
+        "no new trial call after a lost one"
+    );
     breaker.record_success();
     assert_eq!(breaker.state(), State::Closed);
     breaker.record_failure(later, rng);
     assert_eq!(breaker.state(), State::Closed);
 }
 
-fn guard_stops_calling_a_dead_platform() {
+fn guarded_client_stops_calls_in_an_outage() {
     let platform = Platform::new();
     platform.set_plan(|_| Fault::Answer(500, "", ""));
     let hour = Duration::from_secs(3600);
@@ -246,19 +256,19 @@
         assert_ne!(
             kind(guard.get("a")),
             "unsent",
-            "an answer opened the breaker"
+            "an answer of the platform opened the breaker"
         );
     }
 }
 
-fn guard_keeps_to_its_budget() {
+fn guarded_client_limits_its_rate() {
     let platform = Platform::new();
     let guard = GuardedClient::new(client(&platform)).with_rate_limit(TokenBucket::new(0.0, 2.0));
     let kinds: Vec<_> = (0..3).map(|_| kind(guard.get("a"))).collect();
     assert_eq!(kinds, ["ok", "ok", "unsent"]);
 }
 
-fn judgements() {
+fn classifies_unanswered_writes() {
     use Condition::{Absent, Version};
     let table = [
         (Absent, None, Evidence::NotApplied, WriteStatus::Pending),
@@ -319,8 +329,9 @@
     }
 }
 
-/// Writes `"mine"` over `"old"` while `fault` hits the first write and `other` comes between.
-fn settled(fault: Fault, other: Option<&'static str>) -> &'static str {
+/// Writes `"mine"` over `"old"`. `fault` applies to the first write, and `other` is stored before it if
+/// given.
+fn confirm_write(fault: Fault, other: Option<&'static str>) -> &'static str {
     let platform = Platform::new();
     let guard = GuardedClient::new(client(&platform).with_timeout(SHORT));
     guard.put("a", &"old", Condition::Absent).unwrap();
@@ -350,7 +361,7 @@
     }
 }
 
-fn settlements() {
+fn confirms_writes() {
     let table = [
         (Fault::None, None, "mine"),
         (Fault::LoseAnswer, None, "mine"),
@@ -367,7 +378,7 @@
     ];
     for (fault, other, outcome) in table {
         assert_eq!(
-            settled(fault.clone(), other),
+            confirm_write(fault.clone(), other),
             outcome,
             "{fault:?} {other:?}"
         );
@@ -395,23 +406,23 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(5), cases: 200, ..ProptestConfig::default() })]
 
-    /// In any window, calls stay within the burst and what the rate adds.
+    /// In any window, the number of calls is at most the burst plus the rate times the window.
     #[test]
-    fn budget_holds_in_any_window(
+    fn rate_limit_holds_in_any_window(
         rate in 1.0..50.0f64,
         burst in 1.0..20.0f64,
         gaps in prop::collection::vec(0..400u64, 1..200),
     ) {
         let mut now = Instant::now();
-        let mut budget = TokenBucket::new(rate, burst);
+        let mut rate_limit = TokenBucket::new(rate, burst);
         let mut taken = Vec::new();
         for gap in gaps {
             now += Duration::from_millis(gap);
-            match budget.take(now) {
+            match rate_limit.take(now) {
                 Ok(()) => taken.push(now),
                 Err(wait) => {
                     now += wait;
-                    prop_assert!(budget.take(now).is_ok(), "no token after the wait");
+                    prop_assert!(rate_limit.take(now).is_ok(), "no token after the returned wait");
                     taken.push(now);
                 }
             }
@@ -424,9 +435,9 @@
         }
     }
 
-    /// Each wait lies between half and all of the exponential one.
+    /// Each delay is between half and all of the exponential delay.
     #[test]
-    fn backoff_stays_in_its_bounds(seed: u64, first in 1..1000u64, most in 1000..60_000u64) {
+    fn backoff_delay_stays_within_bounds(seed: u64, first in 1..1000u64, most in 1000..60_000u64) {
         let rng = &mut Pcg64::seed_from_u64(seed);
         let (first, most) = (Duration::from_millis(first), Duration::from_millis(most));
         let mut backoff = Backoff::new(first, most);
@@ -441,7 +452,7 @@
     }
 }
 
-/// The stand-in of the platform with a fault, and a client of it.
+/// Starts the platform's stand-in with a fault, and creates a client of it.
 fn stand_in(fault: platform::Fault) -> (platform::Platform, Client) {
     let platform = platform::Platform::new(([127, 0, 0, 1], 0).into()).unwrap();
     platform.set_hosts(vec![platform::Host {
@@ -453,8 +464,8 @@
     (platform, client.with_timeout(Duration::from_secs(20)))
 }
 
-/// The variants of errors of a read, of a write and of a later watch from version 0, with its
-/// number of events.
+/// For each fault of the stand-in: the results of a read, of a write and of a later watch from version 0,
+/// which is its number of events or its error.
 fn contract() {
     use platform::{Availability, Fault};
     let down = |availability| Fault {
@@ -546,15 +557,15 @@
     stand_in_table: contract();
     stand_in_calls: stand_in_objects();
     breaker: breaker_opens_tries_and_closes();
-    guard_breaker: guard_stops_calling_a_dead_platform();
-    guard_budget: guard_keeps_to_its_budget();
-    judgement_table: judgements();
-    settlement_table: settlements();
-    settlement_unknown: lost_answer_in_a_lasting_outage_is_unknown();
+    guard_breaker: guarded_client_stops_calls_in_an_outage();
+    guard_budget: guarded_client_limits_its_rate();
+    write_status_table: classifies_unanswered_writes();
+    confirmed_write_table: confirms_writes();
+    confirmed_write_unknown: lost_answer_in_a_lasting_outage_is_unknown();
     objects: reads_what_was_written();
     listing: lists_by_prefix();
     watch: watches_from_a_version();
-    hosts: tells_live_hosts_from_leaving();
+    hosts: distinguishes_live_and_leaving_hosts();
     fault_table: faults();
     refused: refused_connection_is_unsent();
     too_large: large_value_is_not_sent();
