--- a/src/catalog/error.rs
+++ b/src/catalog/error.rs
@@ -7,7 +7,7 @@
 pub enum Error {
     /// A reference to a name that is not defined.
     #[error("no '{name}' in {kind}")]
-    Name {
+    UndefinedName {
         /// The map of the configuration that does not contain the name.
         kind: &'static str,
         /// The undefined name.
@@ -15,7 +15,7 @@
     },
     /// An address that is not of the form IP:PORT.
     #[error("{path}: '{text}' is not IP:PORT")]
-    Address {
+    InvalidAddress {
         /// The path of the address in the configuration.
         path: Arc<str>,
         /// The text in its place.
@@ -23,7 +23,7 @@
     },
     /// A client block that is not of the form ADDRESS/LENGTH.
     #[error("clients: '{text}' is not ADDRESS/LENGTH")]
-    Block {
+    InvalidBlock {
         /// The text in its place.
         text: Arc<str>,
     },
--- a/src/catalog/mod.rs
+++ b/src/catalog/mod.rs
@@ -252,7 +252,7 @@
 }
 
 fn parse_address(path: &str, text: &str) -> Result<SocketAddr, Error> {
-    text.parse().map_err(|_| Error::Address {
+    text.parse().map_err(|_| Error::InvalidAddress {
         path: path.into(),
         text: text.into(),
     })
@@ -271,7 +271,7 @@
     ) -> Result<Self, Error> {
         let mut blocks = Vec::with_capacity(configuration.clients.len());
         for (block, client) in &configuration.clients {
-            let net = block.parse().map_err(|_| Error::Block {
+            let net = block.parse().map_err(|_| Error::InvalidBlock {
                 text: block.as_str().into(),
             })?;
             blocks.push((net, &*client.region));
@@ -450,21 +450,21 @@
     }
 
     fn require_region(&self, name: &str) -> Result<RegionKey, Error> {
-        self.region_key(name).ok_or_else(|| Error::Name {
+        self.region_key(name).ok_or_else(|| Error::UndefinedName {
             kind: "regions",
             name: name.into(),
         })
     }
 
     fn require_zone(&self, name: &str) -> Result<ZoneKey, Error> {
-        self.zone_key(name).ok_or_else(|| Error::Name {
+        self.zone_key(name).ok_or_else(|| Error::UndefinedName {
             kind: "availability_zones",
             name: name.into(),
         })
     }
 
     fn require_service(&self, name: &str) -> Result<ServiceKey, Error> {
-        self.service_key(name).ok_or_else(|| Error::Name {
+        self.service_key(name).ok_or_else(|| Error::UndefinedName {
             kind: "services",
             name: name.into(),
         })
--- a/src/store/publication/error.rs
+++ b/src/store/publication/error.rs
@@ -47,7 +47,7 @@
         size: usize,
     },
     /// The revision does not exist, or is no longer stored.
-    #[error("revision {0} does not exist or is no longer stored")]
+    #[error("revision {0} is not kept")]
     NoRevision(u64),
     /// A file's text no longer exists, because a newer revision has come into force and this one was
     /// removed.
