--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -16,7 +16,7 @@
 use prefix_trie::PrefixMap;
 use ragwortfold::border::configuration::{Client, Configuration};
 use ragwortfold::border::settings::Steer;
-use ragwortfold::catalog::{Cap, Catalog, HostKey, RegionKey, ServiceKey, Table, ZoneKey};
+use ragwortfold::catalog::{Cap, Catalog, ClientTable, HostKey, RegionKey, ServiceKey, ZoneKey};
 use ragwortfold::steer::engine::{AttemptKind, Engine, Origin, RouteRequest, Verdict};
 use ragwortfold::steer::fingerprint::Fingerprint;
 use ragwortfold::steer::goal::{View, ZoneHealth};
@@ -145,9 +145,9 @@
         let blocks = assign_regions(&catalog, &random_blocks(family, count));
         let callers = random_callers(&blocks);
         let resident_before = resident_bytes();
-        let table = Table::default().with_blocks(&blocks);
+        let table = ClientTable::default().with_blocks(&blocks);
         let (bytes, resident_growth) = (
-            table.bytes(),
+            table.memory_bytes(),
             resident_bytes().saturating_sub(resident_before),
         );
         println!(
@@ -168,7 +168,7 @@
             bencher.iter(|| table.with_blocks(black_box(&blocks)));
         });
         group.bench_function(benchmark_id("from_nothing"), |bencher| {
-            bencher.iter(|| Table::default().with_blocks(black_box(&blocks)));
+            bencher.iter(|| ClientTable::default().with_blocks(black_box(&blocks)));
         });
     }
     group.finish();
--- a/benches/publication.rs
+++ b/benches/publication.rs
@@ -8,10 +8,12 @@
 use criterion::{criterion_group, criterion_main, Criterion};
 use ragwortfold::store::backoff::Backoff;
 use ragwortfold::store::breaker::Breaker;
-use ragwortfold::store::budget::Budget;
 use ragwortfold::store::client::Client;
-use ragwortfold::store::guard::Guard;
-use ragwortfold::store::publication::{fetch, Base, Fetched, Files, Publication, Signature, Undo};
+use ragwortfold::store::guarded_client::GuardedClient;
+use ragwortfold::store::publication::{
+    fetch, Base, Fetched, Files, OverwritePolicy, Publication, Signature,
+};
+use ragwortfold::store::token_bucket::TokenBucket;
 use standin::platform::Platform;
 
 /// Number of files in the configuration folder.
@@ -21,10 +23,10 @@
 
 /// Returns a client of the platform whose call budget and circuit breaker do not limit the
 /// benchmark.
-fn unlimited_guard(platform: &Platform) -> Guard {
+fn unlimited_guard(platform: &Platform) -> GuardedClient {
     let backoff_time = Duration::from_millis(1);
-    Guard::new(Client::new(&format!("http://{}", platform.address())))
-        .with_budget(Budget::new(1e9, 1e9))
+    GuardedClient::new(Client::new(&format!("http://{}", platform.address())))
+        .with_rate_limit(TokenBucket::new(1e9, 1e9))
         .with_breaker(Breaker::new(
             u32::MAX,
             backoff_time,
@@ -54,7 +56,7 @@
         time: SystemTime::UNIX_EPOCH,
     };
     let mut files = folder_files();
-    let mut base = Base::Head(Undo::Refuse);
+    let mut base = Base::Head(OverwritePolicy::Refuse);
     let mut change_number = 0_u64;
     let mut apply_change = || {
         change_number += 1;
--- a/benches/publish.rs
+++ b/benches/publish.rs
@@ -21,7 +21,7 @@
 use ragwortfold::border::objects::Head;
 use ragwortfold::config::{self, Folder};
 use ragwortfold::store::client::Client;
-use ragwortfold::store::guard::Guard;
+use ragwortfold::store::guarded_client::GuardedClient;
 use ragwortfold::store::publication::{marker, Base, Files, Publication, Signature};
 use serde_json::{json, Value};
 use standin::link::{self, Flow, Link};
@@ -197,12 +197,12 @@
 
 impl Writer {
     fn new(url: &str, file: String) -> Self {
-        let publication = Publication::new(Guard::new(Client::new(url)));
+        let publication = Publication::new(GuardedClient::new(Client::new(url)));
         let fetched = publication.pull().unwrap().unwrap();
         Self {
             publication,
             file,
-            base: Base::Pulled(marker::of(&fetched)),
+            base: Base::Pulled(marker::for_revision(&fetched)),
             files: fetched.files,
         }
     }
--- a/src/bin/ragwortfold/demo/operator.rs
+++ b/src/bin/ragwortfold/demo/operator.rs
@@ -5,8 +5,8 @@
 
 use ragwortfold::config::{self, Folder};
 use ragwortfold::store::client::Client;
-use ragwortfold::store::guard::Guard;
-use ragwortfold::store::publication::{self, Base, Files, Publication, Signature, Undo};
+use ragwortfold::store::guarded_client::GuardedClient;
+use ragwortfold::store::publication::{self, Base, Files, OverwritePolicy, Publication, Signature};
 
 /// An operator with a copy of the configuration folder and the revision that it is based on.
 pub(crate) struct Operator {
@@ -21,9 +21,9 @@
     pub(crate) fn new(name: &str, platform: &str, files: Files) -> Self {
         Self {
             name: name.into(),
-            publication: Publication::new(Guard::new(Client::new(platform))),
+            publication: Publication::new(GuardedClient::new(Client::new(platform))),
             files,
-            base: Base::Head(Undo::Allow),
+            base: Base::Head(OverwritePolicy::Allow),
         }
     }
 
--- a/src/bin/ragwortfold/drain.rs
+++ b/src/bin/ragwortfold/drain.rs
@@ -297,7 +297,7 @@
 ) -> Result<u64, Failure> {
     let signature = sign_drain(config);
     for _ in 0..MAX_APPLY_ATTEMPTS {
-        let base = Base::Pulled(marker::of(&fetched));
+        let base = Base::Pulled(marker::for_revision(&fetched));
         edit_overrides(&mut fetched, config)?;
         match publication.apply(&fetched.files, &base, &signature, publish::check_files) {
             Ok(applied) => {
@@ -308,7 +308,7 @@
             Err(error) => return Err(publish::Error::from(error).into()),
         }
     }
-    Err(publish::Error::from(publication::Error::Crowded(MAX_APPLY_ATTEMPTS)).into())
+    Err(publish::Error::from(publication::Error::LostRaces(MAX_APPLY_ATTEMPTS)).into())
 }
 
 /// The signature of the change, with a default note that names the command and the resource.
--- a/src/bin/ragwortfold/publish.rs
+++ b/src/bin/ragwortfold/publish.rs
@@ -11,10 +11,10 @@
 use ragwortfold::border::configuration::Configuration;
 use ragwortfold::config::{self, Folder};
 use ragwortfold::store::client::Client;
-use ragwortfold::store::guard::Guard;
+use ragwortfold::store::guarded_client::GuardedClient;
 use ragwortfold::store::publication::{
-    self, marker, Answer, Applied, Base, Difference, Effect, Fetched, Files, Kind, Publication,
-    Signature, Step, Undo,
+    self, marker, Applied, Base, Confirmation, Difference, Effect, Fetched, Files, Kind,
+    OverwritePolicy, Publication, Signature, Step,
 };
 use serde_json::{json, Value};
 
@@ -67,7 +67,7 @@
 /// The source of the files of a new revision.
 pub(crate) enum Source {
     /// A folder, and whether it may undo published changes that it does not contain.
-    Folder(PathBuf, Undo),
+    Folder(PathBuf, OverwritePolicy),
     /// An earlier revision.
     Revision(u64),
 }
@@ -134,8 +134,8 @@
     fn from(error: publication::Error) -> Self {
         match error {
             publication::Error::Conflict(_) => Self::Conflict(error),
-            publication::Error::Check(text) => Self::Faults(text),
-            publication::Error::Unpulled(_) => Self::Unpulled(error),
+            publication::Error::Invalid(text) => Self::Faults(text),
+            publication::Error::NotPulled(_) => Self::Unpulled(error),
             error => Self::Publication(error),
         }
     }
@@ -162,7 +162,9 @@
 
 /// Creates the client that reads and publishes revisions on a platform.
 pub(crate) fn connect(platform: &str) -> Publication {
-    Publication::new(Guard::new(Client::new(&fetch::with_scheme(platform))))
+    Publication::new(GuardedClient::new(Client::new(&fetch::with_scheme(
+        platform,
+    ))))
 }
 
 /// The signature of a change made now. The author defaults to the environment variable `USER`.
@@ -249,14 +251,14 @@
 fn apply_folder(
     publication: &Publication,
     dir: &Path,
-    undo: Undo,
+    undo: OverwritePolicy,
     signature: &Signature,
 ) -> Result<Applied, Failure> {
     let folder = config::read(dir)?;
     folder.merged_with_clients().map_err(config::Error::from)?;
     let marker = marker::read(dir).map_err(folder_error(dir))?;
     let base = match (marker, undo) {
-        (Some(marker), Undo::Refuse) => Base::Pulled(marker),
+        (Some(marker), OverwritePolicy::Refuse) => Base::Pulled(marker),
         (_, undo) => Base::Head(undo),
     };
     let applied = publication
@@ -302,7 +304,7 @@
         "published revision {revision}: {}\n",
         applied.files.join(", ")
     );
-    if applied.answer == Answer::Settled {
+    if applied.confirmation == Confirmation::ReadBack {
         text.push_str("the platform's answer was lost; reading back shows the change in force\n");
     }
     text
@@ -330,9 +332,9 @@
         Effect::New => "new",
         Effect::Unchanged => "unchanged",
     };
-    let answer = match applied.answer {
-        Answer::Received => "received",
-        Answer::Settled => "settled",
+    let answer = match applied.confirmation {
+        Confirmation::Answer => "received",
+        Confirmation::ReadBack => "settled",
     };
     let mut report = json!({
         "revision": applied.revision,
@@ -388,7 +390,7 @@
     let base = marker::read(dir).map_err(folder_error(dir))?;
     let is_overwritten =
         |name: &String| old_files.get(name.as_str()) != fetched.files.get(name.as_str());
-    let mut edited = marker::edited(old_files, base.as_ref());
+    let mut edited = marker::edited_files(old_files, base.as_ref());
     edited.retain(is_overwritten);
     if edited.is_empty() {
         return Ok(());
@@ -413,7 +415,7 @@
         let path = dir.join(&**name);
         fs::remove_file(&path).map_err(folder_error(&path))?;
     }
-    marker::write(dir, &marker::of(fetched)).map_err(folder_error(dir))
+    marker::write(dir, &marker::for_revision(fetched)).map_err(folder_error(dir))
 }
 
 /// Returns a function that converts an I/O error on `path`.
--- a/src/bin/ragwortfold/room.rs
+++ b/src/bin/ragwortfold/room.rs
@@ -216,7 +216,7 @@
     let (locality, share) = moved_shares
         .into_iter()
         .max_by(|a, b| a.1.total_cmp(&b.1))?;
-    let cap = service.shift;
+    let cap = service.planned_cap;
     let windows = (share / cap.share - ROUNDING_ERROR).ceil();
     (windows > 1.0).then(|| {
         format!(
--- a/src/entry/front.rs
+++ b/src/entry/front.rs
@@ -178,7 +178,7 @@
             revision: catalog.revision,
             ttl_ms: catalog
                 .limits()
-                .ttl
+                .lookup_ttl
                 .as_millis()
                 .try_into()
                 .unwrap_or(u64::MAX),
@@ -291,7 +291,7 @@
     let max_buffered = u64::from(shared.settings.pool.buffer_bytes);
     let deadline = arrived + head.deadline.unwrap_or(record.deadline);
     request.limit_body(deadline);
-    let body = Body::read(request, head.length, max_buffered, record.max_body)
+    let body = Body::read(request, head.length, max_buffered, record.max_body_bytes)
         .map_err(|error| Reply::not_run(error.status(), &error.to_string(), None))?;
     let location = lookup.locate_client(client, 0);
     Ok(RequestContext {
@@ -408,8 +408,13 @@
         None => Origin::Host,
     };
     let mut reader = relay::RequestReader(incoming);
-    let body = Body::read(&mut reader, head.length, max_buffered, record.max_body)
-        .map_err(|_| Outcome::NotRun(Reason::BadRequest))?;
+    let body = Body::read(
+        &mut reader,
+        head.length,
+        max_buffered,
+        record.max_body_bytes,
+    )
+    .map_err(|_| Outcome::NotRun(Reason::BadRequest))?;
     Ok(RequestContext {
         id: shared.next_id(),
         fingerprint: fingerprint(&head, &body),
--- a/src/entry/platform.rs
+++ b/src/entry/platform.rs
@@ -22,7 +22,7 @@
 use crate::control::plan::PlanRecord;
 use crate::control::{lease, publish};
 use crate::store::client::{Client, Condition, Error as StoreError, Versioned, Written};
-use crate::store::guard::Guard;
+use crate::store::guarded_client::GuardedClient;
 use crate::store::publication::{self, Fetched};
 
 /// Time limit of one watch. If its connection stalls, a change goes unnoticed until the watch times out, which has to be
@@ -98,14 +98,14 @@
     }
 
     fn watch(&self) {
-        let guard = Guard::new(Client::new(&self.url));
+        let guard = GuardedClient::new(Client::new(&self.url));
         let mut rng = Pcg64Mcg::seed_from_u64(self.seed);
         let mut after = 0;
         let mut seen = Arc::new(Fetched::default());
         while self.is_running() {
             let mut failed = !self.refresh(&guard, &mut seen);
             if self.is_watcher() && !failed {
-                match guard.watch(publication::HEAD, after, WATCH_TIMEOUT) {
+                match guard.watch(publication::HEAD_KEY, after, WATCH_TIMEOUT) {
                     Ok(events) => after = events.version,
                     Err(error) => {
                         spdlog::warn!("platform: {error}");
@@ -131,7 +131,7 @@
 
     /// Fetches a newer revision, if there is one. Returns whether the platform answered. A revision
     /// already in `seen` is not fetched again, even if it is invalid and never came into force.
-    fn refresh(&self, guard: &Guard, seen: &mut Arc<Fetched>) -> bool {
+    fn refresh(&self, guard: &GuardedClient, seen: &mut Arc<Fetched>) -> bool {
         let current = self.current.fetched();
         if current.revision >= seen.revision {
             *seen = current;
@@ -162,7 +162,7 @@
 
     fn execute_commands(&self, commands: &Receiver<StoreCommand>) {
         let client = Client::new(&self.url).with_timeout(Duration::from_secs(2));
-        let guard = Guard::new(client);
+        let guard = GuardedClient::new(client);
         let mut next_list = Instant::now();
         while self.is_running() {
             match commands.recv_timeout(CHECK_INTERVAL) {
@@ -191,7 +191,7 @@
     }
 }
 
-fn execute_lease(guard: &Guard, command: lease::Command) -> lease::Event {
+fn execute_lease(guard: &GuardedClient, command: lease::Command) -> lease::Event {
     match command {
         lease::Command::Read => match read_object::<Lease>(guard, LEASE_KEY) {
             Ok(found) => lease::Event::Read(
@@ -216,7 +216,7 @@
 
 /// Executes a command on the plan. Returns the result and the plan if one was read.
 fn execute_plan(
-    guard: &Guard,
+    guard: &GuardedClient,
     command: publish::Command,
     record: &PlanRecord,
 ) -> (publish::Event, Option<PlanRecord>) {
@@ -232,7 +232,7 @@
     (event, None)
 }
 
-fn read_plan(guard: &Guard) -> (publish::Event, Option<PlanRecord>) {
+fn read_plan(guard: &GuardedClient) -> (publish::Event, Option<PlanRecord>) {
     match read_object::<PlanRecord>(guard, PLAN_KEY) {
         Ok(Some(found)) => {
             let seen = (to_version(found.version), found.value.stamp);
@@ -247,11 +247,11 @@
 }
 
 fn read_object<T: DeserializeOwned>(
-    guard: &Guard,
+    guard: &GuardedClient,
     key: &str,
 ) -> Result<Option<Versioned<T>>, StoreError> {
     let found: Option<Versioned<Value>> = guard.get(key)?;
-    found.map(Versioned::typed).transpose()
+    found.map(Versioned::deserialize).transpose()
 }
 
 fn to_version(number: u64) -> lease::Version {
