--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -375,7 +375,7 @@
 
     /// Broadcasts this host's new notices about requests that crash targets.
     fn broadcast_notices(&mut self) {
-        let notices = self.engine.notes();
+        let notices = self.engine.take_notices();
         if notices.is_empty() {
             return;
         }
@@ -428,7 +428,7 @@
     /// Merges notices about requests that crash targets from other hosts and forwards new ones.
     fn merge_notices(&mut self, now: Instant, notices: Vec<(HostKey, Notice)>) {
         for (source, notice) in notices {
-            if self.engine.merge_note(now, &notice) {
+            if self.engine.merge_notice(now, &notice) {
                 log_notice(&notice);
                 self.control
                     .broadcast_update(Frame::Notes(vec![notice]), Some(source));
@@ -454,7 +454,7 @@
         if !update.joined_hosts.is_empty() {
             self.control
                 .send_splits(&update.joined_hosts, &self.engine.splits());
-            let standings = self.engine.standings(now);
+            let standings = self.engine.quarantine_statuses(now);
             let rates = self.engine.known_rates(now);
             self.control
                 .send_notices_and_rates(&update.joined_hosts, standings, rates);
--- a/src/host/core.rs
+++ b/src/host/core.rs
@@ -223,7 +223,7 @@
                 event = Event::Missing.as_str(),
                 target = id
             });
-            self.fleet.lapse(id, now + LAPSE_GRACE);
+            self.fleet.mark_lapsed(id, now + LAPSE_GRACE);
         } else {
             log::target_gone(id);
             self.fleet.withdraw(id);
--- a/src/host/request_log.rs
+++ b/src/host/request_log.rs
@@ -155,7 +155,7 @@
         account = exchange.admitted.caller.account().map_or("", |account| &account.name),
         service = &**ask.service,
         tries = trace.describe_attempts().as_str(),
-        choices = core.fleet.explain(now(), ask).as_str(),
+        choices = core.fleet.describe_choices(now(), ask).as_str(),
         total_ms = total.as_millis() as u64,
         left_ms = left.as_millis() as u64,
         configuration = core.table.version().unwrap_or_default(),
--- a/src/steer/attempt.rs
+++ b/src/steer/attempt.rs
@@ -656,7 +656,7 @@
         } else {
             Outcome::NotRun(reason)
         };
-        Some(self.settle(outcome))
+        Some(self.set_outcome(outcome))
     }
 
     fn record_uncertainty(&mut self, cause: FailurePoint) {
@@ -664,11 +664,11 @@
     }
 
     fn finish(&mut self, outcome: Outcome) -> Step {
-        Step::Done(self.settle(outcome))
+        Step::Done(self.set_outcome(outcome))
     }
 
     /// Sets the outcome. It is "not run" only if no attempt can have been executed.
-    fn settle(&mut self, outcome: Outcome) -> Completion {
+    fn set_outcome(&mut self, outcome: Outcome) -> Completion {
         let outcome = match (outcome, self.uncertain_reason) {
             (Outcome::NotRun(_), Some(reason)) => Outcome::Unknown(reason),
             _ => outcome,
--- a/src/steer/engine.rs
+++ b/src/steer/engine.rs
@@ -154,7 +154,7 @@
     free_slots: BTreeMap<(ServiceKey, ZoneKey), u32>,
     /// Time of the first configuration.
     configured_at: Option<Instant>,
-    tallies: BTreeMap<ServiceKey, AdmissionCounts>,
+    admission_counts: BTreeMap<ServiceKey, AdmissionCounts>,
     split_controllers: BTreeMap<(ServiceKey, RegionKey), SplitController>,
     /// Time until which the move budget of a service and locality counts as exhausted, by kind of move.
     exhausted_until: BTreeMap<(ServiceKey, RegionKey, MoveKind), Instant>,
@@ -167,8 +167,8 @@
     undecided: Vec<(Instant, RouteRequest)>,
     /// Suspected requests that were permitted to be sent to targets of this zone.
     suspect_permits: BTreeMap<Id, Fingerprint>,
-    /// Quarantine notes to publish to other hosts.
-    quarantine_notes: Vec<Notice>,
+    /// Quarantine notices to publish to other hosts.
+    quarantine_notices: Vec<Notice>,
     /// Name of this host in the configuration.
     host: Arc<str>,
     /// Rate limits announced by targets of this zone.
@@ -194,7 +194,7 @@
             hold_seconds: BTreeMap::new(),
             free_slots: BTreeMap::new(),
             configured_at: None,
-            tallies: BTreeMap::new(),
+            admission_counts: BTreeMap::new(),
             split_controllers: BTreeMap::new(),
             exhausted_until: BTreeMap::new(),
             last_serving_splits: BTreeMap::new(),
@@ -203,7 +203,7 @@
             quarantine: Quarantine::new(incarnation),
             undecided: Vec::new(),
             suspect_permits: BTreeMap::new(),
-            quarantine_notes: Vec::new(),
+            quarantine_notices: Vec::new(),
             host: "".into(),
             throttle: Throttle::new(),
         }
@@ -225,11 +225,11 @@
         let mut loads = BTreeMap::new();
         for (&service, group) in &self.groups {
             let headroom = group.headroom();
-            let tally = self
-                .tallies
+            let counts = self
+                .admission_counts
                 .entry(service)
                 .or_insert(AdmissionCounts::new(now));
-            let (admitted, refused) = tally.take_rates(now);
+            let (admitted, refused) = counts.take_rates(now);
             loads.insert(
                 service,
                 Load {
@@ -660,7 +660,7 @@
         };
         match group.admit(now, target_request, rng) {
             group::Verdict::Admit(grant) => {
-                self.tally(now, request.service).admitted += 1;
+                self.admission_counts_of(now, request.service).admitted += 1;
                 Some(self.target_verdict(now, grant))
             }
             group::Verdict::Wait => {
@@ -669,15 +669,15 @@
             }
             group::Verdict::Refuse(refusal) => {
                 if request.kind != AttemptKind::Hedge {
-                    self.tally(now, request.service).refused += 1;
+                    self.admission_counts_of(now, request.service).refused += 1;
                 }
                 Some(Verdict::Refused(refusal.into()))
             }
         }
     }
 
-    fn tally(&mut self, now: Instant, service: ServiceKey) -> &mut AdmissionCounts {
-        self.tallies
+    fn admission_counts_of(&mut self, now: Instant, service: ServiceKey) -> &mut AdmissionCounts {
+        self.admission_counts
             .entry(service)
             .or_insert(AdmissionCounts::new(now))
     }
@@ -1005,7 +1005,7 @@
             self.queued_services.remove(&id);
             self.reroutable.remove(&id);
             let service = self.catalog.target(grant.target()).service;
-            self.tally(now, service).admitted += 1;
+            self.admission_counts_of(now, service).admitted += 1;
             decisions.push((id, self.target_verdict(now, grant)));
         }
         decisions
--- a/src/steer/engine/permit.rs
+++ b/src/steer/engine/permit.rs
@@ -1,4 +1,4 @@
-//! Quarantine of requests that may crash targets, and the notes exchanged with other hosts about them.
+//! Quarantine of requests that may crash targets, and the notices exchanged with other hosts about them.
 
 use std::time::Instant;
 
@@ -22,8 +22,8 @@
         request: RouteRequest,
         rng: &mut impl Rng,
     ) -> Option<Verdict> {
-        let (verdict, notes) = self.quarantine.check(now, request.fingerprint);
-        self.quarantine_notes.extend(notes);
+        let (verdict, notices) = self.quarantine.check(now, request.fingerprint);
+        self.quarantine_notices.extend(notices);
         match verdict {
             QuarantineVerdict::Refused(retry_after) => Some(Verdict::Refused(Refusal {
                 reason: Reason::Quarantined,
@@ -82,33 +82,33 @@
         } = self
             .quarantine
             .record_break(now, fingerprint, digest, begun);
-        self.quarantine_notes
+        self.quarantine_notices
             .extend(counters.into_iter().chain(all));
     }
 
     /// Records that a target answered a request.
     pub fn record_answer(&mut self, now: Instant, fingerprint: Fingerprint) {
-        let notes = self.quarantine.record_answer(now, fingerprint);
-        self.quarantine_notes.extend(notes);
+        let notices = self.quarantine.record_answer(now, fingerprint);
+        self.quarantine_notices.extend(notices);
     }
 
-    /// Merges a quarantine note of another host; returns whether it was new.
-    pub fn merge_note(&mut self, now: Instant, note: &Notice) -> bool {
+    /// Merges a quarantine notice of another host; returns whether it changed the state of this host.
+    pub fn merge_notice(&mut self, now: Instant, notice: &Notice) -> bool {
         let MergeResult {
             is_new,
             to_all: all,
-        } = self.quarantine.merge(now, note);
-        self.quarantine_notes.extend(all);
+        } = self.quarantine.merge(now, notice);
+        self.quarantine_notices.extend(all);
         is_new
     }
 
-    /// Removes and returns the quarantine notes to publish to other hosts.
-    pub fn notes(&mut self) -> Vec<Notice> {
-        std::mem::take(&mut self.quarantine_notes)
+    /// Removes and returns the quarantine notices to publish to other hosts.
+    pub fn take_notices(&mut self) -> Vec<Notice> {
+        std::mem::take(&mut self.quarantine_notices)
     }
 
     /// Returns the state of all suspected and quarantined requests, for a host that may lack it.
-    pub fn standings(&self, now: Instant) -> Vec<Notice> {
+    pub fn quarantine_statuses(&self, now: Instant) -> Vec<Notice> {
         self.quarantine.statuses(now).collect()
     }
 }
--- a/src/steer/engine/rate.rs
+++ b/src/steer/engine/rate.rs
@@ -13,7 +13,7 @@
 use crate::steer::throttle::RateUpdate;
 
 impl Engine {
-    /// Records the rate in a target's answer to a request that was sent at `at`. Returns the news to publish to other hosts.
+    /// Records the rate in a target's answer to a request that was sent at `at`. Returns the update to publish to other hosts, if any.
     pub fn record_rate(
         &mut self,
         now: Instant,
@@ -23,16 +23,16 @@
     ) -> Option<RateUpdate> {
         let digest = self.target_digest(target);
         let before = self.throttle.rate(digest);
-        let news = self.throttle.observe(now, digest, at, rate);
+        let update = self.throttle.observe(now, digest, at, rate);
         if self.throttle.rate(digest) != before {
             self.apply_rate_shares(now);
         }
-        news
+        update
     }
 
-    /// Merges another host's news of a target's rate; returns whether the target starts or stops announcing a rate by it.
-    pub fn merge_rate(&mut self, now: Instant, news: &RateUpdate) -> bool {
-        let is_changed = self.throttle.merge_update(now, news);
+    /// Merges the rate that another host has. Returns whether the target thereby started or stopped announcing a rate, or raised it much.
+    pub fn merge_rate(&mut self, now: Instant, update: &RateUpdate) -> bool {
+        let is_changed = self.throttle.merge_update(now, update);
         if is_changed {
             self.apply_rate_shares(now);
         }
--- a/src/steer/fleet.rs
+++ b/src/steer/fleet.rs
@@ -164,7 +164,7 @@
     lapsed_counts: BTreeMap<Arc<str>, usize>,
     /// Target that was last asked whether it is cold.
     last_checked: Option<TargetKey>,
-    /// Rates that targets name.
+    /// Rates that targets announce.
     throttle: Throttle,
     /// Sequence number of this host's last claim.
     claim_count: u32,
@@ -286,7 +286,7 @@
         if member.lapsed_until.is_some() {
             count_return(&mut self.lapsed_counts, member.service());
         }
-        self.throttle.forget(member.digest());
+        self.throttle.remove_target(member.digest());
         if let Some(keys) = self.services.get_mut(member.service()) {
             keys.retain(|other| *other != key);
         }
@@ -300,7 +300,8 @@
     }
 
     /// Returns the services that would lose most of their targets that are not draining if the
-    /// targets `ids` were removed. So many targets do not leave at once.
+    /// targets `ids` were removed. That many targets do not leave at the same time, so the caller
+    /// should not remove them at once.
     pub fn services_losing_most<'a>(
         &self,
         ids: impl Iterator<Item = &'a str>,
@@ -327,7 +328,7 @@
 
     /// Keeps a target whose registration expired while the store was unavailable; it is removed at
     /// `until` unless it registers again.
-    pub fn lapse(&mut self, id: &str, until: Instant) {
+    pub fn mark_lapsed(&mut self, id: &str, until: Instant) {
         let key = self.ids.get(id);
         if let Some(member) = key.and_then(|key| self.members.get_mut(key)) {
             if member.lapsed_until.is_none() {
@@ -407,7 +408,7 @@
     }
 
     /// Selects a target and counts the request there until [`Fleet::finish`], regardless of the
-    /// rate that the target names.
+    /// rate that the target announces.
     ///
     /// `is_connected` returns whether there is an idle connection to a target.
     pub fn choose(
@@ -449,7 +450,7 @@
     }
 
     /// Describes the first choices of a request and their estimated load, for the log.
-    pub fn explain(&self, now: Instant, query: &TargetQuery<'_>) -> String {
+    pub fn describe_choices(&self, now: Instant, query: &TargetQuery<'_>) -> String {
         let choices = self.first_choices(now, query);
         let descriptions = choices.keys().filter_map(|key| {
             let member = self.members.get(&key)?;
--- a/src/steer/fleet/choice.rs
+++ b/src/steer/fleet/choice.rs
@@ -29,7 +29,7 @@
 /// Load up to which a target receives requests because it has their objects cached, beyond those
 /// for which it is the first choice, as a share of its slots. A busier target gives them up, so
 /// that the load spreads again: without this bound the days with the longest queues lost 0.005 of
-/// their value, with it calm days gain 0.003.
+/// the value of their answers, with it calm days gain 0.003.
 const MAX_CACHED_LOAD: f64 = 0.7;
 /// Share of a service's targets up to which targets missing in the store are taken to have left.
 const MAX_DEPARTED_SHARE: f64 = 0.1;
@@ -62,11 +62,11 @@
 /// Targets of a region in the order of rendezvous hashing, as far as it is needed.
 #[derive(Default)]
 struct Ranked {
-    /// First target, and whether it names a rate.
+    /// First target, and whether it announces a rate.
     first: Option<(u64, TargetKey, bool)>,
-    /// First target that names no rate.
+    /// First target that announces no rate.
     unlimited: Option<(u64, TargetKey)>,
-    /// All targets that name a rate.
+    /// All targets that announce a rate.
     limited: Vec<(u64, TargetKey)>,
 }
 
@@ -318,7 +318,7 @@
     }
 
     /// Returns the first usable target of a stored ranking. The result is inconclusive if that
-    /// target names a rate, since its successor then depends on the rates of other targets.
+    /// target announces a rate, since its successor then depends on the rates of other targets.
     fn first_usable(
         &self,
         (targets, is_complete): (&[TargetKey], bool),
@@ -425,7 +425,7 @@
     }
 
     /// Returns the target of a region that a request is sent to, among those that are open: the
-    /// first one for its object, else the first one that names no rate, else any with capacity that
+    /// first one for its object, else the first one that announces no rate, else any with capacity that
     /// its own objects do not need.
     fn first_open(&self, now: Instant, ranked: Ranked, choices: &mut Choices) -> Option<TargetKey> {
         let Ranked {
--- a/src/steer/fleet/member.rs
+++ b/src/steer/fleet/member.rs
@@ -132,7 +132,7 @@
     pub service_time: f64,
     /// Whether it is not ejected.
     pub is_in_use: bool,
-    /// The requests a second that it accepts from all hosts, if it names a rate.
+    /// The requests a second that it accepts from all hosts, if it announces a rate.
     pub rate: Option<f64>,
     /// If it is cold, the requests a second that this host may send to it.
     pub cold_rate: Option<f64>,
--- a/src/steer/fleet/rate_limit.rs
+++ b/src/steer/fleet/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Rate limits that targets name: their allocation to hosts, and permission to send requests.
+//! Rate limits that targets announce: their allocation to hosts, and permission to send requests.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -20,7 +20,7 @@
     Granted,
     /// It may not be sent; the target is skipped until there may be capacity.
     Denied,
-    /// The host of this name has to be sent a claim.
+    /// A claim has to be sent to the host of this name first.
     Ask(Arc<str>, Claim),
 }
 
@@ -73,7 +73,7 @@
     }
 
     /// Whether a request may be sent after its claim was answered: it was granted, or the target no
-    /// longer names a rate.
+    /// longer announces a rate.
     pub fn use_grant(&mut self, now: Instant, key: TargetKey) -> bool {
         let Some(target) = self.members.get(&key).map(Member::digest) else {
             return false;
@@ -108,7 +108,7 @@
         self.throttle.record_timeout(now, claim.1 .0, allocator);
     }
 
-    /// Records the rate that a target's answer names; the request was sent at `sent_at`. Returns
+    /// Records the rate that a target's answer announces; the request was sent at `sent_at`. Returns
     /// the update to broadcast to all hosts, if any.
     pub fn observe_rate(
         &mut self,
@@ -122,7 +122,7 @@
     }
 
     /// Merges the rate that another host has. Returns the target if it thereby started or stopped
-    /// naming a rate.
+    /// announcing a rate.
     pub fn merge_rate(&mut self, now: Instant, update: &RateUpdate) -> Option<Arc<str>> {
         if !self.throttle.merge_update(now, update) {
             return None;
@@ -134,7 +134,7 @@
         known.map(|member| member.id().clone())
     }
 
-    /// Returns the rates that targets name, to be sent to other hosts.
+    /// Returns the rates that targets announce, to be sent to other hosts.
     pub fn rate_updates(&self, now: Instant) -> impl Iterator<Item = RateUpdate> + '_ {
         self.throttle.updates(now)
     }
@@ -156,7 +156,7 @@
             .closed_for(now, member.digest(), assignment, self.live_hosts.len())
     }
 
-    /// Whether a target names a rate.
+    /// Whether a target announces a rate.
     pub(super) fn is_limited(&self, member: &Member) -> bool {
         self.throttle.rate(member.digest()).is_some()
     }
--- a/src/steer/group.rs
+++ b/src/steer/group.rs
@@ -101,7 +101,7 @@
     }
 
     /// Creates a configuration with target selection only, as a baseline for measurements.
-    pub fn with_pick_alone(pick: Pick) -> Self {
+    pub fn with_selection_only(pick: Pick) -> Self {
         Self {
             pick,
             limit: Switch::Off,
@@ -228,7 +228,7 @@
             None => {
                 let mut member = Member::new(key, target, hosts);
                 if self.is_configured {
-                    member.warm.restart(now);
+                    member.slow_start.restart(now);
                 }
                 self.members.push(member);
                 self.index.insert(key, self.members.len() - 1);
@@ -242,9 +242,9 @@
         member.limit = member
             .limit
             .with_size(target.slots, target.connections, hosts);
-        member.warm = member.warm.with_ramp(target.warm_up);
+        member.slow_start = member.slow_start.with_ramp(target.warm_up);
         if !was_serving && member.is_serving() {
-            member.warm.restart(now);
+            member.slow_start.restart(now);
         }
     }
 
@@ -274,7 +274,7 @@
         let is_restored = !was_serving && member.is_serving();
         let needs_warm_up = is_restored || (is_newly_cold && source == Source::Header);
         if needs_warm_up {
-            member.warm.restart(now);
+            member.slow_start.restart(now);
         }
         if needs_warm_up || was_serving != member.is_serving() {
             self.refresh_stats(now);
@@ -480,7 +480,7 @@
             member.is_serving()
                 && member.in_flight == 0
                 && member.limit.connection_share() > 0
-                && member.eject.is_probe_due(now)
+                && member.outlier_detector.is_probe_due(now)
                 && !member.has_tried(request)
                 && member.rate_limit_wait(now).is_zero()
                 && seconds_left > PROBE_SLACK_LATENCIES * self.stats.median_latency
@@ -496,7 +496,7 @@
         Grant {
             target: member.key,
             at: now,
-            probe: !member.eject.is_in_use(),
+            probe: !member.outlier_detector.is_in_use(),
         }
     }
 
@@ -528,7 +528,7 @@
 
     fn record_report(&mut self, now: Instant, position: usize, report: &Report) {
         let member = &mut self.members[position];
-        let is_full = member.in_flight >= member.limit.max_in_flight(member.warm.fraction());
+        let is_full = member.in_flight >= member.limit.max_in_flight(member.slow_start.fraction());
         if let Some(load) = report.load {
             member.estimate.record_load(now, load, member.in_flight);
         }
@@ -540,7 +540,7 @@
                 member.consecutive_failures = 0;
                 member.backoff_until = None;
                 member.estimate.record_latency(now, report.latency);
-                member.warm.record_answer(now);
+                member.slow_start.record_answer(now);
                 let ratio = member.estimate.latency_ratio(self.baseline_latency);
                 member.limit.record_answer(now, is_full, ratio, report.load);
                 self.mean_hold_seconds += (seconds - self.mean_hold_seconds) * HOLD_SECONDS_WEIGHT;
@@ -572,28 +572,31 @@
         }
         let stats = self.stats;
         let member = &mut self.members[position];
-        let Some(sign) = health_sign(report, stats.median_latency) else {
+        let Some(evidence) = ejection_evidence(report, stats.median_latency) else {
             return;
         };
-        if !member.eject.is_in_use() {
-            if grant.probe && member.eject.record_probe(now, sign, rng) {
-                member.warm.restart(now);
+        if !member.outlier_detector.is_in_use() {
+            if grant.probe && member.outlier_detector.record_probe(now, evidence, rng) {
+                member.slow_start.restart(now);
             }
             self.refresh_stats(now);
             return;
         }
-        member.eject.record(sign);
-        let standing = Comparison {
+        member.outlier_detector.record(evidence);
+        let comparison = Comparison {
             latency_ratio: member.estimate.latency_ratio(stats.median_latency),
             latency_samples: member.estimate.samples(),
             group_success_rate: stats.mean_success_rate,
             is_down: member.health == Health::Down,
-            is_warming_up: member.warm.is_cold(),
+            is_warming_up: member.slow_start.is_cold(),
         };
         let ejected_after = f64::from(stats.ejected + member.slots);
         let allowed = f64::from(stats.slots) * MAX_EJECTED_SHARE;
-        if member.is_serving() && ejected_after <= allowed && member.eject.is_outlier(&standing) {
-            member.eject.eject(now, rng);
+        if member.is_serving()
+            && ejected_after <= allowed
+            && member.outlier_detector.is_outlier(&comparison)
+        {
+            member.outlier_detector.eject(now, rng);
             member.estimate.reset_latency();
             self.refresh_stats(now);
         }
@@ -669,7 +672,7 @@
         let ejections = self
             .members
             .iter()
-            .filter_map(|member| member.eject.ejected_until());
+            .filter_map(|member| member.outlier_detector.ejected_until());
         backoffs.chain(ejections).filter(|&at| at > now).min()
     }
 
@@ -703,7 +706,7 @@
     pub fn is_ejected(&self, target: TargetKey) -> bool {
         self.index
             .get(&target)
-            .is_some_and(|&position| !self.members[position].eject.is_in_use())
+            .is_some_and(|&position| !self.members[position].outlier_detector.is_in_use())
     }
 
     fn refresh_stats_if_old(&mut self, now: Instant) {
@@ -748,7 +751,7 @@
         let slots: u32 = serving(&self.members).map(|member| member.slots).sum();
         let in_rotation_slots: u32 = members_in_rotation().map(|member| member.slots).sum();
         let cold: u32 = members_in_rotation()
-            .filter(|member| self.config.warm == Switch::On && member.warm.is_cold())
+            .filter(|member| self.config.warm == Switch::On && member.slow_start.is_cold())
             .map(|member| member.slots)
             .sum();
         let count = members_in_rotation().count().max(1) as f64;
@@ -766,10 +769,11 @@
             )
             .unwrap_or(0.0),
             mean_success_rate: members_in_rotation()
-                .map(|member| member.eject.success_rate())
+                .map(|member| member.outlier_detector.success_rate())
                 .sum::<f64>()
                 / count,
-            is_probe_due: serving(&self.members).any(|member| member.eject.is_probe_due(now)),
+            is_probe_due: serving(&self.members)
+                .any(|member| member.outlier_detector.is_probe_due(now)),
             next_change: self.next_change(now),
         };
         let candidate = |member| Candidate::new(&self.config, &self.stats, member, now);
@@ -791,12 +795,12 @@
             let next_restored = self
                 .members
                 .iter_mut()
-                .filter(|member| member.is_serving() && !member.eject.is_in_use())
-                .min_by_key(|member| member.eject.ejected_until());
+                .filter(|member| member.is_serving() && !member.outlier_detector.is_in_use())
+                .min_by_key(|member| member.outlier_detector.ejected_until());
             let Some(member) = next_restored else {
                 return;
             };
-            member.eject.restore(now);
+            member.outlier_detector.restore(now);
         }
     }
 }
@@ -808,7 +812,7 @@
 
 /// Returns the targets that accept requests and are not ejected.
 fn in_rotation(members: &[Member]) -> impl Iterator<Item = &Member> {
-    serving(members).filter(|member| member.eject.is_in_use())
+    serving(members).filter(|member| member.outlier_detector.is_in_use())
 }
 
 /// Returns a target's contribution to the group's concurrency limit.
@@ -820,7 +824,7 @@
 }
 
 /// Returns the evidence for outlier ejection in a request's report, if any.
-fn health_sign(report: &Report, median: f64) -> Option<Outcome> {
+fn ejection_evidence(report: &Report, median: f64) -> Option<Outcome> {
     let is_slow = report.latency.as_secs_f64() > MAX_LATENCY_RATIO * median;
     match report.end {
         End::Answered if is_slow => Some(Outcome::Slow),
--- a/src/steer/group/member.rs
+++ b/src/steer/group/member.rs
@@ -27,8 +27,8 @@
     pub(super) health: Health,
     pub(super) in_flight: u32,
     pub(super) limit: Limit,
-    pub(super) warm: SlowStart,
-    pub(super) eject: OutlierDetector,
+    pub(super) slow_start: SlowStart,
+    pub(super) outlier_detector: OutlierDetector,
     pub(super) estimate: Estimate,
     pub(super) consecutive_failures: u32,
     pub(super) backoff_until: Option<Instant>,
@@ -55,8 +55,8 @@
             health: Health::Up,
             in_flight: 0,
             limit: Limit::new(target.slots, target.connections, hosts),
-            warm: SlowStart::new(target.warm_up),
-            eject: OutlierDetector::new(),
+            slow_start: SlowStart::new(target.warm_up),
+            outlier_detector: OutlierDetector::new(),
             estimate: Estimate::new(),
             consecutive_failures: 0,
             backoff_until: None,
@@ -125,7 +125,10 @@
                 0
             },
             foreign_load: member.estimate.foreign_load(now, stats.median_foreign_load),
-            weight: member.estimate.slowness(now, stats.median_latency) / f64::from(member.slots),
+            weight: member
+                .estimate
+                .smoothed_latency_ratio(now, stats.median_latency)
+                / f64::from(member.slots),
             warm_fraction: warm_fraction(config, member),
         }
     }
@@ -146,7 +149,7 @@
 /// Returns the usable fraction of a target's limit while it warms up.
 pub(super) fn warm_fraction(config: &Config, member: &Member) -> f64 {
     match config.warm {
-        Switch::On => member.warm.fraction(),
+        Switch::On => member.slow_start.fraction(),
         Switch::Off => 1.0,
     }
 }
@@ -162,5 +165,5 @@
 /// Whether a target may receive requests, up to its limit.
 fn is_usable(config: &Config, member: &Member, now: Instant) -> bool {
     let is_backing_off = config.eject == Switch::On && member.is_backing_off(now);
-    member.is_serving() && member.eject.is_in_use() && !is_backing_off
+    member.is_serving() && member.outlier_detector.is_in_use() && !is_backing_off
 }
--- a/src/steer/lookup.rs
+++ b/src/steer/lookup.rs
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Locates a caller. Callers of one block with the same `spread` are steered alike; if all callers
-    /// use 0, the whole block is.
+    /// Locates a caller. Callers of one block with the same `spread` get the same hosts; if all callers
+    /// use 0, the whole block does.
     pub fn locate_client(&self, client: IpAddr, spread: u64) -> ClientLocation {
         let found = self.clients.find(client);
         let net = ClientTable::steering_block(client, found);
--- a/src/steer/pick.rs
+++ b/src/steer/pick.rs
@@ -76,7 +76,7 @@
 
     /// Returns the latency ratio for target selection, with noise removed. It decays towards 1 without
     /// answers, so that a target which was slow once is tried again.
-    pub fn slowness(&self, now: Instant, typical: f64) -> f64 {
+    pub fn smoothed_latency_ratio(&self, now: Instant, typical: f64) -> f64 {
         let ratio = self.latency_ratio(typical);
         if is_noise(ratio) {
             return 1.0;
--- a/src/steer/quota.rs
+++ b/src/steer/quota.rs
@@ -7,7 +7,7 @@
 //!
 //! The sum of all usable quotas stays within the limit even if hosts are disconnected, paused or replaced:
 //! - A holder releases each unit to one pool at a time and measures the time from its own answer, which is
-//!   later than the pool's question. The pool measures from its question.
+//!   later than the pool's query. The pool measures from its query.
 //! - A pool lends a unit to one borrower at a time, and only until some margin before the holder reclaims
 //!   it. The borrower measures from before its own request.
 //! - A host that starts does not know what its predecessor released, so until any loan has expired it uses
@@ -33,7 +33,7 @@
 const BURST_WINDOW: Duration = Duration::from_millis(100);
 /// Minimum depth of the token bucket: one request.
 const MIN_BUCKET_DEPTH: f64 = 1.0;
-/// Limit on stored loans, bonuses, releases and unanswered requests or questions, each.
+/// Limit on stored loans, bonuses, releases and unanswered requests or queries, each.
 const MAX_PENDING: usize = 64;
 /// Longest retry delay of a refusal.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
@@ -69,7 +69,7 @@
     pub retry_after: Duration,
 }
 
-/// Unique number of a question or a request.
+/// Unique number of a query to holders or of a request for a bonus.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Serial {
     /// The incarnation or epoch that issued it.
@@ -174,7 +174,7 @@
 
     /// Starts a request for a bonus, and returns the number under which it may be granted.
     pub fn request_bonus(&mut self, now: Instant) -> Serial {
-        record_question(&mut self.pending_requests, &mut self.serial, now)
+        issue_serial(&mut self.pending_requests, &mut self.serial, now)
     }
 
     /// Accepts a bonus whose lifetime is measured from the request. Returns whether it was accepted: the
@@ -300,7 +300,7 @@
 /// them.
 #[derive(Clone, Debug)]
 pub struct Pool {
-    pending_questions: BTreeMap<Serial, Instant>,
+    pending_queries: BTreeMap<Serial, Instant>,
     answered: BTreeSet<(Serial, HostKey)>,
     offers: Vec<Offer>,
     serial: Serial,
@@ -310,34 +310,34 @@
     /// Creates the empty pool of the planner that holds the lease of an epoch.
     pub fn new(epoch: u64) -> Self {
         Self {
-            pending_questions: BTreeMap::new(),
+            pending_queries: BTreeMap::new(),
             answered: BTreeSet::new(),
             offers: Vec::new(),
             serial: Serial::new(epoch),
         }
     }
 
-    /// Starts a round of questions to holders, and returns the number under which they answer.
-    pub fn ask_holders(&mut self, now: Instant) -> Serial {
+    /// Starts a round of queries to holders, and returns the number under which they answer.
+    pub fn query_holders(&mut self, now: Instant) -> Serial {
         self.prune(now);
-        record_question(&mut self.pending_questions, &mut self.serial, now)
+        issue_serial(&mut self.pending_queries, &mut self.serial, now)
     }
 
     /// Accepts a holder's answer: it released `rate` for `lifetime` on its own clock, from a time after the
-    /// question. Returns false for a repeated answer or an unknown question, which is ignored.
+    /// query. Returns false for a repeated answer or an unknown query, which is ignored.
     pub fn accept_offer(
         &mut self,
         now: Instant,
-        question: Serial,
+        query: Serial,
         holder: HostKey,
         rate: f64,
         lifetime: Duration,
     ) -> bool {
         self.prune(now);
-        let Some(&asked_at) = self.pending_questions.get(&question) else {
+        let Some(&asked_at) = self.pending_queries.get(&query) else {
             return false;
         };
-        if rate <= 0.0 || !self.answered.insert((question, holder)) {
+        if rate <= 0.0 || !self.answered.insert((query, holder)) {
             return false;
         }
         let until = asked_at
@@ -379,22 +379,23 @@
         self.offers.iter().map(|offer| offer.lendable(until)).sum()
     }
 
-    /// Removes ended offers and loans, and questions whose answers would be too late.
+    /// Removes ended offers and loans, and queries whose answers would be too late.
     fn prune(&mut self, now: Instant) {
         self.offers.retain(|offer| offer.until > now);
         for offer in &mut self.offers {
             offer.loans.retain(|loan| loan.until > now);
         }
-        self.pending_questions
+        self.pending_queries
             .retain(|_, asked_at| now < *asked_at + MAX_RELEASE_TIME);
-        let pending_questions = &self.pending_questions;
+        let pending_queries = &self.pending_queries;
         self.answered
-            .retain(|(question, _)| pending_questions.contains_key(question));
+            .retain(|(query, _)| pending_queries.contains_key(query));
     }
 }
 
-/// Records the time of a new question or request, and drops the oldest if there are too many.
-fn record_question(
+/// Returns the number of a new query or request and records its time. Drops the oldest record if there
+/// are too many.
+fn issue_serial(
     asked_at: &mut BTreeMap<Serial, Instant>,
     serial: &mut Serial,
     now: Instant,
--- a/src/steer/throttle.rs
+++ b/src/steer/throttle.rs
@@ -1,6 +1,6 @@
-//! Request rates that targets name in their answers, and how all hosts together enforce them.
+//! Request rates that targets announce in their answers, and how all hosts together enforce them.
 //!
-//! An overloaded target names the requests a second that it accepts from all hosts together. A
+//! An overloaded target announces the requests a second that it accepts from all hosts together. A
 //! host's share of that may be far below one request a second, so the rate is not divided among all
 //! hosts: a few of them, the target's *allocators*, each hold a share of it in a token bucket, and
 //! every host requests a grant from one of them before each request that it sends to the target.
@@ -9,8 +9,8 @@
 //! only some of the hosts know adds its own share.
 //!
 //! The latest rate of a target holds, ordered by the times at which the requests were sent whose
-//! answers named it: an answer that was overtaken by another one changes nothing. Hosts notify each
-//! other when a target starts or stops naming a rate, repeat that now and then, and attach the rate
+//! answers announced it: an answer that was overtaken by another one changes nothing. Hosts notify each
+//! other when a target starts or stops announcing a rate, repeat that now and then, and attach the rate
 //! to each claim and grant.
 
 use std::collections::BTreeMap;
@@ -45,7 +45,7 @@
 const RISE_FACTOR: f64 = 1.5;
 /// Minimum interval between two broadcasts of one host about a target.
 const MIN_BROADCAST_INTERVAL: Duration = Duration::from_millis(250);
-/// Time for which a target that stopped naming a rate is remembered: longer than an update of the
+/// Time for which a target that stopped announcing a rate is remembered: longer than an update of the
 /// rate can be on its way.
 const ENDED_RETENTION: Duration = Duration::from_secs(10);
 /// Time for which a rate holds without any answer from the target: it receives no requests.
@@ -53,10 +53,10 @@
 /// Maximum number of targets whose rates are stored.
 const MAX_TARGETS: usize = 4096;
 
-/// The rate that an answer names for its target.
+/// The rate that an answer announces for its target.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum Rate {
-    /// The answer names no rate.
+    /// The answer announces no rate.
     #[default]
     Absent,
     /// Requests a second, from all hosts together.
@@ -101,7 +101,7 @@
 pub struct RateUpdate(
     /// Digest of the target's process.
     pub u64,
-    /// Requests a second, if the target names a rate.
+    /// Requests a second, if the target announces a rate.
     pub Option<f32>,
     /// Milliseconds since the request was sent whose answer is the source.
     pub u32,
@@ -217,7 +217,7 @@
 #[derive(Clone, Debug)]
 struct TargetRate {
     rate: Option<f64>,
-    /// When the request was sent whose answer named the rate.
+    /// When the request was sent whose answer announced the rate.
     observed_at: Instant,
     /// When this host last broadcast the rate.
     last_broadcast: Option<Instant>,
@@ -245,7 +245,7 @@
     }
 }
 
-/// The rates of all targets that name one, as one host has received them.
+/// The rates of all targets that announce one, as far as one host has received them.
 #[derive(Clone, Debug, Default)]
 pub struct Throttle {
     targets: BTreeMap<u64, TargetRate>,
@@ -271,7 +271,7 @@
         host_count.min(if is_single { 1 } else { ALLOCATORS_PER_TARGET })
     }
 
-    /// Records the rate that a target's answer names; the request was sent at `observed_at`.
+    /// Records the rate that a target's answer announces; the request was sent at `observed_at`.
     /// Returns the update to broadcast to all hosts, if any.
     pub fn observe(
         &mut self,
@@ -293,7 +293,7 @@
     }
 
     /// Merges the rate that another host has. Returns whether the target thereby started or stopped
-    /// naming a rate, or raised it much.
+    /// announcing a rate, or raised it much.
     pub fn merge_update(&mut self, now: Instant, update: &RateUpdate) -> bool {
         let RateUpdate(target, rate, age) = *update;
         let age = Duration::from_millis(age.into());
@@ -305,7 +305,7 @@
         }
     }
 
-    /// Records a rate. Returns whether the target started or stopped naming one, or raised it much.
+    /// Records a rate. Returns whether the target started or stopped announcing one, or raised it much.
     fn record(
         &mut self,
         now: Instant,
@@ -489,7 +489,7 @@
     }
 
     /// Removes a target that has left.
-    pub fn forget(&mut self, target: u64) {
+    pub fn remove_target(&mut self, target: u64) {
         self.targets.remove(&target);
     }
 
--- a/tests/affinity.rs
+++ b/tests/affinity.rs
@@ -279,7 +279,7 @@
     };
     a_withdrawn_target_is_avoided: |world, _, id| world.fleet.withdraw(id);
     an_expired_target_is_avoided: |world, _, id| {
-        world.fleet.lapse(id, world.now + Duration::from_secs(2));
+        world.fleet.mark_lapsed(id, world.now + Duration::from_secs(2));
         world.pass(Duration::from_secs(2));
         assert_eq!(world.fleet.expire(world.now).len(), 1);
     };
@@ -306,7 +306,9 @@
 fn a_target_that_registers_again_in_time_is_kept() {
     let mut world = World::with_targets("h1", "n-a");
     let id = world.chosen(7).unwrap();
-    world.fleet.lapse(&id, world.now + Duration::from_secs(2));
+    world
+        .fleet
+        .mark_lapsed(&id, world.now + Duration::from_secs(2));
     assert_eq!(world.chosen(7).as_ref(), Some(&id));
     world.pass(Duration::from_secs(1));
     world.fleet.register(world.now, registration(&id, "n-a"));
@@ -611,7 +613,7 @@
     }
     let until = world.now + Duration::from_secs(2);
     for number in 0..missing {
-        world.fleet.lapse(&format!("t{number}"), until);
+        world.fleet.mark_lapsed(&format!("t{number}"), until);
     }
     let used: BTreeSet<Arc<str>> = (0..500).filter_map(|key| world.chosen(key)).collect();
     let is_missing = |id: &&Arc<str>| id[1..].parse::<usize>().unwrap() < missing;
@@ -662,14 +664,20 @@
     for id in ["t7", "t8", "t9", "t10", "t11"] {
         world.fleet.register(world.now, registration(id, "n-b"));
     }
-    world.fleet.lapse("t1", world.now + Duration::from_secs(2));
+    world
+        .fleet
+        .mark_lapsed("t1", world.now + Duration::from_secs(2));
     let uses = |world: &mut World| (0..500).any(|key| world.chosen(key).as_deref() == Some("t1"));
     assert!(!uses(&mut world));
     world.fleet.register(world.now, registration("t1", "n-a"));
     assert!(uses(&mut world));
     // Targets that were missing before are no longer counted.
-    world.fleet.lapse("t2", world.now + Duration::from_secs(2));
+    world
+        .fleet
+        .mark_lapsed("t2", world.now + Duration::from_secs(2));
     world.fleet.withdraw("t2");
-    world.fleet.lapse("t1", world.now + Duration::from_secs(2));
+    world
+        .fleet
+        .mark_lapsed("t1", world.now + Duration::from_secs(2));
     assert!(!uses(&mut world));
 }
--- a/tests/group.rs
+++ b/tests/group.rs
@@ -573,7 +573,7 @@
 fn measure_pick_alone(pick: Pick, offered: OfferedLoad) -> Mean {
     measure(
         &format!("{pick} alone"),
-        &Config::with_pick_alone(pick),
+        &Config::with_selection_only(pick),
         offered,
     )
 }
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -122,7 +122,7 @@
     let catalog = catalog(SMALL);
     let keys: Vec<HostKey> = hosts(&catalog).into_values().collect();
     let mut pool = Pool::new(1);
-    let question = pool.ask_holders(base);
+    let question = pool.query_holders(base);
     assert!(pool.accept_offer(base, question, keys[0], 5.0, 10 * SECOND));
     assert!(
         !pool.accept_offer(base, question, keys[0], 5.0, 10 * SECOND),
@@ -236,7 +236,7 @@
         match step.kind {
             0..=2 => {
                 let now = self.clock(HOLDERS + planner, real_ms);
-                let question = self.pools[planner].ask_holders(now);
+                let question = self.pools[planner].query_holders(now);
                 for holder in 0..HOLDERS {
                     self.send(real_ms, step, Message::Ask(planner, holder, question));
                 }
