--- a/src/steer/drift.rs
+++ b/src/steer/drift.rs
@@ -40,7 +40,7 @@
     /// Share of the keys that have to leave, and the measured share of the previous span.
     remote_share: f64,
     last_share: f64,
-    /// Whether it is still to be measured that the initial share is needed.
+    /// Whether no measurement has confirmed yet that the initial share is needed.
     is_on_trial: bool,
     slot_history: SlotHistory,
 }
--- a/src/steer/engine/permit.rs
+++ b/src/steer/engine/permit.rs
@@ -66,14 +66,14 @@
         }
     }
 
-    /// Records that an attempt begun at `begun` was cut off by a target after the request had been sent and before the answer was
+    /// Records that an attempt begun at `started_at` was cut off by a target after the request had been sent and before the answer was
     /// complete.
     pub fn record_crash(
         &mut self,
         now: Instant,
         fingerprint: Fingerprint,
         target: TargetKey,
-        begun: Instant,
+        started_at: Instant,
     ) {
         let digest = self.target_digest(target);
         let OutgoingNotices {
@@ -81,7 +81,7 @@
             to_all: all,
         } = self
             .quarantine
-            .record_break(now, fingerprint, digest, begun);
+            .record_break(now, fingerprint, digest, started_at);
         self.quarantine_notices
             .extend(counters.into_iter().chain(all));
     }
--- a/src/steer/engine/rate.rs
+++ b/src/steer/engine/rate.rs
@@ -13,17 +13,17 @@
 use crate::steer::throttle::RateUpdate;
 
 impl Engine {
-    /// Records the rate in a target's answer to a request that was sent at `at`. Returns the update to publish to other hosts, if any.
+    /// Records the rate in a target's answer to a request that was sent at `sent_at`. Returns the update to publish to other hosts, if any.
     pub fn record_rate(
         &mut self,
         now: Instant,
         target: TargetKey,
-        at: Instant,
+        sent_at: Instant,
         rate: Option<f64>,
     ) -> Option<RateUpdate> {
         let digest = self.target_digest(target);
         let before = self.throttle.rate(digest);
-        let update = self.throttle.observe(now, digest, at, rate);
+        let update = self.throttle.observe(now, digest, sent_at, rate);
         if self.throttle.rate(digest) != before {
             self.apply_rate_shares(now);
         }
--- a/src/steer/fleet.rs
+++ b/src/steer/fleet.rs
@@ -235,7 +235,7 @@
             if registration.is_same_process(&member.registration) {
                 member.cold_until = cold_until;
                 if member.lapsed_until.take().is_some() {
-                    count_return(&mut self.lapsed_counts, &registration.service);
+                    decrement_lapsed_count(&mut self.lapsed_counts, &registration.service);
                 }
                 member.registration = registration;
                 return;
@@ -258,7 +258,7 @@
         let member = Member {
             is_local: region == self.region,
             region,
-            seed: xxh3_64(registration.id.as_bytes()),
+            id_hash: xxh3_64(registration.id.as_bytes()),
             registration,
             in_flight: 0,
             report: None,
@@ -284,7 +284,7 @@
             return;
         };
         if member.lapsed_until.is_some() {
-            count_return(&mut self.lapsed_counts, member.service());
+            decrement_lapsed_count(&mut self.lapsed_counts, member.service());
         }
         self.throttle.remove_target(member.digest());
         if let Some(keys) = self.services.get_mut(member.service()) {
@@ -570,8 +570,8 @@
     }
 }
 
-/// Counts a lapsed target of a service that has returned or was removed.
-fn count_return(lapsed_counts: &mut BTreeMap<Arc<str>, usize>, service: &Arc<str>) {
+/// Subtracts a lapsed target that has returned or was removed from the count of its service.
+fn decrement_lapsed_count(lapsed_counts: &mut BTreeMap<Arc<str>, usize>, service: &Arc<str>) {
     if let Some(count) = lapsed_counts.get_mut(service) {
         *count = count.saturating_sub(1);
     }
--- a/src/steer/fleet/choice.rs
+++ b/src/steer/fleet/choice.rs
@@ -403,7 +403,7 @@
             if query.tried.contains(key) {
                 continue;
             }
-            let weight = rendezvous_weight(affinity_key, member.seed);
+            let weight = rendezvous_weight(affinity_key, member.id_hash);
             if is_local {
                 local.add(weight, *key, self.is_limited(member));
             } else if self.switches.far == Switch::On {
@@ -425,8 +425,8 @@
     }
 
     /// Returns the target of a region that a request is sent to, among those that are open: the
-    /// first one for its object, else the first one that announces no rate, else any with capacity that
-    /// its own objects do not need.
+    /// first one for its object, else the first one that announces no rate, else any with capacity
+    /// that its own objects do not need.
     fn first_open(&self, now: Instant, ranked: Ranked, choices: &mut Choices) -> Option<TargetKey> {
         let Ranked {
             first,
@@ -451,7 +451,7 @@
         overflow_target
     }
 
-    /// Whether a target is open for a request; notes when it opens if not.
+    /// Whether a target is open for a request. If not, records in `choices` when it may open.
     fn is_open_for(
         &self,
         now: Instant,
--- a/src/steer/fleet/cold.rs
+++ b/src/steer/fleet/cold.rs
@@ -20,14 +20,14 @@
 #[derive(Clone, Debug)]
 pub(super) struct FleetHost {
     pub(super) name: Arc<str>,
-    pub(super) seed: u64,
+    pub(super) name_hash: u64,
     region: Arc<str>,
 }
 
 impl FleetHost {
     pub(super) fn new(name: Arc<str>, region: Arc<str>) -> Self {
         Self {
-            seed: xxh3_64(name.as_bytes()),
+            name_hash: xxh3_64(name.as_bytes()),
             name,
             region,
         }
@@ -36,7 +36,7 @@
     /// Returns the sort key of this host among the few that use or check a target: hosts of the
     /// target's region come first.
     pub(super) fn rank(&self, member: &Member) -> (bool, u64) {
-        let weight = xxh3_64_with_seed(&self.seed.to_le_bytes(), member.seed);
+        let weight = xxh3_64_with_seed(&self.name_hash.to_le_bytes(), member.id_hash);
         (self.region == member.region, weight)
     }
 }
--- a/src/steer/fleet/member.rs
+++ b/src/steer/fleet/member.rs
@@ -39,7 +39,7 @@
     pub(super) region: Arc<str>,
     /// Whether it is in the region of this host.
     pub(super) is_local: bool,
-    pub(super) seed: u64,
+    pub(super) id_hash: u64,
     pub(super) in_flight: u32,
     pub(super) report: Option<LoadReport>,
     pub(super) cold_until: Option<Instant>,
@@ -62,7 +62,7 @@
 impl Member {
     /// Returns a digest of its identity and process.
     pub fn digest(&self) -> u64 {
-        self.seed ^ self.registration.born.unwrap_or_default()
+        self.id_hash ^ self.registration.born.unwrap_or_default()
     }
 
     /// Returns the identity of its process.
--- a/src/steer/fleet/ranking.rs
+++ b/src/steer/fleet/ranking.rs
@@ -139,7 +139,7 @@
                 } else {
                     &mut remote
                 };
-                side.push((rendezvous_weight(query.affinity_key, member.seed), *key));
+                side.push((rendezvous_weight(query.affinity_key, member.id_hash), *key));
             }
         }
         let ranking = Ranking {
@@ -162,10 +162,10 @@
         let members = &self.members;
         for (key, ranking) in rankings.all_mut() {
             let side = ranking.side_mut(member.is_local);
-            let weight = rendezvous_weight(*key, member.seed);
+            let weight = rendezvous_weight(*key, member.id_hash);
             let position = side.targets.partition_point(|other| {
                 let other = members.get(other);
-                other.is_some_and(|other| rendezvous_weight(*key, other.seed) > weight)
+                other.is_some_and(|other| rendezvous_weight(*key, other.id_hash) > weight)
             });
             // Behind the last cached target there may be uncached ones that come before it.
             if position < side.targets.len() || side.is_complete {
--- a/src/steer/fleet/rate_limit.rs
+++ b/src/steer/fleet/rate_limit.rs
@@ -47,21 +47,22 @@
         let claim = Claim(self.claim_count, update, assignment);
         if allocators
             .iter()
-            .any(|allocator| allocator.seed == self.own_host.seed)
+            .any(|allocator| allocator.name_hash == self.own_host.name_hash)
         {
             let grant = self
                 .throttle
                 .grant(now, &claim, true, self.live_hosts.len());
-            self.throttle.record_grant(now, self.own_host.seed, &grant);
+            self.throttle
+                .record_grant(now, self.own_host.name_hash, &grant);
             if self.throttle.spend(now, target) {
                 return Permission::Granted;
             }
         }
         allocators.retain(|allocator| {
-            allocator.seed != self.own_host.seed
+            allocator.name_hash != self.own_host.name_hash
                 && !self
                     .throttle
-                    .is_paused(now, target, allocator.seed, assignment)
+                    .is_paused(now, target, allocator.name_hash, assignment)
         });
         match allocators.into_iter().choose(rng) {
             Some(allocator) => Permission::Ask(allocator.name, claim),
@@ -105,7 +106,8 @@
     /// Records that a claim was not answered.
     pub fn record_unanswered_claim(&mut self, now: Instant, allocator: &str, claim: &Claim) {
         let allocator = xxh3_64(allocator.as_bytes());
-        self.throttle.record_timeout(now, claim.1 .0, allocator);
+        self.throttle
+            .record_unanswered_claim(now, claim.1 .0, allocator);
     }
 
     /// Records the rate that a target's answer announces; the request was sent at `sent_at`. Returns
--- a/src/steer/quarantine.rs
+++ b/src/steer/quarantine.rs
@@ -166,7 +166,7 @@
     /// A target answered it.
     Cleared,
     /// An attempt broke at one target.
-    Noted,
+    BrokenOnce,
     /// It runs in isolation.
     Suspected,
     /// It is sent only in trials.
@@ -194,7 +194,7 @@
 impl Case {
     fn new(now: Instant) -> Self {
         Self {
-            stage: Stage::Noted,
+            stage: Stage::BrokenOnce,
             stage_since: now,
             targets: Vec::new(),
             first_break: now,
@@ -222,7 +222,7 @@
     /// stage has changed.
     fn count_break(&mut self, now: Instant, target: u64, started_at: Instant) -> bool {
         let is_counted = match self.stage {
-            Stage::Noted => self.targets.is_empty() || started_at >= self.last_break,
+            Stage::BrokenOnce => self.targets.is_empty() || started_at >= self.last_break,
             Stage::Suspected => started_at >= self.stage_since + CLEARING_DELAY,
             Stage::Cleared | Stage::Refused => false,
         };
@@ -233,7 +233,7 @@
         self.targets.push(target);
         self.last_break = now;
         let stage = match self.targets.len() {
-            ..SUSPECT_TARGETS => Stage::Noted,
+            ..SUSPECT_TARGETS => Stage::BrokenOnce,
             SUSPECT_TARGETS..REFUSE_TARGETS => Stage::Suspected,
             _ => Stage::Refused,
         };
@@ -244,7 +244,7 @@
         let age = now.saturating_duration_since(self.last_break);
         match self.stage {
             Stage::Cleared => now.saturating_duration_since(self.stage_since) >= CLEARED_LIFETIME,
-            Stage::Noted | Stage::Suspected => age >= SUSPICION_LIFETIME,
+            Stage::BrokenOnce | Stage::Suspected => age >= SUSPICION_LIFETIME,
             Stage::Refused => now.saturating_duration_since(self.due) >= REFUSED_RETENTION,
         }
     }
@@ -323,7 +323,7 @@
             return (Verdict::Allowed, None);
         };
         match case.stage {
-            Stage::Cleared | Stage::Noted => (Verdict::Allowed, None),
+            Stage::Cleared | Stage::BrokenOnce => (Verdict::Allowed, None),
             Stage::Suspected if case.is_expired(now) => (Verdict::Allowed, None),
             Stage::Suspected if case.in_flight || now < case.stage_since + CLEARING_DELAY => {
                 (Verdict::Wait, None)
@@ -394,7 +394,7 @@
             };
         }
         let lasted = millis(now.saturating_duration_since(started_at));
-        let to_counters = (case.stage == Stage::Noted).then(|| {
+        let to_counters = (case.stage == Stage::BrokenOnce).then(|| {
             Notice::Broken(BrokenAttempt {
                 fingerprint,
                 target,
--- a/src/steer/throttle.rs
+++ b/src/steer/throttle.rs
@@ -9,9 +9,9 @@
 //! only some of the hosts know adds its own share.
 //!
 //! The latest rate of a target holds, ordered by the times at which the requests were sent whose
-//! answers announced it: an answer that was overtaken by another one changes nothing. Hosts notify each
-//! other when a target starts or stops announcing a rate, repeat that now and then, and attach the rate
-//! to each claim and grant.
+//! answers announced it: an answer that was overtaken by another one changes nothing. Hosts notify
+//! each other when a target starts or stops announcing a rate, repeat that now and then, and attach
+//! the rate to each claim and grant.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -45,8 +45,8 @@
 const RISE_FACTOR: f64 = 1.5;
 /// Minimum interval between two broadcasts of one host about a target.
 const MIN_BROADCAST_INTERVAL: Duration = Duration::from_millis(250);
-/// Time for which a target that stopped announcing a rate is remembered: longer than an update of the
-/// rate can be on its way.
+/// Time for which a target that stopped announcing a rate is remembered: longer than an update of
+/// the rate can be on its way.
 const ENDED_RETENTION: Duration = Duration::from_secs(10);
 /// Time for which a rate holds without any answer from the target: it receives no requests.
 const RATE_RETENTION: Duration = Duration::from_secs(60);
@@ -305,7 +305,8 @@
         }
     }
 
-    /// Records a rate. Returns whether the target started or stopped announcing one, or raised it much.
+    /// Records a rate. Returns whether the target started or stopped announcing one, or raised it
+    /// much.
     fn record(
         &mut self,
         now: Instant,
@@ -478,7 +479,7 @@
     }
 
     /// Records that an allocator did not answer a claim.
-    pub fn record_timeout(&mut self, now: Instant, target: u64, allocator: u64) {
+    pub fn record_unanswered_claim(&mut self, now: Instant, target: u64, allocator: u64) {
         if let Some(rate_state) = self.targets.get_mut(&target) {
             for assignment in [Assignment::Primary, Assignment::Overflow] {
                 rate_state
