--- a/src/account.rs
+++ b/src/account.rs
@@ -92,7 +92,7 @@
         other: Arc<str>,
     },
     /// A quota is not a valid number of requests.
-    #[error("account {account}: the quota is not above zero")]
+    #[error("account {account}: the quota needs a rate above zero and a burst of at least zero")]
     Quota {
         /// The account.
         account: Arc<str>,
--- a/src/steer/allowance.rs
+++ b/src/steer/allowance.rs
@@ -139,7 +139,7 @@
 
 /// Refusal of a request beyond the quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the quota is used up for {retry_after:?}")]
+#[error("the quota is used up, retry after {retry_after:?}")]
 pub struct Refusal {
     /// Time until the account may have a token again.
     pub retry_after: Duration,
--- a/src/steer/dedupe.rs
+++ b/src/steer/dedupe.rs
@@ -263,8 +263,8 @@
         let Some(record) = self.records.get_mut(&permit.record_key) else {
             return Vec::new();
         };
-        let is_settled = matches!(record.state, State::Answered(_));
-        if record.serial != permit.serial || is_settled {
+        let is_answered = matches!(record.state, State::Answered(_));
+        if record.serial != permit.serial || is_answered {
             return Vec::new();
         }
         let waiters = match &mut record.state {
@@ -342,13 +342,13 @@
     /// are kept.
     fn prune(&mut self, limit: usize) {
         let expired = self.by_generation.range(..self.oldest_accepted);
-        let is_settled = |record_key: &&RecordKey| match self.records.get(*record_key) {
+        let has_ended = |record_key: &&RecordKey| match self.records.get(*record_key) {
             Some(record) => !matches!(record.state, State::Running(_)),
             None => true,
         };
         let record_keys: Vec<RecordKey> = expired
             .flat_map(|(_, record_keys)| record_keys)
-            .filter(is_settled)
+            .filter(has_ended)
             .take(limit)
             .cloned()
             .collect();
--- a/src/steer/group.rs
+++ b/src/steer/group.rs
@@ -738,7 +738,7 @@
 
     /// Recomputes the statistics of the whole group and the candidates.
     fn refresh_stats(&mut self, now: Instant) {
-        self.restore_excess(now);
+        self.restore_excess_ejections(now);
         for member in &mut self.members {
             member.limit.decay_excess(now);
         }
@@ -783,7 +783,7 @@
 
     /// Restores ejected targets while more than [`MAX_EJECTED_SHARE`] of the slots is ejected, as happens
     /// when other targets drain.
-    fn restore_excess(&mut self, now: Instant) {
+    fn restore_excess_ejections(&mut self, now: Instant) {
         loop {
             let slots: u32 = serving(&self.members).map(|member| member.slots).sum();
             let in_rotation_slots: u32 =
