--- a/src/steer/fleet/member.rs
+++ b/src/steer/fleet/member.rs
@@ -39,7 +39,7 @@
     pub(super) region: Arc<str>,
     /// Whether it is in the region of this host.
     pub(super) is_local: bool,
-    pub(super) seed: u64,
+    pub(super) id_hash: u64,
     pub(super) in_flight: u32,
     pub(super) report: Option<LoadReport>,
     pub(super) cold_until: Option<Instant>,
@@ -62,7 +62,7 @@
 impl Member {
     /// Returns a digest of its identity and process.
     pub fn digest(&self) -> u64 {
-        self.seed ^ self.registration.born.unwrap_or_default()
+        self.id_hash ^ self.registration.born.unwrap_or_default()
     }
 
     /// Returns the identity of its process.
@@ -132,7 +132,7 @@
     pub service_time: f64,
     /// Whether it is not ejected.
     pub is_in_use: bool,
-    /// The requests a second that it accepts from all hosts, if it names a rate.
+    /// The requests a second that it accepts from all hosts, if it announces a rate.
     pub rate: Option<f64>,
     /// If it is cold, the requests a second that this host may send to it.
     pub cold_rate: Option<f64>,
--- a/src/steer/fleet/rate_limit.rs
+++ b/src/steer/fleet/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Rate limits that targets name: their allocation to hosts, and permission to send requests.
+//! Rate limits that targets announce: their allocation to hosts, and permission to send requests.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -20,7 +20,7 @@
     Granted,
     /// It may not be sent; the target is skipped until there may be capacity.
     Denied,
-    /// The host of this name has to be sent a claim.
+    /// A claim has to be sent to the host of this name first.
     Ask(Arc<str>, Claim),
 }
 
@@ -47,21 +47,22 @@
         let claim = Claim(self.claim_count, update, assignment);
         if allocators
             .iter()
-            .any(|allocator| allocator.seed == self.own_host.seed)
+            .any(|allocator| allocator.name_hash == self.own_host.name_hash)
         {
             let grant = self
                 .throttle
                 .grant(now, &claim, true, self.live_hosts.len());
-            self.throttle.record_grant(now, self.own_host.seed, &grant);
+            self.throttle
+                .record_grant(now, self.own_host.name_hash, &grant);
             if self.throttle.spend(now, target) {
                 return Permission::Granted;
             }
         }
         allocators.retain(|allocator| {
-            allocator.seed != self.own_host.seed
+            allocator.name_hash != self.own_host.name_hash
                 && !self
                     .throttle
-                    .is_paused(now, target, allocator.seed, assignment)
+                    .is_paused(now, target, allocator.name_hash, assignment)
         });
         match allocators.into_iter().choose(rng) {
             Some(allocator) => Permission::Ask(allocator.name, claim),
@@ -73,7 +74,7 @@
     }
 
     /// Whether a request may be sent after its claim was answered: it was granted, or the target no
-    /// longer names a rate.
+    /// longer announces a rate.
     pub fn use_grant(&mut self, now: Instant, key: TargetKey) -> bool {
         let Some(target) = self.members.get(&key).map(Member::digest) else {
             return false;
@@ -105,10 +106,11 @@
     /// Records that a claim was not answered.
     pub fn record_unanswered_claim(&mut self, now: Instant, allocator: &str, claim: &Claim) {
         let allocator = xxh3_64(allocator.as_bytes());
-        self.throttle.record_timeout(now, claim.1 .0, allocator);
+        self.throttle
+            .record_unanswered_claim(now, claim.1 .0, allocator);
     }
 
-    /// Records the rate that a target's answer names; the request was sent at `sent_at`. Returns
+    /// Records the rate that a target's answer announces; the request was sent at `sent_at`. Returns
     /// the update to broadcast to all hosts, if any.
     pub fn observe_rate(
         &mut self,
@@ -122,7 +124,7 @@
     }
 
     /// Merges the rate that another host has. Returns the target if it thereby started or stopped
-    /// naming a rate.
+    /// announcing a rate.
     pub fn merge_rate(&mut self, now: Instant, update: &RateUpdate) -> Option<Arc<str>> {
         if !self.throttle.merge_update(now, update) {
             return None;
@@ -134,7 +136,7 @@
         known.map(|member| member.id().clone())
     }
 
-    /// Returns the rates that targets name, to be sent to other hosts.
+    /// Returns the rates that targets announce, to be sent to other hosts.
     pub fn rate_updates(&self, now: Instant) -> impl Iterator<Item = RateUpdate> + '_ {
         self.throttle.updates(now)
     }
@@ -156,7 +158,7 @@
             .closed_for(now, member.digest(), assignment, self.live_hosts.len())
     }
 
-    /// Whether a target names a rate.
+    /// Whether a target announces a rate.
     pub(super) fn is_limited(&self, member: &Member) -> bool {
         self.throttle.rate(member.digest()).is_some()
     }
