--- a/src/entry/background.rs
+++ b/src/entry/background.rs
@@ -18,7 +18,7 @@
 /// Threads of the pool.
 const THREADS: usize = 16;
 /// Maximum number of queued tasks.
-const BACKLOG: usize = 256;
+const MAX_QUEUED_TASKS: usize = 256;
 /// Time limit of the call that cancels a request at a target.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
 
@@ -37,23 +37,23 @@
 
 /// Creates the task queue.
 pub(crate) fn task_queue() -> (TaskSender, Receiver<BackgroundTask>) {
-    bounded(BACKLOG)
+    bounded(MAX_QUEUED_TASKS)
 }
 
 /// Starts the threads. They end when all senders of the queue are dropped.
-pub(crate) fn start(shared: &Arc<Shared>, work: &Receiver<BackgroundTask>) -> Result<(), Error> {
+pub(crate) fn start(shared: &Arc<Shared>, tasks: &Receiver<BackgroundTask>) -> Result<(), Error> {
     for index in 0..THREADS {
         let shared = Arc::downgrade(shared);
-        let work = work.clone();
+        let tasks = tasks.clone();
         thread::Builder::new()
             .name(format!("later-{index}"))
-            .spawn(move || run(&shared, &work))?;
+            .spawn(move || run(&shared, &tasks))?;
     }
     Ok(())
 }
 
-fn run(shared: &Weak<Shared>, work: &Receiver<BackgroundTask>) {
-    for task in work {
+fn run(shared: &Weak<Shared>, tasks: &Receiver<BackgroundTask>) {
+    for task in tasks {
         let Some(shared) = shared.upgrade() else {
             return;
         };
--- a/src/entry/body.rs
+++ b/src/entry/body.rs
@@ -10,11 +10,11 @@
     /// The complete body, which can be sent again.
     Whole(Arc<[u8]>),
     /// The beginning of the body; the rest is still to be read.
-    Part(Part),
+    Partial(PartialBody),
 }
 
 /// The beginning of a body whose rest is still to be read.
-pub(crate) struct Part {
+pub(crate) struct PartialBody {
     /// The bytes read so far.
     buffered: Vec<u8>,
     /// Number of bytes hashed for the request's fingerprint, independent of how the body is transferred.
@@ -55,7 +55,7 @@
             return Err(Error::Oversize(max_length));
         }
         let hashed = max_buffered.min(HASHED_BODY_BYTES as u64);
-        let mut part = Part {
+        let mut part = PartialBody {
             buffered: Vec::new(),
             hashed: hashed as usize,
             length,
@@ -73,10 +73,10 @@
             .map_err(Error::Short)?;
         let count = part.buffered.len() as u64;
         match length {
-            Some(_) if is_streamed && count == limit => Ok(Self::Part(part)),
+            Some(_) if is_streamed && count == limit => Ok(Self::Partial(part)),
             Some(length) if count < length => Err(Error::Short(unexpected_end(count, length))),
             None if count > max_length => Err(Error::Oversize(max_length)),
-            None if count > max_buffered => Ok(Self::Part(part)),
+            None if count > max_buffered => Ok(Self::Partial(part)),
             _ => Ok(Self::Whole(part.buffered.into())),
         }
     }
@@ -87,7 +87,7 @@
     pub(crate) fn content(&self) -> &[u8] {
         match self {
             Self::Whole(bytes) => bytes,
-            Self::Part(part) => &part.buffered[..part.hashed.min(part.buffered.len())],
+            Self::Partial(part) => &part.buffered[..part.hashed.min(part.buffered.len())],
         }
     }
 }
@@ -97,7 +97,7 @@
     io::Error::new(io::ErrorKind::UnexpectedEof, text)
 }
 
-impl Part {
+impl PartialBody {
     /// Returns a reader for the whole body, given a reader for the `rest`.
     pub(crate) fn stream<'a>(&'a self, rest: &'a mut dyn Read) -> Stream<'a> {
         Stream {
--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -123,7 +123,7 @@
             lock(&self.timing).queued += requested.elapsed();
             let step = match verdict {
                 Verdict::Refused(refusal) => return self.refuse(shared, refusal),
-                Verdict::Host(pass) => self.try_host(shared, pass),
+                Verdict::Host(permit) => self.try_host(shared, permit),
                 Verdict::Target { grant, hedge } => {
                     self.schedule_hedge(shared, hedge);
                     self.try_target(shared, grant)
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Runs the hedge that the core granted; falls back to retries if it fails.
+    /// Runs the hedge that the core granted; falls usage to retries if it fails.
     pub(crate) fn run_hedge(self: &Arc<Self>, shared: &Arc<Shared>, grant: group::Grant) {
         if self.try_target(shared, grant) == Step::Retry {
             self.run(shared);
@@ -222,7 +222,7 @@
         lock(&self.timing).in_attempts += latency;
         match result {
             Ok(answer) => {
-                // A refusal may come without the rate header, which does not mean that the limit is gone.
+                // A refusal may come without the rate header, which does not mean that the target has no limit any more.
                 if !answer.refused || answer.rate != Rate::Absent {
                     shared.core.send_rate(target, started, &answer.rate);
                 }
@@ -274,7 +274,7 @@
     fn send_body<T>(&self, send: impl FnOnce(RequestBody<'_, '_>) -> T) -> T {
         let part = match &self.context.body {
             Body::Whole(bytes) => return send(RequestBody::Whole(bytes)),
-            Body::Part(part) => part,
+            Body::Partial(part) => part,
         };
         let mut requester = lock(&self.requester);
         let mut rest: Box<dyn Read + '_> = match requester.as_mut() {
@@ -294,25 +294,28 @@
     }
 
     /// Makes one attempt through an entry host of another zone.
-    fn try_host(&self, shared: &Shared, pass: RelayPermit) -> Step {
+    fn try_host(&self, shared: &Shared, permit: RelayPermit) -> Step {
         let started = Instant::now();
-        let key = match self.tracker().start(started, Destination::Host(pass.host)) {
+        let key = match self
+            .tracker()
+            .start(started, Destination::Host(permit.host))
+        {
             Ok(key) => key,
             Err(error) => {
                 spdlog::debug!("call: no further try: {error}");
                 shared
                     .core
-                    .send(Event::RelayFinished(pass, PermitUsage::Unused));
+                    .send(Event::RelayFinished(permit, PermitUsage::Unused));
                 return Step::Late;
             }
         };
-        let (result, bytes) = self.call_host(shared, pass.host, relay::Purpose::Dispatch);
+        let (result, bytes) = self.call_host(shared, permit.host, relay::Purpose::Dispatch);
         lock(&self.timing).in_attempts += started.elapsed();
-        let back = match &result {
+        let usage = match &result {
             Err(relay::Failure { cause, .. }) if relay::is_not_sent(*cause) => PermitUsage::Unused,
             _ => PermitUsage::Used { bytes },
         };
-        shared.core.send(Event::RelayFinished(pass, back));
+        shared.core.send(Event::RelayFinished(permit, usage));
         self.handle_host_result(shared, key, result)
     }
 
@@ -523,7 +526,7 @@
         step
     }
 
-    /// Ends the request because its requester is gone.
+    /// Ends the request because its requester has disconnected.
     pub(crate) fn abandon(&self, shared: &Shared) {
         let end = self.tracker().abandon(Reason::CallerGone, |_| Stage::Sent);
         if let Some(end) = end {
@@ -549,7 +552,7 @@
         if let Some(run) = lock(&self.key_run).take() {
             shared.core.send(Event::EndKey(
                 run,
-                idempotency::to_key_end(outcome, reply.as_ref()),
+                idempotency::to_run_outcome(outcome, reply.as_ref()),
             ));
         }
         self.record_metrics(shared, outcome);
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Tells the agent that this host is leaving.
+    /// Notifies the agent that this host is leaving.
     pub(crate) fn leave(&mut self, now: Instant) {
         if let Some(agent) = &mut self.agent {
             agent.leave(now);
@@ -131,7 +131,7 @@
         let Some(agent) = &mut self.agent else {
             return;
         };
-        // An empty list means that the platform knows nothing, not that no host is running.
+        // An empty list means that the platform has no information, not that no host is running.
         if hosts.is_empty() {
             return;
         }
@@ -420,7 +420,7 @@
             return (view, free);
         };
         for (zone, status) in agent.zone_statuses() {
-            let standing = match to_standing(status) {
+            let standing = match to_zone_health(status) {
                 // Zones often fail together: no traffic moves to a zone that is not heard from, since it may be lost next.
                 ZoneHealth::Alive if !agent.is_heard(zone) => ZoneHealth::Unknown,
                 standing => standing,
@@ -450,7 +450,7 @@
     }
 }
 
-fn to_standing(status: ZoneStatus) -> ZoneHealth {
+fn to_zone_health(status: ZoneStatus) -> ZoneHealth {
     match status {
         ZoneStatus::Alive => ZoneHealth::Alive,
         ZoneStatus::Lost => ZoneHealth::Lost,
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -81,13 +81,13 @@
     Hedge(Weak<Call>, Duration),
     /// Starts or joins the run of an idempotency key.
     BeginKey {
-        /// Its service.
+        /// The service of the request.
         service: ServiceKey,
-        /// Its key.
+        /// The idempotency key.
         key: Arc<str>,
-        /// The generation of its ticket.
+        /// The generation of the ticket sent with the key.
         generation: Generation,
-        /// Distinguishes it from another request with the same key.
+        /// Distinguishes the request from another one with the same key.
         identity: Identity,
         /// Receives whether the request may run.
         reply: Sender<Admission>,
@@ -178,7 +178,7 @@
         Ok(Verdict::Target { grant, .. }) => {
             handle.send(Event::TargetFinished(grant, group::Report::unused()));
         }
-        Ok(Verdict::Host(pass)) => handle.send(Event::RelayFinished(pass, PermitUsage::Unused)),
+        Ok(Verdict::Host(permit)) => handle.send(Event::RelayFinished(permit, PermitUsage::Unused)),
         _ => {}
     }
 }
@@ -303,7 +303,7 @@
             }
             Event::TargetRate(target, at, rate) => self.apply_target_rate(now, target, at, &rate),
             Event::RequestDone(id) => self.engine.release_suspect_permit(id),
-            Event::RelayFinished(pass, back) => self.engine.finish_relay(now, &pass, back),
+            Event::RelayFinished(permit, usage) => self.engine.finish_relay(now, &permit, usage),
             Event::Hedge(call, after) => {
                 after!(after, [cx], hedge(call));
             }
@@ -418,7 +418,7 @@
         self.publish_rate_limited_targets();
     }
 
-    /// Publishes the targets with a rate to the workers: only from these is an answer without a rate reported.
+    /// Publishes the targets with a rate to the workers, which report an answer without a rate only for these.
     fn publish_rate_limited_targets(&self) {
         self.handle
             .rate_limited
@@ -528,9 +528,9 @@
                     background::return_grant(&self.handle, full.into_inner());
                 }
             }
-            Some(Verdict::Host(pass)) => {
+            Some(Verdict::Host(permit)) => {
                 self.engine
-                    .finish_relay(cx.now(), &pass, PermitUsage::Unused);
+                    .finish_relay(cx.now(), &permit, PermitUsage::Unused);
             }
             Some(Verdict::Refused(_)) => {}
             None => self.engine.cancel(id),
--- a/src/entry/idempotency.rs
+++ b/src/entry/idempotency.rs
@@ -17,8 +17,8 @@
 use crate::steer::engine::Refusal;
 use crate::steer::ticket::{Generation, TicketOwner};
 
-/// Converts the outcome of a request to the end of its key's run.
-pub(crate) fn to_key_end(outcome: Outcome, reply: Option<&Reply>) -> RunOutcome {
+/// Converts the outcome of a request to the outcome of its key's run.
+pub(crate) fn to_run_outcome(outcome: Outcome, reply: Option<&Reply>) -> RunOutcome {
     match (outcome, reply) {
         (Outcome::NotRun(_), _) => RunOutcome::NotRun,
         (Outcome::Answered, Some(reply)) => RunOutcome::Answered(to_stored_answer(reply)),
@@ -138,7 +138,7 @@
 fn identity(context: &RequestContext) -> Identity {
     let body = match &context.body {
         Body::Whole(bytes) => Some(&bytes[..]),
-        Body::Part(_) => None,
+        Body::Partial(_) => None,
     };
     let head = &context.head;
     Identity::new(&head.method, &head.path, head.length, body)
--- a/src/entry/platform.rs
+++ b/src/entry/platform.rs
@@ -98,14 +98,14 @@
     }
 
     fn watch(&self) {
-        let guard = GuardedClient::new(Client::new(&self.url));
+        let guarded_client = GuardedClient::new(Client::new(&self.url));
         let mut rng = Pcg64Mcg::seed_from_u64(self.seed);
         let mut after = 0;
         let mut seen = Arc::new(Fetched::default());
         while self.is_running() {
-            let mut failed = !self.refresh(&guard, &mut seen);
+            let mut failed = !self.refresh(&guarded_client, &mut seen);
             if self.is_watcher() && !failed {
-                match guard.watch(publication::HEAD_KEY, after, WATCH_TIMEOUT) {
+                match guarded_client.watch(publication::HEAD_KEY, after, WATCH_TIMEOUT) {
                     Ok(events) => after = events.version,
                     Err(error) => {
                         spdlog::warn!("platform: {error}");
@@ -131,12 +131,12 @@
 
     /// Fetches a newer revision, if there is one. Returns whether the platform answered. A revision
     /// already in `seen` is not fetched again, even if it is invalid and never came into force.
-    fn refresh(&self, guard: &GuardedClient, seen: &mut Arc<Fetched>) -> bool {
+    fn refresh(&self, guarded_client: &GuardedClient, seen: &mut Arc<Fetched>) -> bool {
         let current = self.current.fetched();
         if current.revision >= seen.revision {
             *seen = current;
         }
-        match publication::fetch(guard, seen) {
+        match publication::fetch(guarded_client, seen) {
             Ok(Some(fetched)) => {
                 let revision = fetched.revision;
                 *seen = Arc::new(fetched.clone());
@@ -162,16 +162,16 @@
 
     fn execute_commands(&self, commands: &Receiver<StoreCommand>) {
         let client = Client::new(&self.url).with_timeout(Duration::from_secs(2));
-        let guard = GuardedClient::new(client);
+        let guarded_client = GuardedClient::new(client);
         let mut next_list = Instant::now();
         while self.is_running() {
             match commands.recv_timeout(CHECK_INTERVAL) {
                 Ok(StoreCommand::Lease(command)) => {
-                    let event = execute_lease(&guard, command);
+                    let event = execute_lease(&guarded_client, command);
                     self.core.send(Event::LeaseResult(event));
                 }
                 Ok(StoreCommand::Plan(command, record)) => {
-                    let (event, found) = execute_plan(&guard, command, &record);
+                    let (event, found) = execute_plan(&guarded_client, command, &record);
                     if let Some(found) = found {
                         self.core.send(Event::StoredPlan(Box::new(found)));
                     }
@@ -182,7 +182,7 @@
             }
             if self.is_delegate.load(Ordering::Relaxed) && Instant::now() >= next_list {
                 next_list = Instant::now() + HOST_LIST_INTERVAL;
-                match guard.hosts() {
+                match guarded_client.hosts() {
                     Ok(hosts) => self.core.send(Event::HostList(hosts)),
                     Err(error) => spdlog::debug!("platform: {error}"),
                 }
@@ -191,9 +191,9 @@
     }
 }
 
-fn execute_lease(guard: &GuardedClient, command: lease::Command) -> lease::Event {
+fn execute_lease(guarded_client: &GuardedClient, command: lease::Command) -> lease::Event {
     match command {
-        lease::Command::Read => match read_object::<Lease>(guard, LEASE_KEY) {
+        lease::Command::Read => match read_object::<Lease>(guarded_client, LEASE_KEY) {
             Ok(found) => lease::Event::Read(
                 found.map(|found| (to_version(found.version), to_value(found.value))),
             ),
@@ -203,7 +203,8 @@
             }
         },
         lease::Command::Write { value, condition } => {
-            let written = guard.put(LEASE_KEY, &to_lease(&value), to_condition(&condition));
+            let written =
+                guarded_client.put(LEASE_KEY, &to_lease(&value), to_condition(&condition));
             match written {
                 Ok(Written { version: number }) => lease::Event::Written(to_version(number)),
                 Err(StoreError::Conflict { .. }) => lease::Event::Conflict,
@@ -216,14 +217,14 @@
 
 /// Executes a command on the plan. Returns the result and the plan if one was read.
 fn execute_plan(
-    guard: &GuardedClient,
+    guarded_client: &GuardedClient,
     command: publish::Command,
     record: &PlanRecord,
 ) -> (publish::Event, Option<PlanRecord>) {
     let publish::Command::Write { condition, .. } = command else {
-        return read_plan(guard);
+        return read_plan(guarded_client);
     };
-    let event = match guard.put(PLAN_KEY, record, to_condition(&condition)) {
+    let event = match guarded_client.put(PLAN_KEY, record, to_condition(&condition)) {
         Ok(Written { version: number }) => publish::Event::Written(to_version(number)),
         Err(StoreError::Conflict { .. }) => publish::Event::Conflict,
         Err(StoreError::Uncertain { .. }) => publish::Event::Uncertain,
@@ -232,8 +233,8 @@
     (event, None)
 }
 
-fn read_plan(guard: &GuardedClient) -> (publish::Event, Option<PlanRecord>) {
-    match read_object::<PlanRecord>(guard, PLAN_KEY) {
+fn read_plan(guarded_client: &GuardedClient) -> (publish::Event, Option<PlanRecord>) {
+    match read_object::<PlanRecord>(guarded_client, PLAN_KEY) {
         Ok(Some(found)) => {
             let seen = (to_version(found.version), found.value.stamp);
             (publish::Event::Read(Some(seen)), Some(found.value))
@@ -247,10 +248,10 @@
 }
 
 fn read_object<T: DeserializeOwned>(
-    guard: &GuardedClient,
+    guarded_client: &GuardedClient,
     key: &str,
 ) -> Result<Option<Versioned<T>>, StoreError> {
-    let found: Option<Versioned<Value>> = guard.get(key)?;
+    let found: Option<Versioned<Value>> = guarded_client.get(key)?;
     found.map(Versioned::deserialize).transpose()
 }
 
--- a/src/entry/watchdog.rs
+++ b/src/entry/watchdog.rs
@@ -17,7 +17,7 @@
 /// Number of shards of the table, each with its own lock.
 const SHARDS: usize = 16;
 
-/// What is done to the connection when the time is expired.
+/// What is done to the connection when its time has expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TimeoutAction {
     /// Close it for reading; the caller can still be answered.
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -27,7 +27,7 @@
 /// The socket type of links.
 pub(crate) type Socket = WebSocketStream<TcpStream>;
 
-/// Bytes after which a batch_bytes of frames is flushed. Later control frames queue behind the batch_bytes.
+/// Bytes after which a batch of frames is flushed. Later control frames queue behind the batch.
 const FLUSH_THRESHOLD_BYTES: usize = 32 << 10;
 
 /// Pongs that an otherwise unused link sends within the silence timeout.
--- a/src/store/confirmed_write.rs
+++ b/src/store/confirmed_write.rs
@@ -1,7 +1,7 @@
 //! Writes whose result is confirmed by reading the object back when the answer was lost.
 //!
 //! Each value carries the identity of the write that made it. A writer without an answer reads the
-//! object back: its own identity means that the write took effect. While the object stands at the
+//! object back: its own identity means that the write took effect. While the object is at the
 //! version that the condition requires, the write may still be in transit, so reading alone proves
 //! nothing; it is sent again under the same condition, and the platform lets at most one of the two
 //! take effect. Once the object has a later version, the condition can never hold again.
