--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -207,8 +207,8 @@
     fn try_target(&self, shared: &Shared, grant: group::Grant) -> Step {
         let target = grant.target();
         let started = Instant::now();
-        let key = match self.tracker().start(started, Destination::Target(target)) {
-            Ok(key) => key,
+        let attempt_id = match self.tracker().start(started, Destination::Target(target)) {
+            Ok(attempt_id) => attempt_id,
             Err(error) => {
                 spdlog::debug!("call: no further try: {error}");
                 shared
@@ -226,7 +226,7 @@
                 if !answer.refused || answer.rate != Rate::Absent {
                     shared.core.send_rate(target, started, &answer.rate);
                 }
-                self.handle_answer(shared, key, grant, answer, started)
+                self.handle_answer(shared, attempt_id, grant, answer, started)
             }
             Err(error) => {
                 let cause = failure_of_error(&error);
@@ -243,7 +243,7 @@
                     self.context.id,
                     self.target_name(target)
                 );
-                self.handle_failure(shared, key, cause, DEFAULT_RETRY_AFTER, None)
+                self.handle_failure(shared, attempt_id, cause, DEFAULT_RETRY_AFTER, None)
             }
         }
     }
@@ -296,11 +296,11 @@
     /// Makes one attempt through an entry host of another zone.
     fn try_host(&self, shared: &Shared, permit: RelayPermit) -> Step {
         let started = Instant::now();
-        let key = match self
+        let attempt_id = match self
             .tracker()
             .start(started, Destination::Host(permit.host))
         {
-            Ok(key) => key,
+            Ok(attempt_id) => attempt_id,
             Err(error) => {
                 spdlog::debug!("call: no further try: {error}");
                 shared
@@ -316,31 +316,31 @@
             _ => PermitUsage::Used { bytes },
         };
         shared.core.send(Event::RelayFinished(permit, usage));
-        self.handle_host_result(shared, key, result)
+        self.handle_host_result(shared, attempt_id, result)
     }
 
     fn handle_host_result(
         &self,
         shared: &Shared,
-        key: AttemptId,
+        attempt_id: AttemptId,
         result: Result<relay::Answer, relay::Failure>,
     ) -> Step {
         match result {
             Ok(relay::Answer::Whole(reply)) => {
-                let step = self.tracker().record_answer(key);
+                let step = self.tracker().record_answer(attempt_id);
                 self.finish_attempt(shared, step, DEFAULT_RETRY_AFTER, Some(reply))
             }
             Ok(relay::Answer::Stream(reply)) => {
-                let Some(cancel) = self.tracker().select_winner(key) else {
+                let Some(cancel) = self.tracker().select_winner(attempt_id) else {
                     shared.metrics.count_late_answer();
                     return Step::Late;
                 };
                 self.cancel_attempts(shared, &cancel);
-                let step = self.tracker().record_answer(key);
+                let step = self.tracker().record_answer(attempt_id);
                 self.finish_attempt(shared, step, DEFAULT_RETRY_AFTER, Some(reply))
             }
             Err(failure) => {
-                self.handle_failure(shared, key, failure.cause, failure.retry_after, None)
+                self.handle_failure(shared, attempt_id, failure.cause, failure.retry_after, None)
             }
         }
     }
@@ -361,7 +361,7 @@
 
     /// Relays the request to the home host of its ticket, the only one that may run it.
     pub(crate) fn run_at_home(&self, shared: &Shared, host: HostKey) {
-        let Ok(key) = self
+        let Ok(attempt_id) = self
             .tracker()
             .start(Instant::now(), Destination::Host(host))
         else {
@@ -378,7 +378,7 @@
             },
             _ => failure,
         });
-        if self.handle_host_result(shared, key, result) == Step::Retry {
+        if self.handle_host_result(shared, attempt_id, result) == Step::Retry {
             self.refuse(shared, Refusal::new(Reason::HomeUnreachable));
         }
     }
@@ -387,7 +387,7 @@
     fn handle_answer(
         &self,
         shared: &Shared,
-        key: AttemptId,
+        attempt_id: AttemptId,
         grant: group::Grant,
         mut answer: Answer,
         started: Instant,
@@ -396,7 +396,7 @@
             .length
             .is_some_and(|length| length > MAX_BUFFERED_ANSWER_BYTES);
         if is_large && &*self.context.head.method != "HEAD" {
-            return self.stream_answer(shared, key, grant, answer, started);
+            return self.stream_answer(shared, attempt_id, grant, answer, started);
         }
         let buffered = read_whole(&mut answer, &self.context.head.method);
         let cause = match &buffered {
@@ -416,7 +416,7 @@
         report_finish(shared, grant, end, &answer, started);
         match (buffered, cause) {
             (Ok(body), None) => {
-                let step = self.tracker().record_answer(key);
+                let step = self.tracker().record_answer(attempt_id);
                 self.finish_attempt(
                     shared,
                     step,
@@ -426,9 +426,11 @@
             }
             (Ok(body), Some(cause)) => {
                 let reply = to_reply(answer, body);
-                self.handle_failure(shared, key, cause, DEFAULT_RETRY_AFTER, Some(reply))
+                self.handle_failure(shared, attempt_id, cause, DEFAULT_RETRY_AFTER, Some(reply))
+            }
+            (Err(cause), _) => {
+                self.handle_failure(shared, attempt_id, cause, DEFAULT_RETRY_AFTER, None)
             }
-            (Err(cause), _) => self.handle_failure(shared, key, cause, DEFAULT_RETRY_AFTER, None),
         }
     }
 
@@ -436,12 +438,12 @@
     fn stream_answer(
         &self,
         shared: &Shared,
-        key: AttemptId,
+        attempt_id: AttemptId,
         grant: group::Grant,
         mut answer: Answer,
         started: Instant,
     ) -> Step {
-        let Some(cancel) = self.tracker().select_winner(key) else {
+        let Some(cancel) = self.tracker().select_winner(attempt_id) else {
             report_finish(shared, grant, group::End::Cancelled, &answer, started);
             shared.metrics.count_late_answer();
             return Step::Late;
@@ -456,7 +458,7 @@
         });
         let load = (answer.load, answer.state.clone());
         let reply = to_reply(answer, reply::Body::Stream(body, length));
-        let step = self.tracker().record_answer(key);
+        let step = self.tracker().record_answer(attempt_id);
         let step = self.finish_attempt(shared, step, DEFAULT_RETRY_AFTER, Some(reply));
         let fingerprint = self.context.fingerprint;
         let end = if failed.load(Ordering::Relaxed) {
@@ -497,7 +499,7 @@
     fn handle_failure(
         &self,
         shared: &Shared,
-        key: AttemptId,
+        attempt_id: AttemptId,
         cause: FailurePoint,
         retry_after: Duration,
         reply: Option<Reply>,
@@ -505,7 +507,7 @@
         // The core checks the retry budget when the next attempt is requested.
         let step = self
             .tracker()
-            .record_failure(Instant::now(), key, cause, || true);
+            .record_failure(Instant::now(), attempt_id, cause, || true);
         self.finish_attempt(shared, step, retry_after, reply)
     }
 
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -230,7 +230,7 @@
         shares: &SplitTable,
     ) {
         if let Some(agent) = &mut self.agent {
-            let moving = agent
+            let unsettled_services = agent
                 .splits()
                 .into_iter()
                 .filter(|(key, planned)| {
@@ -241,7 +241,7 @@
                 })
                 .map(|((service, _), _)| service)
                 .collect();
-            agent.set_loads(now, loads, moving);
+            agent.set_loads(now, loads, unsettled_services);
         }
     }
 
@@ -420,12 +420,12 @@
             return (view, free);
         };
         for (zone, status) in agent.zone_statuses() {
-            let standing = match to_zone_health(status) {
+            let zone_health = match to_zone_health(status) {
                 // Zones often fail together: no traffic moves to a zone that is not heard from, since it may be lost next.
                 ZoneHealth::Alive if !agent.is_heard(zone) => ZoneHealth::Unknown,
-                standing => standing,
+                zone_health => zone_health,
             };
-            view.zones.insert(zone, standing);
+            view.zones.insert(zone, zone_health);
         }
         let utilization = self.catalog.limits().utilization;
         for (service, _) in self.catalog.services() {
--- a/src/entry/idempotency.rs
+++ b/src/entry/idempotency.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// Returns the answer to store for later copies; none if its body is not buffered or it exceeds [`MAX_ANSWER`].
+/// Returns the answer to store for later copies; none if its body is not buffered or it exceeds [`MAX_STORED_ANSWER_BYTES`].
 fn to_stored_answer(reply: &Reply) -> Option<Arc<Answer>> {
     let reply::Body::Whole(body) = &reply.body else {
         return None;
--- a/src/entry/pipelining.rs
+++ b/src/entry/pipelining.rs
@@ -23,7 +23,7 @@
 const CLOSED_RETENTION: Duration = Duration::from_secs(5);
 
 /// The connections with unanswered requests.
-pub(crate) struct Turns {
+pub(crate) struct ConnectionTable {
     shards: [Mutex<BTreeMap<SocketAddr, Connection>>; SHARDS],
     ready: Sender<Request>,
 }
@@ -44,7 +44,7 @@
     Closed(Instant),
 }
 
-impl Turns {
+impl ConnectionTable {
     /// Creates an empty table; queued requests are sent to `ready` when their turn comes.
     pub(crate) fn new(ready: Sender<Request>) -> Arc<Self> {
         Arc::new(Self {
@@ -54,15 +54,15 @@
     }
 
     /// Returns the request if it is its turn; otherwise queues it.
-    pub(crate) fn admit(turns: &Arc<Self>, request: Request) -> Option<Request> {
+    pub(crate) fn admit(connections: &Arc<Self>, request: Request) -> Option<Request> {
         let Some(peer) = request.remote_addr().copied() else {
             return Some(request);
         };
-        let mut shard = turns.shard(peer);
+        let mut shard = connections.shard(peer);
         let Some(connection) = shard.get_mut(&peer) else {
             shard.insert(peer, Connection::default());
             drop(shard);
-            return Some(request.with_turn(Turn::new(turns, peer)));
+            return Some(request.with_turn(Turn::new(connections, peer)));
         };
         match connection.state {
             State::Busy => {
@@ -83,7 +83,7 @@
             State::Closed(_) => {
                 connection.state = State::Busy;
                 drop(shard);
-                Some(request.with_turn(Turn::new(turns, peer)))
+                Some(request.with_turn(Turn::new(connections, peer)))
             }
         }
     }
@@ -109,16 +109,16 @@
     }
 
     /// Called when the current request is answered: passes on the next one of the connection.
-    fn finish(turns: &Arc<Self>, peer: SocketAddr) {
-        let mut shard = turns.shard(peer);
+    fn finish(connections: &Arc<Self>, peer: SocketAddr) {
+        let mut shard = connections.shard(peer);
         let Some(connection) = shard.get_mut(&peer) else {
             return;
         };
         match connection.queue.pop_front() {
             Some(next) => {
                 drop(shard);
-                let next = next.with_turn(Turn::new(turns, peer));
-                let _ = turns.ready.send(next);
+                let next = next.with_turn(Turn::new(connections, peer));
+                let _ = connections.ready.send(next);
             }
             None => {
                 shard.remove(&peer);
@@ -140,15 +140,15 @@
 
 /// The turn of one request on its connection. Dropping it ends the turn.
 pub(crate) struct Turn {
-    turns: Arc<Turns>,
+    connections: Arc<ConnectionTable>,
     peer: SocketAddr,
     closes_connection: bool,
 }
 
 impl Turn {
-    fn new(turns: &Arc<Turns>, peer: SocketAddr) -> Self {
+    fn new(connections: &Arc<ConnectionTable>, peer: SocketAddr) -> Self {
         Self {
-            turns: turns.clone(),
+            connections: connections.clone(),
             peer,
             closes_connection: false,
         }
@@ -163,9 +163,9 @@
 impl Drop for Turn {
     fn drop(&mut self) {
         if self.closes_connection {
-            self.turns.close(self.peer);
+            self.connections.close(self.peer);
         } else {
-            Turns::finish(&self.turns, self.peer);
+            ConnectionTable::finish(&self.connections, self.peer);
         }
     }
 }
--- a/src/entry/request.rs
+++ b/src/entry/request.rs
@@ -176,7 +176,9 @@
 
     fn deref(&self) -> &tiny_http::Request {
         // `inner` is taken only when the request is answered, which consumes it.
-        self.inner.as_ref().expect("a request that was answered")
+        self.inner
+            .as_ref()
+            .expect("the request has already been answered")
     }
 }
 
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -24,7 +24,7 @@
 use crossbeam_channel::{unbounded, Receiver as ChannelReceiver, RecvTimeoutError};
 use socket2::{Domain, Protocol, Socket, Type};
 
-use super::pipelining::Turns;
+use super::pipelining::ConnectionTable;
 use super::request::Request;
 use super::watchdog::{TimeoutAction, Watchdog};
 
@@ -68,7 +68,7 @@
     /// The flag of the newest server, set when that server is replaced.
     replaced: Mutex<Arc<AtomicBool>>,
     stop: AtomicBool,
-    turns: Arc<Turns>,
+    connections: Arc<ConnectionTable>,
     watchdog: Watchdog,
 }
 
@@ -108,7 +108,7 @@
             on_rebuild,
             replaced: Mutex::default(),
             stop: AtomicBool::new(false),
-            turns: Turns::new(ready),
+            connections: ConnectionTable::new(ready),
             watchdog: Watchdog::new()?,
         });
         Inner::serve(&inner)?;
@@ -207,7 +207,7 @@
             if Instant::now() < next_probe {
                 continue;
             }
-            inner.turns.purge(Instant::now());
+            inner.connections.purge(Instant::now());
             match inner.send_probe() {
                 Ok(()) => unanswered = 0,
                 Err(error) => {
@@ -281,7 +281,7 @@
             return Ok(Received::Nothing);
         };
         let request = Request::new(request, &self.inner.watchdog);
-        let admitted = Turns::admit(&self.inner.turns, request);
+        let admitted = ConnectionTable::admit(&self.inner.connections, request);
         Ok(admitted.map_or(Received::Queued, |request| {
             Received::Request(Box::new(request))
         }))
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -335,7 +335,7 @@
     }
 
     fn take_stream_frame(&self, channel: Arc<Channel>) -> Option<Bytes> {
-        let taken = channel.take_frame(self.next_number())?;
+        let taken = channel.take_frame(self.next_stream_number())?;
         if taken.is_open_frame {
             self.register_stream(&channel);
         }
@@ -349,7 +349,7 @@
     }
 
     /// The number for the next stream that this side opens.
-    fn next_number(&self) -> u64 {
+    fn next_stream_number(&self) -> u64 {
         let count = self.opened_streams.load(Ordering::Relaxed);
         stream_number(self.side, count)
     }
--- a/src/peer/mesh.rs
+++ b/src/peer/mesh.rs
@@ -287,7 +287,7 @@
             if left.is_zero() {
                 return Err(OpenError::Timeout(name));
             }
-            peer.wanted_until = peer.wanted_until.max(Some(until));
+            peer.requested_until = peer.requested_until.max(Some(until));
             self.ensure_maintainer(&mut table, &name);
             table = self.wait_for_change(table, left);
         }
@@ -337,7 +337,7 @@
         };
         let is_wanted = is_persistent
             || peer
-                .wanted_until
+                .requested_until
                 .is_some_and(|until| Instant::now() < until);
         let (Some(address), true, false) = (address, is_wanted, is_closing) else {
             peer.maintainer = None;
@@ -356,7 +356,7 @@
         let (pause, is_requested) = {
             let table = lock(&self.table);
             let peer = table.peers.get(host);
-            let requested_until = peer.and_then(|peer| peer.wanted_until);
+            let requested_until = peer.and_then(|peer| peer.requested_until);
             let pause = match peer.is_some_and(|peer| peer.preferred_link().is_some()) {
                 true => Duration::ZERO,
                 false => connect::jitter(self.config.backoff.0 / 2),
--- a/src/peer/peer_table.rs
+++ b/src/peer/peer_table.rs
@@ -29,7 +29,7 @@
     /// Wakes the task that maintains the link; none while no such task runs.
     pub(super) maintainer: Option<Arc<Notify>>,
     /// Until when a request waits for a link with a host that has none permanently.
-    pub(super) wanted_until: Option<Instant>,
+    pub(super) requested_until: Option<Instant>,
     pub(super) connect_failures: u64,
     /// When the next connection attempt may start.
     pub(super) retry_at: Option<Instant>,
