--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -421,7 +421,7 @@
         };
         for (zone, status) in agent.zone_statuses() {
             let zone_health = match to_zone_health(status) {
-                // Zones often fail together: no traffic moves to a zone that is not heard from, since it may be lost next.
+                // Zones often fail together: no traffic moves to a zone that sends no messages, since it may be lost next.
                 ZoneHealth::Alive if !agent.is_heard(zone) => ZoneHealth::Unknown,
                 zone_health => zone_health,
             };
--- a/src/entry/health.rs
+++ b/src/entry/health.rs
@@ -66,7 +66,7 @@
         let catalog = published.get().catalog.clone();
         for (key, target) in zone_targets(&catalog, zone).skip(index).step_by(THREADS) {
             if core.is_rate_limited(key) {
-                // A check would count against the target's rate, and its answers to requests carry its state.
+                // A check would count against the target's rate, and the answers to requests report the target's state anyway.
                 continue;
             }
             let (health, state) = check(&agent, target);
