--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Tells the agent that this host is leaving.
+    /// Notifies the agent that this host is leaving.
     pub(crate) fn leave(&mut self, now: Instant) {
         if let Some(agent) = &mut self.agent {
             agent.leave(now);
@@ -131,7 +131,7 @@
         let Some(agent) = &mut self.agent else {
             return;
         };
-        // An empty list means that the platform knows nothing, not that no host is running.
+        // An empty list means that the platform has no information, not that no host is running.
         if hosts.is_empty() {
             return;
         }
@@ -230,7 +230,7 @@
         shares: &SplitTable,
     ) {
         if let Some(agent) = &mut self.agent {
-            let moving = agent
+            let unsettled_services = agent
                 .splits()
                 .into_iter()
                 .filter(|(key, planned)| {
@@ -241,7 +241,7 @@
                 })
                 .map(|((service, _), _)| service)
                 .collect();
-            agent.set_loads(now, loads, moving);
+            agent.set_loads(now, loads, unsettled_services);
         }
     }
 
@@ -420,12 +420,12 @@
             return (view, free);
         };
         for (zone, status) in agent.zone_statuses() {
-            let standing = match to_standing(status) {
-                // Zones often fail together: no traffic moves to a zone that is not heard from, since it may be lost next.
+            let zone_health = match to_zone_health(status) {
+                // Zones often fail together: no traffic moves to a zone that sends no messages, since it may be lost next.
                 ZoneHealth::Alive if !agent.is_heard(zone) => ZoneHealth::Unknown,
-                standing => standing,
+                zone_health => zone_health,
             };
-            view.zones.insert(zone, standing);
+            view.zones.insert(zone, zone_health);
         }
         let utilization = self.catalog.limits().utilization;
         for (service, _) in self.catalog.services() {
@@ -450,7 +450,7 @@
     }
 }
 
-fn to_standing(status: ZoneStatus) -> ZoneHealth {
+fn to_zone_health(status: ZoneStatus) -> ZoneHealth {
     match status {
         ZoneStatus::Alive => ZoneHealth::Alive,
         ZoneStatus::Lost => ZoneHealth::Lost,
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -27,7 +27,7 @@
 /// The socket type of links.
 pub(crate) type Socket = WebSocketStream<TcpStream>;
 
-/// Bytes after which a batch_bytes of frames is flushed. Later control frames queue behind the batch_bytes.
+/// Bytes after which a batch of frames is flushed. Later control frames queue behind the batch.
 const FLUSH_THRESHOLD_BYTES: usize = 32 << 10;
 
 /// Pongs that an otherwise unused link sends within the silence timeout.
@@ -335,7 +335,7 @@
     }
 
     fn take_stream_frame(&self, channel: Arc<Channel>) -> Option<Bytes> {
-        let taken = channel.take_frame(self.next_number())?;
+        let taken = channel.take_frame(self.next_stream_number())?;
         if taken.is_open_frame {
             self.register_stream(&channel);
         }
@@ -349,7 +349,7 @@
     }
 
     /// The number for the next stream that this side opens.
-    fn next_number(&self) -> u64 {
+    fn next_stream_number(&self) -> u64 {
         let count = self.opened_streams.load(Ordering::Relaxed);
         stream_number(self.side, count)
     }
