--- a/src/control/active_hosts.rs
+++ b/src/control/active_hosts.rs
@@ -5,7 +5,7 @@
 //! hundreds of targets to choose well among them, and rarely has an open connection to the chosen
 //! one. So a zone's callers are sent to as few hosts as can carry them comfortably, the strongest
 //! first; look-ups name the others as soon as the load requires it. With 295 hosts and 1,209
-//! targets at the highest load, late answers fell from 14 to 8 in 100 and new connections to a half,
+//! targets at the highest load, late answers fell from 14 to 8 in 100 and new connections to half,
 //! compared with callers spread over all hosts by strength.
 
 use std::net::SocketAddr;
--- a/src/control/agent.rs
+++ b/src/control/agent.rs
@@ -58,7 +58,7 @@
     /// A different plan is in force.
     Planned,
     /// A host reported requests that crash targets.
-    Notes(HostKey, Vec<Notice>),
+    Notices(HostKey, Vec<Notice>),
     /// A host reported request rates that targets announced.
     Rates(HostKey, Vec<RateUpdate>),
 }
@@ -214,11 +214,11 @@
         &mut self,
         now: Instant,
         loads: BTreeMap<ServiceKey, Load>,
-        moving: BTreeSet<ServiceKey>,
+        unsettled_services: BTreeSet<ServiceKey>,
     ) {
         self.loads = loads;
         self.loads_measured_at = now;
-        self.unsettled_services = moving;
+        self.unsettled_services = unsettled_services;
     }
 
     /// Sets the quota that the host needs beyond its static parts, by target region and in the unit
@@ -342,7 +342,7 @@
             }
             Frame::Plan(record, root) => self.receive_plan(from, record, root),
             Frame::Ask(ask) => self.handle_request(now, from, &ask),
-            Frame::Notes(notes) => self.outputs.push(Output::Notes(from, notes)),
+            Frame::Notices(notices) => self.outputs.push(Output::Notices(from, notices)),
             Frame::Rates(updates) => self.outputs.push(Output::Rates(from, updates)),
         }
     }
@@ -733,7 +733,7 @@
             age: now.saturating_duration_since(self.loads_measured_at),
             hosts: (1, 1),
             applied: self.record.stamp,
-            moving: self.unsettled_services.clone(),
+            unsettled_services: self.unsettled_services.clone(),
             loads: self.loads.clone(),
             needs: self.quota_needs.clone(),
             ..Sample::default()
--- a/src/control/lease.rs
+++ b/src/control/lease.rs
@@ -331,10 +331,10 @@
             self.due = now;
             return;
         }
-        let lapses = observed.first_seen + observed.value.ttl;
+        let expires_at = observed.first_seen + observed.value.ttl;
         let poll = now + MEAN_POLL_INTERVAL.mul_f64(rng.random_range(0.7..1.3));
-        self.due = if lapses <= poll {
-            lapses.max(now) + random_acquire_delay(rng)
+        self.due = if expires_at <= poll {
+            expires_at.max(now) + random_acquire_delay(rng)
         } else {
             poll
         };
--- a/src/control/member.rs
+++ b/src/control/member.rs
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Whether there is a link to the host, or was one until now.
+    /// Whether there is a link to the host, or there was one that was not closed on purpose.
     pub(super) fn is_linked(&self) -> bool {
         matches!(self.link, Link::Up | Link::Down(_)) || self.last_direct.is_some()
     }
--- a/src/control/planner.rs
+++ b/src/control/planner.rs
@@ -486,7 +486,7 @@
         if now.saturating_duration_since(source.sampled) >= MAX_SAMPLE_AGE {
             continue;
         }
-        is_done &= source.applied >= step.stamp && !source.moving.contains(&service);
+        is_done &= source.applied >= step.stamp && !source.unsettled_services.contains(&service);
         latest = latest.max(Some(source.sampled));
     }
     latest
--- a/src/control/replica.rs
+++ b/src/control/replica.rs
@@ -244,12 +244,12 @@
     fn remove(&mut self, name: &Arc<str>) -> Option<u64> {
         let object = self.objects.remove(name)?;
         self.digest ^= object_digest(name, object.version);
-        self.note_removal(name);
+        self.record_removal(name);
         Some(object.version)
     }
 
     /// Records that an object was removed up to the current revision of this collection.
-    fn note_removal(&mut self, name: &Arc<str>) {
+    fn record_removal(&mut self, name: &Arc<str>) {
         self.removed.push_back((self.revision, name.clone()));
         if self.removed.len() > MAX_KEPT_REMOVALS {
             self.removed.pop_front();
@@ -262,7 +262,7 @@
             let was_known = self.remove(&entry.name).is_some();
             if !was_known {
                 // Other hosts may have seen it between its creation and its removal.
-                self.note_removal(&entry.name);
+                self.record_removal(&entry.name);
             }
             return was_known;
         };
--- a/src/control/summary.rs
+++ b/src/control/summary.rs
@@ -178,7 +178,7 @@
     pub loads: BTreeMap<Arc<str>, Load>,
     /// Services whose splits have not reached the followed plan yet.
     #[serde(rename = "m", default, skip_serializing_if = "Vec::is_empty")]
-    pub moving: Vec<Arc<str>>,
+    pub unsettled_services: Vec<Arc<str>>,
     /// Wanted quotas.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
     pub needs: Vec<QuotaNeed>,
@@ -192,7 +192,7 @@
     /// The newest followed plan.
     pub applied: Stamp,
     /// Services whose splits have not reached that plan yet.
-    pub moving: BTreeSet<ServiceKey>,
+    pub unsettled_services: BTreeSet<ServiceKey>,
     /// Number of live hosts of the zone, and of those whose reports are included; 1 of 1 for a
     /// host.
     pub hosts: (u32, u32),
@@ -273,7 +273,7 @@
             hosts: sample.hosts,
             roster: sample.roster,
             loads,
-            moving: names(&sample.moving, catalog),
+            unsettled_services: names(&sample.unsettled_services, catalog),
             needs: needs(&sample.needs, catalog),
         }
     }
@@ -318,7 +318,7 @@
     /// The newest plan that the sender follows.
     pub applied: Stamp,
     /// Services whose splits have not reached that plan yet.
-    pub moving: BTreeSet<ServiceKey>,
+    pub unsettled_services: BTreeSet<ServiceKey>,
     /// Number of live hosts of the zone, and of those whose reports are included.
     pub hosts: (u32, u32),
     /// Digest of the zone's roster.
@@ -338,7 +338,7 @@
             is_complete: false,
             sampled,
             applied: Stamp::default(),
-            moving: BTreeSet::new(),
+            unsettled_services: BTreeSet::new(),
             hosts: (0, 0),
             roster: 0,
             loads: BTreeMap::new(),
@@ -358,8 +358,8 @@
         self.sequence = message.head.sequence;
         self.sampled = sampled;
         self.applied = message.head.applied;
-        self.moving = message
-            .moving
+        self.unsettled_services = message
+            .unsettled_services
             .iter()
             .filter_map(|name| catalog.service_key(name))
             .collect();
@@ -503,7 +503,7 @@
     reported: u32,
     age: Duration,
     applied: Option<Stamp>,
-    moving: BTreeSet<ServiceKey>,
+    unsettled_services: BTreeSet<ServiceKey>,
     loads: BTreeMap<ServiceKey, Load>,
     needs: BTreeMap<(HostKey, RegionKey), f32>,
     /// By service, the sum of live slots, the sum of cold slots and the number of hosts that
@@ -523,7 +523,7 @@
             .applied
             .map_or(source.applied, |a| a.min(source.applied));
         self.applied = Some(applied);
-        self.moving.extend(&source.moving);
+        self.unsettled_services.extend(&source.unsettled_services);
         self.needs.extend(&source.needs);
         for (&service, entry) in &source.loads {
             let load = &entry.load;
@@ -546,7 +546,7 @@
         Some(Sample {
             age: self.age,
             applied: self.applied?,
-            moving: self.moving,
+            unsettled_services: self.unsettled_services,
             hosts: (self.live, self.reported),
             roster: 0,
             loads: self.loads,
--- a/src/control/wire.rs
+++ b/src/control/wire.rs
@@ -35,7 +35,7 @@
     Ask(Ask),
     /// Requests that crash targets. A host that learns something new from it forwards it.
     #[serde(rename = "n")]
-    Notes(Vec<Notice>),
+    Notices(Vec<Notice>),
     /// Request rates that targets announced. A host that learns something new from it forwards it.
     #[serde(rename = "r")]
     Rates(Vec<RateUpdate>),
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -230,7 +230,7 @@
         shares: &SplitTable,
     ) {
         if let Some(agent) = &mut self.agent {
-            let moving = agent
+            let unsettled_services = agent
                 .splits()
                 .into_iter()
                 .filter(|(key, planned)| {
@@ -241,7 +241,7 @@
                 })
                 .map(|((service, _), _)| service)
                 .collect();
-            agent.set_loads(now, loads, moving);
+            agent.set_loads(now, loads, unsettled_services);
         }
     }
 
@@ -278,7 +278,7 @@
                     .send(ConfigEvent::NewerRevision(name, revision));
             }
             Output::Changed | Output::Planned => update.is_view_changed = true,
-            Output::Notes(host, notices) => {
+            Output::Notices(host, notices) => {
                 update
                     .notices
                     .extend(notices.into_iter().map(|notice| (host, notice)));
@@ -343,7 +343,7 @@
             return;
         }
         if !notices.is_empty() {
-            self.broadcast(hosts, &Message::Control(Frame::Notes(notices)));
+            self.broadcast(hosts, &Message::Control(Frame::Notices(notices)));
         }
         if !rates.is_empty() {
             self.broadcast(hosts, &Message::Control(Frame::Rates(rates)));
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -382,7 +382,7 @@
         for notice in &notices {
             log_notice(notice);
         }
-        self.control.broadcast_update(Frame::Notes(notices), None);
+        self.control.broadcast_update(Frame::Notices(notices), None);
     }
 
     /// Applies the rate of a target's answer and broadcasts it if it changed.
@@ -431,7 +431,7 @@
             if self.engine.merge_note(now, &notice) {
                 log_notice(&notice);
                 self.control
-                    .broadcast_update(Frame::Notes(vec![notice]), Some(source));
+                    .broadcast_update(Frame::Notices(vec![notice]), Some(source));
             }
             self.broadcast_notices();
         }
--- a/src/host/datagram.rs
+++ b/src/host/datagram.rs
@@ -19,8 +19,8 @@
 
 /// Size of the receive buffer for a datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 1400;
-/// Maximum notes in one datagram: each takes up to 70 bytes.
-const NOTES_PER_DATAGRAM: usize = 16;
+/// Maximum notices in one datagram: each takes up to 70 bytes.
+const NOTICES_PER_DATAGRAM: usize = 16;
 /// Maximum account tallies in one datagram: each takes up to 16 bytes.
 const TALLIES_PER_DATAGRAM: usize = 80;
 
@@ -48,9 +48,9 @@
     /// Requests per account at the sender since it started.
     #[serde(rename = "t")]
     Tallies(Tallies),
-    /// Notes on requests suspected to crash targets.
+    /// Notices of requests suspected to crash targets.
     #[serde(rename = "n")]
-    Notes(Vec<Notice>),
+    Notices(Vec<Notice>),
     /// Rate limits announced by targets.
     #[serde(rename = "r")]
     Rates(Vec<RateUpdate>),
@@ -217,10 +217,10 @@
     send(host, &Datagram::Pulse(pulse), &peer_addresses(host)).await;
 }
 
-/// Sends notes on requests suspected to crash targets.
-pub(crate) async fn send_notes(host: &Host, notes: &[Notice], peers: &[SocketAddr]) {
-    for chunk in notes.chunks(NOTES_PER_DATAGRAM) {
-        send(host, &Datagram::Notes(chunk.to_vec()), peers).await;
+/// Sends notices on requests suspected to crash targets.
+pub(crate) async fn send_notices(host: &Host, notices: &[Notice], peers: &[SocketAddr]) {
+    for chunk in notices.chunks(NOTICES_PER_DATAGRAM) {
+        send(host, &Datagram::Notices(chunk.to_vec()), peers).await;
     }
 }
 
@@ -305,7 +305,7 @@
                 host.core.borrow_mut().fleet.mark_cold(now(), &id, left);
             }
             Ok(Datagram::Tallies(batch)) => apply_tallies(&host, sender, &batch),
-            Ok(Datagram::Notes(notes)) => quarantine::apply_notes(&host, &notes),
+            Ok(Datagram::Notices(notices)) => quarantine::apply_notices(&host, &notices),
             Ok(Datagram::Rates(rates)) => throttle::apply_rates(&host, &rates),
             Ok(Datagram::Claim(claim)) => throttle::answer_claim(&host, sender, &claim).await,
             Ok(Datagram::Grant(grant)) => throttle::apply_grant(&host, sender, &grant),
--- a/src/host/exchange.rs
+++ b/src/host/exchange.rs
@@ -246,7 +246,7 @@
             Err(outcome) => outcome,
         };
         trace.finish_attempt(&in_flight);
-        quarantine::note_attempt_end(host, exchange, &in_flight);
+        quarantine::record_attempt_end(host, exchange, &in_flight);
         drop(in_flight);
         query.tried.push(target);
         match outcome {
@@ -599,7 +599,7 @@
         in_flight.end = End::Stray;
         return Outcome::Unknown;
     }
-    throttle::note_rate(host, in_flight, &target_answer);
+    throttle::record_rate(host, in_flight, &target_answer);
     let read = connection.read(read_body(exchange, incoming));
     let Some(payload) = read.await else {
         let is_late = now() >= exchange.deadline;
--- a/src/host/log.rs
+++ b/src/host/log.rs
@@ -260,21 +260,21 @@
     spdlog::info!("a target was ejected or restored", kv: { event = event.as_str(), target = id });
 }
 
-/// Logs a note on a request suspected to crash targets.
-pub(crate) fn request_standing(note: &Notice) {
-    let event = match note {
+/// Logs a notice on a request suspected to crash targets.
+pub(crate) fn request_standing(notice: &Notice) {
+    let event = match notice {
         Notice::Broken(_) => return,
         Notice::Status(standing) if standing.refused.is_none() => Event::Suspected,
         Notice::Status(_) => Event::Quarantined,
         Notice::Cleared(_) => Event::Cleared,
     };
-    let (targets, term) = match note {
+    let (targets, term) = match notice {
         Notice::Status(standing) => (standing.targets.len(), standing.refused),
         _ => (0, None),
     };
     spdlog::info!("the suspicion that a request crashes targets has changed", kv: {
         event = event.as_str(),
-        fingerprint = note.fingerprint().to_string().as_str(),
+        fingerprint = notice.fingerprint().to_string().as_str(),
         targets,
         failures = term.map_or(0, |term| term.failures),
         due_ms = term.map_or(0, |term| term.due_ms)
--- a/src/host/proof.rs
+++ b/src/host/proof.rs
@@ -47,7 +47,7 @@
 
 /// Records that the store, queried at `asked_at`, showed that the host's configuration is the
 /// newest one.
-pub(super) fn note_query(host: &Host, asked_at: Moment) {
+pub(super) fn record_query(host: &Host, asked_at: Moment) {
     host.core
         .borrow_mut()
         .proof
--- a/src/host/quarantine.rs
+++ b/src/host/quarantine.rs
@@ -1,5 +1,5 @@
 //! Tracks requests suspected to crash targets: asks the quarantine before a request is sent,
-//! records how each attempt ended, and exchanges notes with other hosts.
+//! records how each attempt ended, and exchanges notices with other hosts.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -37,8 +37,8 @@
     let deadline = (now() + MAX_VERDICT_WAIT).min(exchange.deadline);
     loop {
         let (verdict, changed) = host.core.borrow_mut().quarantine.check(now(), fingerprint);
-        if let Some(note) = changed {
-            broadcast(host, note);
+        if let Some(notice) = changed {
+            broadcast(host, notice);
         }
         match verdict {
             Verdict::Allowed => return Ok(None),
@@ -51,7 +51,7 @@
 }
 
 /// Records how an attempt ended and informs other hosts of changes.
-pub(crate) fn note_attempt_end(host: &Rc<Host>, exchange: &Exchange, in_flight: &InFlight) {
+pub(crate) fn record_attempt_end(host: &Rc<Host>, exchange: &Exchange, in_flight: &InFlight) {
     let fingerprint = exchange.fingerprint;
     let updates = {
         let quarantine = &mut host.core.borrow_mut().quarantine;
@@ -69,49 +69,49 @@
             _ => return,
         }
     };
-    if let Some(note) = updates.to_counters {
+    if let Some(notice) = updates.to_counters {
         let counters = {
             let core = host.core.borrow();
             core.presence.counting_hosts(now(), fingerprint.0)
         };
-        spawn_send(host, note, counters);
+        spawn_send(host, notice, counters);
     }
-    if let Some(note) = updates.to_all {
-        broadcast(host, note);
+    if let Some(notice) = updates.to_all {
+        broadcast(host, notice);
     }
 }
 
-/// Applies notes from another host.
-pub(crate) fn apply_notes(host: &Rc<Host>, notes: &[Notice]) {
-    for note in notes {
-        let effect = host.core.borrow_mut().quarantine.merge(now(), note);
+/// Applies notices from another host.
+pub(crate) fn apply_notices(host: &Rc<Host>, notices: &[Notice]) {
+    for notice in notices {
+        let effect = host.core.borrow_mut().quarantine.merge(now(), notice);
         if effect.is_new {
-            log::request_standing(note);
+            log::request_standing(notice);
         }
-        if let Some(note) = effect.to_all {
-            broadcast(host, note);
+        if let Some(notice) = effect.to_all {
+            broadcast(host, notice);
         }
     }
 }
 
 /// Sends the standings of all suspected and quarantined requests.
 pub(crate) async fn send_standings(host: &Host, peers: &[SocketAddr]) {
-    let notes: Vec<Notice> = {
+    let notices: Vec<Notice> = {
         let core = host.core.borrow();
         core.quarantine.statuses(now()).collect()
     };
-    datagram::send_notes(host, &notes, peers).await;
+    datagram::send_notices(host, &notices, peers).await;
 }
 
-fn broadcast(host: &Rc<Host>, note: Notice) {
-    log::request_standing(&note);
+fn broadcast(host: &Rc<Host>, notice: Notice) {
+    log::request_standing(&notice);
     let peers = datagram::peer_addresses(host);
-    spawn_send(host, note, peers);
+    spawn_send(host, notice, peers);
 }
 
-fn spawn_send(host: &Rc<Host>, note: Notice, peers: Vec<SocketAddr>) {
+fn spawn_send(host: &Rc<Host>, notice: Notice, peers: Vec<SocketAddr>) {
     let host = host.clone();
     tokio::task::spawn_local(async move {
-        datagram::send_notes(&host, &[note], &peers).await;
+        datagram::send_notices(&host, &[notice], &peers).await;
     });
 }
--- a/src/host/refresh.rs
+++ b/src/host/refresh.rs
@@ -97,7 +97,7 @@
         .confirmed_at
         .insert(kind, asked_at.runtime_clock());
     if kind == Kind::Config && !host.watch_state.is_config_unreadable.get() {
-        proof::note_query(host, asked_at);
+        proof::record_query(host, asked_at);
     }
 }
 
@@ -133,13 +133,13 @@
         } else {
             refresher.ping().await
         };
-        note_result(&host, result).await;
+        record_poll_result(&host, result).await;
         tokio::time::sleep(INTERVAL).await;
     }
 }
 
 /// Records whether the store responded to all queries.
-pub(super) async fn note_result(host: &Rc<Host>, result: Result<(), Error>) {
+pub(super) async fn record_poll_result(host: &Rc<Host>, result: Result<(), Error>) {
     let answers = result.is_ok();
     if !answers {
         host.watch_state.clear_evidence();
--- a/src/host/serve.rs
+++ b/src/host/serve.rs
@@ -125,7 +125,7 @@
 }
 
 impl TrackedStream {
-    fn note_write<T>(&self, written: &Poll<io::Result<T>>) {
+    fn record_write<T>(&self, written: &Poll<io::Result<T>>) {
         self.state.is_flushed.set(false);
         let since = self.state.blocked_since.get().unwrap_or_else(now);
         let blocked_since = written.is_pending().then_some(since);
@@ -140,7 +140,7 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.tcp).poll_write(cx, buf);
-        self.note_write(&written);
+        self.record_write(&written);
         written
     }
 
@@ -150,7 +150,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.tcp).poll_write_vectored(cx, bufs);
-        self.note_write(&written);
+        self.record_write(&written);
         written
     }
 
--- a/src/host/sync.rs
+++ b/src/host/sync.rs
@@ -302,7 +302,7 @@
     // A complete list can be applied to any state.
     let _ = host.apply_update(update);
     if kind == Kind::Config && age == Age::Latest && is_complete {
-        proof::note_query(host, asked_at);
+        proof::record_query(host, asked_at);
     }
     Ok(revision)
 }
@@ -384,7 +384,7 @@
         return Ok(WatchResult::Unavailable);
     }
     if kind == Kind::Config && !host.watch_state.is_config_unreadable.get() {
-        proof::note_query(host, asked_at);
+        proof::record_query(host, asked_at);
     }
     if !has_changes {
         return Ok(WatchResult::Unchanged);
--- a/src/host/throttle.rs
+++ b/src/host/throttle.rs
@@ -112,7 +112,7 @@
 
 /// Applies the rate limit in a target's answer, and informs all hosts if the target starts or stops
 /// announcing one.
-pub(crate) fn note_rate(host: &Rc<Host>, in_flight: &InFlight, answer: &Answer) {
+pub(crate) fn record_rate(host: &Rc<Host>, in_flight: &InFlight, answer: &Answer) {
     let rate = match &answer.rate {
         Rate::Named(rate) => Some(*rate),
         // An answer that rejects a request may omit the rate that other answers have.
--- a/tests/net/agents.rs
+++ b/tests/net/agents.rs
@@ -395,7 +395,7 @@
             | Output::Newer(..)
             | Output::Changed
             | Output::Planned
-            | Output::Notes(..)
+            | Output::Notices(..)
             | Output::Rates(..) => {}
         }
     }
@@ -776,7 +776,7 @@
         Frame::Roster(..) => "roster",
         Frame::Plan(..) => "plan",
         Frame::Ask(_) => "ask",
-        Frame::Notes(_) => "notes",
+        Frame::Notices(_) => "notes",
         Frame::Rates(_) => "rates",
     }
 }
--- a/tests/planning/mod.rs
+++ b/tests/planning/mod.rs
@@ -226,7 +226,7 @@
             let sample = Sample {
                 age: Duration::ZERO,
                 applied: self.plan.stamp,
-                moving: self.moving.then_some(self.service).into_iter().collect(),
+                unsettled_services: self.moving.then_some(self.service).into_iter().collect(),
                 hosts: (2, self.reported.get(&zone).copied().unwrap_or(2)),
                 loads: BTreeMap::from([(self.service, load(sum / PLAN_STEPS as f64, self.cold))]),
                 ..Sample::default()
