--- a/src/control/member.rs
+++ b/src/control/member.rs
@@ -132,8 +132,8 @@
         }
         if let Some(at) = self.broken_since() {
             let confirmed = now.saturating_duration_since(at) >= DEATH_CONFIRMATION;
-            let awake = now.saturating_duration_since(resumed) >= dead;
-            return if confirmed && awake {
+            let is_pause_over = now.saturating_duration_since(resumed) >= dead;
+            return if confirmed && is_pause_over {
                 Status::Dead
             } else {
                 Status::Suspect
--- a/src/control/proof.rs
+++ b/src/control/proof.rs
@@ -25,10 +25,10 @@
 
 impl Moment {
     /// A moment from the runtime's clock and the time since the machine's start, including sleep.
-    pub fn new(steady: Instant, awake: Duration) -> Self {
+    pub fn new(steady: Instant, boot_time: Duration) -> Self {
         Self {
             steady,
-            since_boot: awake,
+            since_boot: boot_time,
         }
     }
 
@@ -57,8 +57,8 @@
         Self::default()
     }
 
-    /// Records a proof that was requested at `asked` and was at most `age` old then. Older proofs
-    /// than the known one are ignored.
+    /// Records a proof that was requested at `asked` and was at most `age` old then. A proof that
+    /// is older than the known one is ignored.
     pub fn record(&mut self, now: Moment, asked: Moment, age: Duration) {
         let new = now.since(asked) + age;
         if self.age(now).is_none_or(|known| new < known) {
--- a/src/host/core.rs
+++ b/src/host/core.rs
@@ -215,8 +215,8 @@
         self.fleet.register(now, registration.clone());
     }
 
-    /// Handles a target that is missing in the store. With `may_have_expired`, its registration may
-    /// only have run out during a store outage.
+    /// Handles a target that is missing in the store. If `may_have_expired`, the target may still
+    /// run, as its registration may have expired during a store outage.
     fn withdraw_target(&mut self, now: Instant, id: &str, may_have_expired: bool) {
         if may_have_expired {
             spdlog::info!("core: a target is missing after a store outage", kv: {
--- a/src/host/proof.rs
+++ b/src/host/proof.rs
@@ -35,14 +35,14 @@
 
 /// Reads the runtime's clock, and a clock that keeps running while the machine sleeps.
 pub(super) fn moment() -> Moment {
-    let awake = match clock_gettime(ClockId::CLOCK_BOOTTIME) {
+    let boot_time = match clock_gettime(ClockId::CLOCK_BOOTTIME) {
         Ok(time) => Duration::from(time),
         Err(error) => {
             spdlog::error!("proof: cannot read CLOCK_BOOTTIME: {error}");
             Duration::ZERO
         }
     };
-    Moment::new(now(), awake)
+    Moment::new(now(), boot_time)
 }
 
 /// Records that the store, queried at `asked_at`, showed that the host's configuration is the
