--- a/src/control/member.rs
+++ b/src/control/member.rs
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Whether there is a link to the host, or was one until now.
+    /// Whether there is a link to the host, or there was one that was not closed on purpose.
     pub(super) fn is_linked(&self) -> bool {
         matches!(self.link, Link::Up | Link::Down(_)) || self.last_direct.is_some()
     }
@@ -132,8 +132,8 @@
         }
         if let Some(at) = self.broken_since() {
             let confirmed = now.saturating_duration_since(at) >= DEATH_CONFIRMATION;
-            let awake = now.saturating_duration_since(resumed) >= dead;
-            return if confirmed && awake {
+            let is_pause_over = now.saturating_duration_since(resumed) >= dead;
+            return if confirmed && is_pause_over {
                 Status::Dead
             } else {
                 Status::Suspect
--- a/src/control/planner.rs
+++ b/src/control/planner.rs
@@ -158,17 +158,17 @@
 
 /// The load that would run if no request were refused.
 fn demand(load: &Load) -> f64 {
-    let seen = f64::from(load.in_flight + load.queued);
+    let observed = f64::from(load.in_flight + load.queued);
     let (admitted, refused) = (f64::from(load.admitted), f64::from(load.refused));
     if refused <= 0.0 {
-        return seen;
+        return observed;
     }
     let scale = if admitted > 0.0 {
         1.0 + refused / admitted
     } else {
         MAX_REFUSAL_FACTOR
     };
-    seen.max(1.0) * scale.min(MAX_REFUSAL_FACTOR)
+    observed.max(1.0) * scale.min(MAX_REFUSAL_FACTOR)
 }
 
 impl Planner {
@@ -486,7 +486,7 @@
         if now.saturating_duration_since(source.sampled) >= MAX_SAMPLE_AGE {
             continue;
         }
-        is_done &= source.applied >= step.stamp && !source.moving.contains(&service);
+        is_done &= source.applied >= step.stamp && !source.unsettled_services.contains(&service);
         latest = latest.max(Some(source.sampled));
     }
     latest
