--- a/src/steer/ticket.rs
+++ b/src/steer/ticket.rs
@@ -53,10 +53,10 @@
     #[error("ticket: no '-' between incarnation and generation")]
     NoDash,
     /// The incarnation isn't a number in plain decimal digits.
-    #[error("ticket: incarnation {0:?} is not a decimal number")]
+    #[error("ticket: incarnation {0:?} is no number")]
     BadIncarnation(Arc<str>),
     /// The generation isn't a number in plain decimal digits.
-    #[error("ticket: generation {0:?} is not a decimal number")]
+    #[error("ticket: generation {0:?} is no number")]
     BadGeneration(Arc<str>),
 }
 
