--- a/tests/agent.rs
+++ b/tests/agent.rs
@@ -149,7 +149,7 @@
     let lost = |fleet: &Fleet| has_zone_status(fleet, zone, |status| status == ZoneStatus::Lost);
     let took = fleet.until(20_000, lost);
     assert!(took.is_some_and(|took| took < 6_000), "{took:?}");
-    // The cut-off zone knows nothing of the other zones and keeps its own hosts alive.
+    // Hosts of the isolated zone consider its own hosts alive and the state of other zones unknown.
     fleet.run(20_000);
     for &host in &side {
         let agent = &fleet.nodes[&host].agent;
@@ -172,7 +172,7 @@
     fleet.run(15_000);
     let now = fleet.holder().unwrap();
     assert_ne!(fleet.catalog.host(now).zone, zone);
-    assert!(fleet.is_settled(), "the zone gets plans from the others");
+    assert!(fleet.is_settled(), "the zone gets no plans from the others");
     heal_and_settle(fleet);
 }
 
@@ -193,8 +193,8 @@
     heal_and_settle(fleet);
 }
 
-/// One direction of the link between two hosts of a zone is cut. Other hosts hear both, so neither
-/// may count as dead.
+/// One direction of the link between two hosts of a zone is cut. Other hosts receive heartbeats
+/// from both, so neither may count as dead.
 fn one_way(fleet: &mut Fleet) {
     let zone = zone_without_planner(fleet);
     let hosts = fleet.zone_hosts(zone);
@@ -227,7 +227,10 @@
     fleet.store.call_delay.clear();
     fleet.run(15_000);
     let stamp = fleet.nodes[&old].agent.plan_stamp();
-    assert!(Some(stamp.epoch) > epoch, "the old planner follows the new");
+    assert!(
+        Some(stamp.epoch) > epoch,
+        "the old planner has no plan of the new one"
+    );
     fleet.settle();
 }
 
@@ -237,7 +240,7 @@
         fleet.running = if round % 2 == 0 { 18.0 } else { 4.0 };
         fleet.run(10_000);
     }
-    assert!(fleet.plans.len() > 2, "plans go on");
+    assert!(fleet.plans.len() > 2, "too few plans were written");
     fleet.store.loss = 0.0;
     fleet.running = 8.0;
     fleet.settle();
--- a/tests/dedupe.rs
+++ b/tests/dedupe.rs
@@ -18,8 +18,8 @@
 };
 use ragwortfold::steer::ticket::{Error, Generation, Issuer, Rotation, Ticket, TicketOwner};
 
-const PERIOD: Duration = Duration::from_secs(10);
-const ACCEPTED: u32 = 2;
+const GENERATION_PERIOD: Duration = Duration::from_secs(10);
+const ACCEPTED_GENERATIONS: u32 = 2;
 
 macro_rules! bad_ticket {
     ($($name:ident: $text:expr => $error:expr;)*) => {
@@ -43,7 +43,7 @@
 }
 
 fn rotation(start: Instant) -> Rotation {
-    Rotation::new(start).with_period(PERIOD, ACCEPTED)
+    Rotation::new(start).with_period(GENERATION_PERIOD, ACCEPTED_GENERATIONS)
 }
 
 #[test]
@@ -61,7 +61,7 @@
 fn ticket_is_accepted_for_its_generations_only() {
     let start = Instant::now();
     let issuer = Issuer::new("ent-1".into(), 7, rotation(start));
-    let ticket = issuer.issue(start + PERIOD);
+    let ticket = issuer.issue(start + GENERATION_PERIOD);
     let check_at = |seconds| issuer.check(start + Duration::from_secs(seconds), &ticket);
     let accepted = TicketOwner::ThisProcess(Generation(1));
     assert_eq!(
@@ -78,7 +78,10 @@
         incarnation: 6,
         ..ticket.clone()
     };
-    assert_eq!(issuer.check(start + PERIOD, &older), TicketOwner::Expired);
+    assert_eq!(
+        issuer.check(start + GENERATION_PERIOD, &older),
+        TicketOwner::Expired
+    );
     let other = Ticket {
         host: "ent-2".into(),
         ..ticket
--- a/tests/generated.rs
+++ b/tests/generated.rs
@@ -8,10 +8,10 @@
 
 use typify::{MapType, TypeSpace, TypeSpaceSettings};
 
-/// Set to write the types instead of comparing them.
-const UPDATE: &str = "UPDATE_GENERATED";
-/// What stands before the types.
-const INTRO: &str = "#![allow(clippy::redundant_closure_call)]
+/// Environment variable that is set to write the types instead of comparing them.
+const UPDATE_VARIABLE: &str = "UPDATE_GENERATED";
+/// Attributes at the start of each generated file.
+const FILE_HEADER: &str = "#![allow(clippy::redundant_closure_call)]
 #![allow(clippy::needless_lifetimes)]
 #![allow(clippy::match_single_binding)]
 #![allow(clippy::clone_on_copy)]
@@ -25,15 +25,18 @@
     let dir = std::fs::read_dir(root().join("schema")).unwrap();
     let paths = dir.map(|entry| entry.unwrap().path());
     let mut schemas: Vec<PathBuf> = paths
-        .filter(|path| path.extension().is_some_and(|ending| ending == "json"))
+        .filter(|path| {
+            path.extension()
+                .is_some_and(|extension| extension == "json")
+        })
         .collect();
     schemas.sort();
     schemas
 }
 
 /// The types that a schema describes, as `cargo typify -B --map-type
-/// '::std::collections::BTreeMap'` makes them.
-fn generated(schema: &Path) -> String {
+/// '::std::collections::BTreeMap'` generates them.
+fn generate_types(schema: &Path) -> String {
     let text = std::fs::read_to_string(schema).unwrap();
     let schema: schemars::schema::RootSchema = serde_json::from_str(&text).unwrap();
     let mut settings = TypeSpaceSettings::default();
@@ -44,7 +47,7 @@
     settings.with_replacement("Control", "crate::control::wire::Frame", std::iter::empty());
     let mut types = TypeSpace::new(&settings);
     types.add_root_schema(schema).unwrap();
-    let code = format!("{INTRO}\n{}", types.to_stream());
+    let code = format!("{FILE_HEADER}\n{}", types.to_stream());
     prettyplease::unparse(&syn::parse_file(&code).unwrap())
 }
 
@@ -52,12 +55,12 @@
 fn types_are_up_to_date() {
     let schemas = schemas();
     assert!(schemas.len() >= 2, "schemas found: {schemas:?}");
-    let is_update = std::env::var_os(UPDATE).is_some();
+    let is_update = std::env::var_os(UPDATE_VARIABLE).is_some();
     let mut stale = Vec::new();
     for schema in schemas {
         let name = schema.file_stem().unwrap().to_str().unwrap();
         let file = root().join(format!("src/border/{name}.rs"));
-        let wanted = generated(&schema);
+        let wanted = generate_types(&schema);
         let committed = std::fs::read_to_string(&file).unwrap_or_default();
         if committed == wanted {
             continue;
@@ -68,5 +71,8 @@
             stale.push(file);
         }
     }
-    assert!(stale.is_empty(), "stale: {stale:?}; run with {UPDATE}=1");
+    assert!(
+        stale.is_empty(),
+        "stale: {stale:?}; run with {UPDATE_VARIABLE}=1"
+    );
 }
--- a/tests/group.rs
+++ b/tests/group.rs
@@ -579,7 +579,7 @@
 }
 
 /// Checks the goals relative to target selection alone.
-fn meets_goals(offered: OfferedLoad) {
+fn check_goals(offered: OfferedLoad) {
     let ours = measure("ours", &Config::default(), offered);
     assert!(ours.p99 * 3.0 <= measure_pick_alone(Pick::RoundRobin, offered).p99);
     assert!(ours.p99 * 1.5 <= measure_pick_alone(Pick::LeastInFlight, offered).p99);
@@ -589,21 +589,21 @@
     );
 }
 
-const WITHIN: OfferedLoad = OfferedLoad::within();
-const BEYOND: OfferedLoad = OfferedLoad::beyond();
+const WITHIN_CAPACITY: OfferedLoad = OfferedLoad::within();
+const BEYOND_CAPACITY: OfferedLoad = OfferedLoad::beyond();
 
 case! {
-    burst_within_capacity: meets_goals(WITHIN);
-    burst_beyond_capacity: meets_goals(BEYOND);
-    burst_with_false_reports: meets_goals(OfferedLoad { slow_targets_report_idle: true, ..WITHIN });
-    burst_without_reports: meets_goals(OfferedLoad { reports_load: false, ..BEYOND });
+    burst_within_capacity: check_goals(WITHIN_CAPACITY);
+    burst_beyond_capacity: check_goals(BEYOND_CAPACITY);
+    burst_with_false_reports: check_goals(OfferedLoad { slow_targets_report_idle: true, ..WITHIN_CAPACITY });
+    burst_without_reports: check_goals(OfferedLoad { reports_load: false, ..BEYOND_CAPACITY });
 }
 
 /// Measures a burst at whose start all targets are cold, with and without slow start.
 #[test]
 #[ignore = "measurement"]
 fn cold() {
-    for (name, offered) in [("within", WITHIN), ("beyond", BEYOND)] {
+    for (name, offered) in [("within", WITHIN_CAPACITY), ("beyond", BEYOND_CAPACITY)] {
         println!("{name}, cold:");
         for warm in [Switch::On, Switch::Off] {
             let offered = OfferedLoad {
@@ -627,31 +627,31 @@
 #[ignore = "measurement"]
 fn figures() {
     let offered_loads = [
-        ("within", WITHIN),
-        ("beyond", BEYOND),
+        ("within", WITHIN_CAPACITY),
+        ("beyond", BEYOND_CAPACITY),
         (
             "lying",
             OfferedLoad {
                 slow_targets_report_idle: true,
-                ..WITHIN
+                ..WITHIN_CAPACITY
             },
         ),
         (
             "silent within",
             OfferedLoad {
                 reports_load: false,
-                ..WITHIN
+                ..WITHIN_CAPACITY
             },
         ),
         (
             "silent beyond",
             OfferedLoad {
                 reports_load: false,
-                ..BEYOND
+                ..BEYOND_CAPACITY
             },
         ),
-        ("many within", WITHIN.large_fleet()),
-        ("many beyond", BEYOND.large_fleet()),
+        ("many within", WITHIN_CAPACITY.large_fleet()),
+        ("many beyond", BEYOND_CAPACITY.large_fleet()),
     ];
     for (name, offered) in offered_loads {
         println!("{name}:");
--- a/tests/intake.rs
+++ b/tests/intake.rs
@@ -32,9 +32,9 @@
     }
 }
 
-/// The peak of memory while a list is applied, beyond the list itself and what is kept of it, in
-/// multiples of the list's size.
-fn spare_lists(targets: usize) -> f64 {
+/// The peak of memory while a list is applied, without the list itself and the memory that stays
+/// allocated afterwards, in multiples of the list's size.
+fn extra_memory_in_lists(targets: usize) -> f64 {
     let list = targets * size_of::<Entry>();
     let kept: Vec<Entry> = (0..targets).map(target).collect();
     let update = Update {
@@ -58,7 +58,10 @@
 #[test]
 fn applying_a_list_allocates_no_second_one() {
     for targets in [500, 2_000] {
-        let spare = spare_lists(targets);
-        assert!(spare < 0.25, "{spare} lists for {targets} targets");
+        let extra_lists = extra_memory_in_lists(targets);
+        assert!(
+            extra_lists < 0.25,
+            "{extra_lists} lists for {targets} targets"
+        );
     }
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -18,6 +18,7 @@
     Change, Listing, Membership, State, Status, Via, ZoneStatus,
 };
 
+/// Defines tests by the number of zones, the hosts in each and the scenario.
 macro_rules! case {
     ($($name:ident: $zones:literal x $hosts:literal, $body:expr),* $(,)?) => {
         $(#[test] fn $name() {
@@ -79,8 +80,8 @@
         net.cut.insert((b, a));
         net.run(30_000);
         assert_eq!(net.died, []);
-        assert!(!net.nodes[&a].is_reachable(b), "it is not heard");
-        assert!(!net.nodes[&b].is_reachable(a), "it says that it does not hear");
+        assert!(!net.nodes[&a].is_reachable(b), "a receives no heartbeats of b");
+        assert!(!net.nodes[&b].is_reachable(a), "a reports that it receives no heartbeats of b");
         assert!(net.nodes[&a].is_alive(b) && net.nodes[&b].is_alive(a));
         net.cut.clear();
         net.run(1_500);
@@ -175,7 +176,14 @@
         self.base + ms(millis)
     }
 
-    fn hear(&mut self, at: u64, host: HostKey, incarnation: u64, sequence: u64, state: State) {
+    fn receive_heartbeat(
+        &mut self,
+        at: u64,
+        host: HostKey,
+        incarnation: u64,
+        sequence: u64,
+        state: State,
+    ) {
         let now = self.at(at);
         let via = Via::Direct;
         self.node
@@ -192,6 +200,7 @@
     }
 }
 
+/// Defines tests of a single membership.
 macro_rules! script {
     ($($name:ident: $body:expr),* $(,)?) => {
         $(#[test] fn $name() { let body: fn(&mut Script) = $body; body(&mut Script::new()); })*
@@ -200,52 +209,52 @@
 
 script! {
     an_older_incarnation_is_ignored: |it| {
-        it.hear(0, it.peer, 5, 1, State::Serving);
+        it.receive_heartbeat(0, it.peer, 5, 1, State::Serving);
         it.ticks(100, 1_000);
-        it.hear(1_000, it.peer, 4, 900, State::Leaving);
+        it.receive_heartbeat(1_000, it.peer, 4, 900, State::Leaving);
         assert!(it.node.live_hosts().contains(&it.peer));
         assert_eq!(it.node.incarnation(it.peer), Some(5));
         let changes = it.ticks(1_100, 1_800);
         assert_eq!(changes.last(), Some(&Change::Died(it.peer)));
     },
     a_newer_incarnation_is_a_restart: |it| {
-        it.hear(0, it.peer, 5, 70, State::Leaving);
+        it.receive_heartbeat(0, it.peer, 5, 70, State::Leaving);
         it.ticks(100, 200);
-        it.hear(300, it.peer, 6, 1, State::Serving);
+        it.receive_heartbeat(300, it.peer, 6, 1, State::Serving);
         assert_eq!(it.ticks(300, 400), [Change::Restarted(it.peer)]);
         assert!(it.node.live_hosts().contains(&it.peer));
     },
     leaving_is_not_reverted: |it| {
-        it.hear(0, it.peer, 5, 1, State::Leaving);
-        it.hear(500, it.peer, 5, 2, State::Serving);
+        it.receive_heartbeat(0, it.peer, 5, 1, State::Leaving);
+        it.receive_heartbeat(500, it.peer, 5, 2, State::Serving);
         assert!(!it.node.live_hosts().contains(&it.peer));
     },
     an_old_sequence_does_not_count: |it| {
-        it.hear(0, it.peer, 5, 10, State::Serving);
+        it.receive_heartbeat(0, it.peer, 5, 10, State::Serving);
         it.ticks(100, 1_000);
-        it.hear(1_000, it.peer, 5, 9, State::Serving);
+        it.receive_heartbeat(1_000, it.peer, 5, 9, State::Serving);
         assert_eq!(it.ticks(1_100, 1_800).last(), Some(&Change::Died(it.peer)));
     },
     a_host_that_is_heard_stays_alive_if_not_listed: |it| {
         let now = it.at(0);
         it.node.set_listing(now, it.peer, Listing::Absent);
         for beat in 0..20 {
-            it.hear(500 * beat, it.peer, 5, beat, State::Serving);
+            it.receive_heartbeat(500 * beat, it.peer, 5, beat, State::Serving);
             assert!(!it.ticks(500 * beat, 500 * beat + 400).contains(&Change::Died(it.peer)));
         }
     },
     the_list_confirms_a_suspicion: |it| {
-        it.hear(0, it.peer, 5, 1, State::Serving);
+        it.receive_heartbeat(0, it.peer, 5, 1, State::Serving);
         let now = it.at(0);
         it.node.set_listing(now, it.peer, Listing::Absent);
         assert_eq!(it.ticks(100, 1_300).last(), Some(&Change::Died(it.peer)));
     },
     the_list_gives_notice_of_leaving: |it| {
-        it.hear(0, it.peer, 5, 1, State::Serving);
+        it.receive_heartbeat(0, it.peer, 5, 1, State::Serving);
         let now = it.at(0);
         it.node.set_listing(now, it.peer, Listing::Leaving);
         assert!(!it.node.live_hosts().contains(&it.peer));
-        it.hear(100, it.peer, 6, 1, State::Serving);
+        it.receive_heartbeat(100, it.peer, 6, 1, State::Serving);
         assert!(it.node.live_hosts().contains(&it.peer));
     },
     a_listing_alone_makes_no_host_alive: |it| {
@@ -308,7 +317,7 @@
         it.node.merge_reports(now, &[report], ms(1));
         it.ticks(2_600, 2_600);
         assert_eq!(it.node.zone_status(zone), ZoneStatus::Lost);
-        it.hear(2_700, it.remote, 3, 9, State::Serving);
+        it.receive_heartbeat(2_700, it.remote, 3, 9, State::Serving);
         it.node.link_closed(it.remote);
         it.ticks(2_700, 2_700);
         assert_eq!(it.node.zone_status(zone), ZoneStatus::Alive, "heard after it was reported as lost");
@@ -316,15 +325,15 @@
         assert!(matches!(it.node.zone_status(zone), ZoneStatus::Unknown(_)));
     },
     the_first_tick_after_a_pause_causes_no_death: |it| {
-        it.hear(0, it.peer, 5, 1, State::Serving);
+        it.receive_heartbeat(0, it.peer, 5, 1, State::Serving);
         it.ticks(100, 500);
         assert_eq!(it.ticks(20_000, 21_000), []);
-        it.hear(21_000, it.peer, 5, 2, State::Serving);
+        it.receive_heartbeat(21_000, it.peer, 5, 2, State::Serving);
         assert_eq!(it.ticks(21_100, 22_000), []);
         assert_eq!(it.ticks(22_100, 23_000).last(), Some(&Change::Died(it.peer)));
     },
     a_link_found_broken_after_a_pause_gets_the_full_timeout: |it| {
-        it.hear(0, it.peer, 5, 1, State::Serving);
+        it.receive_heartbeat(0, it.peer, 5, 1, State::Serving);
         it.ticks(100, 500);
         let now = it.at(20_000);
         it.node.link_down(now, it.peer);
@@ -332,7 +341,7 @@
         assert_eq!(it.ticks(21_600, 22_000), [Change::Died(it.peer)]);
     },
     a_removed_host_is_forgotten: |it| {
-        it.hear(0, it.peer, 5, 1, State::Serving);
+        it.receive_heartbeat(0, it.peer, 5, 1, State::Serving);
         let folder = serde_json::json!({});
         let empty: Configuration = serde_json::from_value(folder).expect("a configuration");
         let next = it.catalog.with_revision(2, &empty).expect("a catalog");
@@ -350,7 +359,7 @@
         (0.05, 400, 0),
         (0.20, 100, 5),
     ];
-    for (loss, jitter, most) in table {
+    for (loss, jitter, max_deaths) in table {
         let (mut deaths, mut hours) = (0, 0.0);
         for seed in 0..4 {
             let (d, h) = false_deaths(seed, 6, loss, jitter, 150_000);
@@ -358,7 +367,10 @@
             hours += h;
         }
         println!("loss {loss}, jitter {jitter} ms: {deaths} false deaths in {hours:.0} pair-hours");
-        assert!(deaths <= most, "loss {loss}, jitter {jitter} ms: {deaths}");
+        assert!(
+            deaths <= max_deaths,
+            "loss {loss}, jitter {jitter} ms: {deaths}"
+        );
     }
 }
 
@@ -380,19 +392,22 @@
             continue;
         }
         let after = delegate::choose_delegates(zone, &live, &catalog);
-        let gone = before.iter().filter(|host| !after.contains(host)).count();
-        let need = before.iter().filter(|host| !live.contains(host)).count();
-        assert!(gone <= need.max(1) && gone <= 1, "one event, one delegate");
+        let replaced = before.iter().filter(|host| !after.contains(host)).count();
+        let departed = before.iter().filter(|host| !live.contains(host)).count();
+        assert!(
+            replaced <= departed.max(1) && replaced <= 1,
+            "one event replaces at most one delegate"
+        );
         events += 1;
-        changed += gone;
+        changed += replaced;
         before = after;
     }
-    println!("{events} comings and goings changed {changed} delegates");
+    println!("{events} arrivals and departures changed {changed} delegates");
     assert!(changed * 10 < events);
 }
 
-/// A membership that has heard all hosts.
-fn fully_informed(catalog: &Catalog, own: HostKey) -> Membership {
+/// A membership that has received a heartbeat of every host.
+fn membership_of_all_hosts(catalog: &Catalog, own: HostKey) -> Membership {
     let now = Instant::now();
     let mut membership = Membership::new(now, own, 1, catalog);
     for (key, _) in catalog.hosts().filter(|&(key, _)| key != own) {
@@ -403,11 +418,11 @@
 
 #[test]
 fn link_counts_are_bounded() {
-    for (zones, hosts, most) in [(6, 2, 12), (15, 45, 72), (15, 48, 75), (4, 100, 107)] {
+    for (zones, hosts, max_links) in [(6, 2, 12), (15, 45, 72), (15, 48, 75), (4, 100, 107)] {
         let catalog = catalog(zones, hosts);
         let mut links: BTreeMap<HostKey, BTreeSet<HostKey>> = BTreeMap::new();
         for (key, _) in catalog.hosts() {
-            let membership = fully_informed(&catalog, key);
+            let membership = membership_of_all_hosts(&catalog, key);
             links.insert(key, delegate::wanted_links(key, &membership, &catalog));
         }
         for (from, others) in &links {
@@ -423,7 +438,7 @@
             "{zones} x {hosts}: median {}, most {largest}",
             degrees[degrees.len() / 2]
         );
-        assert!(largest <= most, "{zones} x {hosts}: {largest}");
+        assert!(largest <= max_links, "{zones} x {hosts}: {largest}");
     }
 }
 
--- a/tests/presence.rs
+++ b/tests/presence.rs
@@ -75,18 +75,22 @@
     assert_eq!(after(INTERVAL * 3), ["h0", "h1", "h2"]);
     assert_eq!(after(INTERVAL * 4), ["h0", "h2"]);
     assert_eq!(after(INTERVAL * 4 * REMOTE_HEARTBEAT_STRIDE as u32), ["h0"]);
-    let departed: Vec<_> = presence.removable_hosts(start + REMOVAL_SILENCE).collect();
-    assert_eq!(departed, [&"h1".into(), &Arc::<str>::from("h2")]);
+    let removable: Vec<_> = presence.removable_hosts(start + REMOVAL_SILENCE).collect();
+    assert_eq!(removable, [&"h1".into(), &Arc::<str>::from("h2")]);
 }
 
 /// The hosts that should be removed after `silence`, from the view of a host with the given view of
-/// the store. The witness is another host that sees the store.
-fn departed(view: StoreView, silence: Duration, witness: Option<&str>) -> Vec<Arc<str>> {
+/// the store. `other_watcher` is another host that sees it.
+fn removable_hosts(
+    view: StoreView,
+    silence: Duration,
+    other_watcher: Option<&str>,
+) -> Vec<Arc<str>> {
     let start = Instant::now();
     let mut presence = presence(start, &[("h-silent", "n-b")]);
     presence.set_store_view(view);
-    if let Some(witness) = witness {
-        let record = record(witness, "n-a", 1);
+    if let Some(other_watcher) = other_watcher {
+        let record = record(other_watcher, "n-a", 1);
         presence.receive_heartbeat(start + silence, heartbeat(record, StoreView::Store));
     }
     presence.removable_hosts(start + silence).cloned().collect()
@@ -95,19 +99,23 @@
 #[test]
 fn registrations_are_removed_by_one_host_that_sees_the_store() {
     let silent = vec![Arc::<str>::from("h-silent")];
-    assert_eq!(departed(StoreView::Store, REMOVAL_SILENCE, None), silent);
     assert_eq!(
-        departed(StoreView::Store, REMOVAL_SILENCE - INTERVAL, None),
+        removable_hosts(StoreView::Store, REMOVAL_SILENCE, None),
+        silent
+    );
+    assert_eq!(
+        removable_hosts(StoreView::Store, REMOVAL_SILENCE - INTERVAL, None),
         [] as [Arc<str>; 0]
     );
     assert_eq!(
-        departed(StoreView::Stale, REMOVAL_SILENCE, None),
+        removable_hosts(StoreView::Stale, REMOVAL_SILENCE, None),
         [] as [Arc<str>; 0]
     );
-    let by_witness = |name| departed(StoreView::Store, REMOVAL_SILENCE, Some(name)).len();
-    let witnesses = ["a", "b", "c", "d", "e", "f", "g", "i"];
-    let mine = witnesses.map(by_witness);
-    assert!(mine.contains(&0) && mine.contains(&1), "{mine:?}");
+    let count_removable =
+        |name| removable_hosts(StoreView::Store, REMOVAL_SILENCE, Some(name)).len();
+    let other_watchers = ["a", "b", "c", "d", "e", "f", "g", "i"];
+    let counts = other_watchers.map(count_removable);
+    assert!(counts.contains(&0) && counts.contains(&1), "{counts:?}");
 }
 
 #[test]
@@ -872,8 +880,8 @@
 
 #[test]
 fn followers_announce_nothing_to_other_regions() {
-    let told = [15, 60].map(announcements_of_followers);
-    assert_eq!(told, [15, 60].map(|hosts| 2 * hosts * (hosts - 1)));
+    let announcements = [15, 60].map(announcements_of_followers);
+    assert_eq!(announcements, [15, 60].map(|hosts| 2 * hosts * (hosts - 1)));
 }
 
 #[test]
--- a/tests/proof.rs
+++ b/tests/proof.rs
@@ -1,5 +1,5 @@
-//! No host may use a withdrawn key after its term, whatever messages it receives. Simulated in
-//! virtual time.
+//! No host may use a withdrawn key later than a fixed time after its withdrawal, whatever messages
+//! it receives. Simulated in virtual time.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,7 +9,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-const TERM: Duration = Duration::from_secs(5);
+/// Longest time for which a host may use a key after it was withdrawn.
+const KEY_LIFETIME: Duration = Duration::from_secs(5);
 
 fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
@@ -40,9 +41,10 @@
     from: usize,
     /// The receiver: another host, or the store if none.
     to: Option<usize>,
-    asked: Moment,
+    sent_at: Moment,
     arrives: u64,
-    /// Once answered: when the answer arrives, its age and the version that it reports.
+    /// Once answered: the time at which the answer arrives, and the age and the version that it
+    /// reports.
     answer: Option<(u64, Duration, u64)>,
 }
 
@@ -51,7 +53,7 @@
     proof: Proof,
     version: u64,
     asleep_until: u64,
-    cut_until: u64,
+    partitioned_until: u64,
     is_waiting: bool,
 }
 
@@ -60,15 +62,15 @@
 enum AgeRule {
     /// Correct: the age counts from the host's own request, and is used only if the host has that
     /// version.
-    SinceAsked,
+    SinceRequest,
     /// Faulty: the age counts from the arrival of the answer.
     SinceArrival,
     /// Faulty: the version is not checked.
     AnyVersion,
 }
 
-/// Simulates random cuts, sleeps and changes. Returns how many requests ran with an old version
-/// after its term.
+/// Simulates random partitions, sleeps and changes. Returns how many requests ran with a withdrawn
+/// key more than [`KEY_LIFETIME`] after its withdrawal.
 fn late_requests(seed: u64, rule: AgeRule) -> u32 {
     const STEP: u64 = 20;
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -83,7 +85,7 @@
             proof: Proof::new(),
             version: 0,
             asleep_until: 0,
-            cut_until: 0,
+            partitioned_until: 0,
             is_waiting: false,
         })
         .collect();
@@ -102,13 +104,13 @@
                 host.asleep_until = now + rng.random_range(500..8_000);
             }
             if rng.random_bool(0.003) {
-                host.cut_until = now + rng.random_range(500..9_000);
+                host.partitioned_until = now + rng.random_range(500..9_000);
             }
         }
-        // The first two hosts send requests to the store, the others to one of these two. News from
-        // a watch arrives after some time.
+        // The first two hosts send requests to the store, the others to one of these two. The
+        // first two also receive changes through a watch, with some delay.
         for (from, host) in hosts.iter_mut().enumerate() {
-            if host.asleep_until > now || host.cut_until > now {
+            if host.asleep_until > now || host.partitioned_until > now {
                 continue;
             }
             if from < 2 && rng.random_bool(0.1) {
@@ -120,22 +122,22 @@
                 requests.push(Request {
                     from,
                     to,
-                    asked: host.clock.moment(),
+                    sent_at: host.clock.moment(),
                     arrives: now + rng.random_range(1..400),
                     answer: None,
                 });
             }
         }
         for request in &mut requests {
-            let back = now + rng.random_range(1..3_000);
+            let answer_at = now + rng.random_range(1..3_000);
             match request.to {
                 _ if request.answer.is_some() || request.arrives > now => {}
-                None => request.answer = Some((back, Duration::ZERO, newest)),
+                None => request.answer = Some((answer_at, Duration::ZERO, newest)),
                 Some(to) if hosts[to].asleep_until <= now => {
                     let age = hosts[to].proof.age(hosts[to].clock.moment());
-                    request.answer = age.map(|age| (back, age, hosts[to].version));
+                    request.answer = age.map(|age| (answer_at, age, hosts[to].version));
                     if request.answer.is_none() {
-                        request.answer = Some((back, TERM * 9, 0));
+                        request.answer = Some((answer_at, KEY_LIFETIME * 9, 0));
                     }
                 }
                 Some(_) => {}
@@ -146,7 +148,7 @@
                 return true;
             };
             let host = &mut hosts[request.from];
-            if host.asleep_until > now || host.cut_until > now {
+            if host.asleep_until > now || host.partitioned_until > now {
                 return true;
             }
             host.is_waiting = false;
@@ -157,48 +159,51 @@
                 host.version = host.version.max(version);
             }
             let now = host.clock.moment();
-            let asked = if rule == AgeRule::SinceArrival {
+            let counted_from = if rule == AgeRule::SinceArrival {
                 now
             } else {
-                request.asked
+                request.sent_at
             };
             if host.version >= version || rule == AgeRule::AnyVersion {
-                host.proof.record(now, asked, age);
+                host.proof.record(now, counted_from, age);
             }
             false
         });
         // A caller sends a request now, with a key that the version following the host's own has
         // withdrawn.
         for host in &hosts {
-            let runs =
-                host.asleep_until <= now && host.proof.is_younger_than(host.clock.moment(), TERM);
+            let runs = host.asleep_until <= now
+                && host
+                    .proof
+                    .is_younger_than(host.clock.moment(), KEY_LIFETIME);
             let withdrawn = changes.get(host.version as usize + 1);
-            late_requests +=
-                u32::from(runs && withdrawn.is_some_and(|at| now > at + TERM.as_millis() as u64));
+            late_requests += u32::from(
+                runs && withdrawn.is_some_and(|at| now > at + KEY_LIFETIME.as_millis() as u64),
+            );
         }
     }
     late_requests
 }
 
-const HISTORIES: std::ops::Range<u64> = 0..1000;
+const SEEDS: std::ops::Range<u64> = 0..1000;
 
 #[test]
 fn no_withdrawn_key_is_used_too_late() {
-    for seed in HISTORIES {
-        assert_eq!(late_requests(seed, AgeRule::SinceAsked), 0, "seed {seed}");
+    for seed in SEEDS {
+        assert_eq!(late_requests(seed, AgeRule::SinceRequest), 0, "seed {seed}");
     }
 }
 
 #[test]
 fn counting_an_age_from_its_arrival_uses_keys_too_late() {
-    assert!(HISTORIES
+    assert!(SEEDS
         .clone()
         .any(|seed| late_requests(seed, AgeRule::SinceArrival) > 0));
 }
 
 #[test]
 fn a_proof_of_another_version_uses_keys_too_late() {
-    assert!(HISTORIES
+    assert!(SEEDS
         .clone()
         .any(|seed| late_requests(seed, AgeRule::AnyVersion) > 0));
 }
@@ -210,8 +215,8 @@
     let mut proof = Proof::new();
     proof.record(before, before, Duration::ZERO);
     let after = Moment::new(steady + ms(10), ms(7_010));
-    assert!(proof.is_younger_than(Moment::new(steady + ms(4_000), ms(5_000)), TERM));
-    assert!(!proof.is_younger_than(after, TERM));
+    assert!(proof.is_younger_than(Moment::new(steady + ms(4_000), ms(5_000)), KEY_LIFETIME));
+    assert!(!proof.is_younger_than(after, KEY_LIFETIME));
 }
 
 #[test]
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -260,7 +260,7 @@
         }
     }
 
-    fn play(&mut self) {
+    fn run(&mut self) {
         loop {
             let event = self.events.keys().next().copied();
             let notice = self.notices.keys().next().copied();
@@ -394,7 +394,7 @@
                 let mut fleet = Fleet::new(seed, $hosts, $targets)
                     .with_caller(POISON, $rate, 30.0)
                     .with_caller(POPULAR, 50.0, 30.0);
-                fleet.play();
+                fleet.run();
                 let third = fleet.poison_runs[2];
                 let late = fleet.poison_runs.iter().filter(|run| **run > third + ms(3000)).count();
                 assert!(late <= 3, "seed {seed}: {late} of {} too late", fleet.poison_runs.len());
@@ -423,7 +423,7 @@
                 for (time, target) in failures {
                     fleet.schedule(ms(time), Event::Ends(target));
                 }
-                fleet.play();
+                fleet.run();
                 assert_eq!(fleet.refused, BTreeMap::new(), "seed {seed}");
             }
         }
--- a/tests/replica.rs
+++ b/tests/replica.rs
@@ -26,7 +26,7 @@
     }
 }
 
-fn gone(name: &str, version: u64) -> Entry {
+fn removed_target(name: &str, version: u64) -> Entry {
     Entry {
         name: name.into(),
         version,
@@ -76,8 +76,8 @@
 
 applies! {
     a_change: update(Some(10), 12, vec![target("a", 12, 0)]) => "a", 12;
-    a_removal: update(Some(10), 12, vec![gone("a", 12)]) => "-a", 12;
-    a_removal_of_what_is_unknown: update(Some(10), 12, vec![gone("x", 12)]) => "", 12;
+    a_removal: update(Some(10), 12, vec![removed_target("a", 12)]) => "-a", 12;
+    a_removal_of_what_is_unknown: update(Some(10), 12, vec![removed_target("x", 12)]) => "", 12;
     nothing_new: update(Some(10), 12, vec![]) => "", 12;
     a_gap: update(Some(11), 12, vec![target("a", 12, 0)]) => "gap", 10;
     an_old_change: update(Some(4), 9, vec![target("a", 8, 0)]) => "old", 10;
@@ -149,7 +149,10 @@
         let entry = target(&format!("t{change:05}"), version, 0);
         watcher.apply(now, update(Some(version - 1), version, vec![entry]));
     }
-    let removals = vec![gone("t00011", revision + 11), gone("t00012", revision + 12)];
+    let removals = vec![
+        removed_target("t00011", revision + 11),
+        removed_target("t00012", revision + 12),
+    ];
     watcher.apply(now, update(Some(revision + 10), revision + 12, removals));
     let difference = watcher
         .changes_since(now, Kind::Targets, revision, Outage::None)
@@ -173,7 +176,7 @@
 fn a_target_that_was_removed_and_created_again_is_kept() {
     let now = Instant::now();
     let (mut watcher, mut follower) = (copy(3), copy(3));
-    watcher.apply(now, update(Some(3), 4, vec![gone("t00001", 4)]));
+    watcher.apply(now, update(Some(3), 4, vec![removed_target("t00001", 4)]));
     watcher.apply(now, update(Some(4), 5, vec![target("t00001", 5, 0)]));
     follower.apply(
         now,
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -29,7 +29,7 @@
 }
 
 /// Client timeout that is long enough for a loaded machine and short enough to run out in a test.
-const SHORT: Duration = Duration::from_millis(200);
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(200);
 
 fn client(platform: &Platform) -> Client {
     Client::new(&platform.url).with_timeout(Duration::from_secs(20))
@@ -133,7 +133,7 @@
         client.put("a", &json!(1), Condition::Absent).unwrap();
         let planned = fault.clone();
         platform.set_fault_plan(move |_| planned.clone());
-        let client = client.with_timeout(SHORT);
+        let client = client.with_timeout(CLIENT_TIMEOUT);
         assert_eq!(kind(client.get("a")), read, "{fault:?}");
         let result = client.put("a", &json!(2), Condition::Version(1));
         assert_eq!(kind(result), write, "{fault:?}");
@@ -333,7 +333,7 @@
 /// given.
 fn confirm_write(fault: Fault, other: Option<&'static str>) -> &'static str {
     let platform = Platform::new();
-    let guard = GuardedClient::new(client(&platform).with_timeout(SHORT));
+    let guard = GuardedClient::new(client(&platform).with_timeout(CLIENT_TIMEOUT));
     guard.put("a", &"old", Condition::Absent).unwrap();
     platform.fail_once("PUT", "/a", fault);
     if let Some(other) = other {
