--- a/tests/affinity.rs
+++ b/tests/affinity.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Three targets in each region.
+    /// Creates a world with three targets in each region.
     fn with_targets(host: &str, zone: &str) -> Self {
         let mut world = Self::new(host, zone);
         for (id, zone) in [
@@ -92,7 +92,7 @@
         self.fleet.member(target).unwrap().id().clone()
     }
 
-    fn chosen(&mut self, key: u64) -> Option<Arc<str>> {
+    fn choose_and_finish(&mut self, key: u64) -> Option<Arc<str>> {
         let target = self.choose(key, &[]).ok()?;
         let id = self.id(target);
         self.finish(target, End::Cancelled, None);
@@ -108,7 +108,7 @@
             .finish(self.now, target, end, observation, &mut self.rng);
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         self.now += time;
     }
 }
@@ -118,9 +118,9 @@
     let mut one = World::with_targets("h1", "n-a");
     let mut other = World::with_targets("h2", "n-b");
     for key in 0..200 {
-        let chosen = one.chosen(key);
+        let chosen = one.choose_and_finish(key);
         assert!(chosen.is_some());
-        assert_eq!(chosen, other.chosen(key));
+        assert_eq!(chosen, other.choose_and_finish(key));
     }
 }
 
@@ -139,7 +139,9 @@
     let mut world = World::with_targets("h1", "n-a");
     let mut counts = BTreeMap::new();
     for key in 0..3000 {
-        *counts.entry(world.chosen(key).unwrap()).or_insert(0) += 1;
+        *counts
+            .entry(world.choose_and_finish(key).unwrap())
+            .or_insert(0) += 1;
     }
     assert_eq!(counts.len(), 3);
     assert!(
@@ -169,7 +171,7 @@
             sent.push(target);
             refused = 0;
         } else {
-            world.pass(Duration::from_secs(1));
+            world.advance(Duration::from_secs(1));
             refused += 1;
         }
     }
@@ -200,7 +202,7 @@
     let other = world.choose(7, &[]).unwrap();
     assert_ne!(local, other);
     world.finish(other, End::Cancelled, None);
-    world.pass(Duration::from_millis(1100));
+    world.advance(Duration::from_millis(1100));
     assert_eq!(world.choose(7, &[]), Ok(local));
 }
 
@@ -238,7 +240,7 @@
         let expected = if key % 3 > 0 { "s" } else { "n" };
         assert_eq!(&*region, expected, "request {key}");
         world.finish(target, End::Cancelled, None);
-        world.pass(Duration::from_millis(5));
+        world.advance(Duration::from_millis(5));
     }
 }
 
@@ -255,18 +257,18 @@
     assert_eq!(world.choose(1, &[]), Err(Refusal::NoTarget));
 }
 
-/// Targets that get no new requests, by the reason.
+/// Defines tests by the event after which a target gets no new requests.
 macro_rules! is_avoided {
-    ($($name:ident: $close:expr;)*) => {$(
+    ($($name:ident: $disable:expr;)*) => {$(
         #[test]
         fn $name() {
             let mut world = World::with_targets("h1", "n-a");
             let target = world.choose(7, &[]).unwrap();
             world.finish(target, End::Cancelled, None);
             let id = world.id(target);
-            let close: fn(&mut World, TargetKey, &str) = $close;
-            close(&mut world, target, &id);
-            assert_ne!(world.chosen(7), Some(id));
+            let disable: fn(&mut World, TargetKey, &str) = $disable;
+            disable(&mut world, target, &id);
+            assert_ne!(world.choose_and_finish(7), Some(id));
         }
     )*};
 }
@@ -280,7 +282,7 @@
     a_withdrawn_target_is_avoided: |world, _, id| world.fleet.withdraw(id);
     an_expired_target_is_avoided: |world, _, id| {
         world.fleet.lapse(id, world.now + Duration::from_secs(2));
-        world.pass(Duration::from_secs(2));
+        world.advance(Duration::from_secs(2));
         assert_eq!(world.fleet.expire(world.now).len(), 1);
     };
     an_evacuated_zone_is_avoided: |world, _, _| {
@@ -305,14 +307,14 @@
 #[test]
 fn a_target_that_registers_again_in_time_is_kept() {
     let mut world = World::with_targets("h1", "n-a");
-    let id = world.chosen(7).unwrap();
+    let id = world.choose_and_finish(7).unwrap();
     world.fleet.lapse(&id, world.now + Duration::from_secs(2));
-    assert_eq!(world.chosen(7).as_ref(), Some(&id));
-    world.pass(Duration::from_secs(1));
+    assert_eq!(world.choose_and_finish(7).as_ref(), Some(&id));
+    world.advance(Duration::from_secs(1));
     world.fleet.register(world.now, registration(&id, "n-a"));
-    world.pass(Duration::from_secs(5));
+    world.advance(Duration::from_secs(5));
     assert!(world.fleet.expire(world.now).is_empty());
-    assert_eq!(world.chosen(7), Some(id));
+    assert_eq!(world.choose_and_finish(7), Some(id));
 }
 
 /// Returns the maximum number of requests that `hosts` hosts together send to one cold target
@@ -346,7 +348,7 @@
                 world.finish(target, End::Cancelled, None);
                 sent.push(ms);
             }
-            world.pass(Duration::from_millis(5));
+            world.advance(Duration::from_millis(5));
         }
     }
     sent.iter()
@@ -391,7 +393,7 @@
     let first = world.choose(1, &[]).unwrap();
     world.finish(first, End::Answered, None);
     assert_eq!(world.choose(1, &[]), Err(Refusal::NoTarget));
-    world.pass(Duration::from_secs(3));
+    world.advance(Duration::from_secs(3));
     assert!(world.choose(1, &[]).is_ok());
 }
 
@@ -574,13 +576,13 @@
 fn a_target_that_changes_its_service_leaves_the_one_before() {
     let mut world = World::new("h1", "n-a");
     world.fleet.register(world.now, registration("t1", "n-a"));
-    assert!(world.chosen(1).is_some());
+    assert!(world.choose_and_finish(1).is_some());
     let other = Registration {
         service: "films".into(),
         ..registration("t1", "n-a")
     };
     world.fleet.register(world.now, other);
-    assert_eq!(world.chosen(1), None);
+    assert_eq!(world.choose_and_finish(1), None);
 }
 
 #[test]
@@ -613,7 +615,9 @@
     for number in 0..missing {
         world.fleet.lapse(&format!("t{number}"), until);
     }
-    let used: BTreeSet<Arc<str>> = (0..500).filter_map(|key| world.chosen(key)).collect();
+    let used: BTreeSet<Arc<str>> = (0..500)
+        .filter_map(|key| world.choose_and_finish(key))
+        .collect();
     let is_missing = |id: &&Arc<str>| id[1..].parse::<usize>().unwrap() < missing;
     used.iter().filter(is_missing).count()
 }
@@ -663,7 +667,9 @@
         world.fleet.register(world.now, registration(id, "n-b"));
     }
     world.fleet.lapse("t1", world.now + Duration::from_secs(2));
-    let uses = |world: &mut World| (0..500).any(|key| world.chosen(key).as_deref() == Some("t1"));
+    let uses = |world: &mut World| {
+        (0..500).any(|key| world.choose_and_finish(key).as_deref() == Some("t1"))
+    };
     assert!(!uses(&mut world));
     world.fleet.register(world.now, registration("t1", "n-a"));
     assert!(uses(&mut world));
--- a/tests/allowance.rs
+++ b/tests/allowance.rs
@@ -86,7 +86,7 @@
     started: Instant,
     rng: Pcg64Mcg,
     account: Arc<Account>,
-    /// Stands for all other accounts, whose callers use all hosts alike.
+    /// Represents all other accounts, whose callers use all hosts equally.
     other: Arc<Account>,
     hosts: Vec<Host>,
     messages: Vec<Message>,
@@ -290,14 +290,14 @@
 /// Load of an account that stays below its quota, in multiples of the quota.
 const USUAL_LOAD: f64 = 1.0 / 1.6;
 
-fn even(rate: f64, times: f64) -> [f64; REGIONS] {
+fn even_demand(rate: f64, times: f64) -> [f64; REGIONS] {
     [rate * times / REGIONS as f64; REGIONS]
 }
 
 /// Runs the usual load for a while, and then a change of the scenario.
 fn run_scenario(seed: u64, rate: f64, change: impl Fn(&mut World)) -> World {
     let mut world = World::new(seed, 9, rate);
-    world.demand = even(rate, USUAL_LOAD);
+    world.demand = even_demand(rate, USUAL_LOAD);
     world.run(Duration::from_secs(8));
     world.reset_counts();
     change(&mut world);
@@ -380,7 +380,7 @@
 
 beyond_quota! {
     eight_times_the_usual_load: |world| {
-        world.demand = even(world.account.quota.unwrap().rate, 8.0 * USUAL_LOAD);
+        world.demand = even_demand(world.account.quota.unwrap().rate, 8.0 * USUAL_LOAD);
         world.run(s(12.0));
     };
     eight_times_the_usual_load_in_one_region: |world| {
@@ -388,7 +388,7 @@
         world.run(s(12.0));
     };
     all_hosts_restart_under_excess_load: |world| {
-        world.demand = even(world.account.quota.unwrap().rate, 5.0 * USUAL_LOAD);
+        world.demand = even_demand(world.account.quota.unwrap().rate, 5.0 * USUAL_LOAD);
         world.run(s(4.0));
         for index in 0..world.hosts.len() {
             world.start(index);
@@ -396,7 +396,7 @@
         world.run(s(8.0));
     };
     hosts_restart_in_turn_under_excess_load: |world| {
-        world.demand = even(world.account.quota.unwrap().rate, 5.0 * USUAL_LOAD);
+        world.demand = even_demand(world.account.quota.unwrap().rate, 5.0 * USUAL_LOAD);
         world.run(s(4.0));
         for index in 0..world.hosts.len() {
             world.start(index);
@@ -404,7 +404,7 @@
         }
     };
     a_third_of_hosts_is_partitioned_under_excess_load: |world| {
-        world.demand = even(world.account.quota.unwrap().rate, 5.0 * USUAL_LOAD);
+        world.demand = even_demand(world.account.quota.unwrap().rate, 5.0 * USUAL_LOAD);
         world.run(s(2.0));
         let partition = (world.now, world.now + s(6.0));
         for host in world.hosts.iter_mut().step_by(3) {
@@ -418,7 +418,7 @@
             host.partition = partition;
         }
         world.run(s(1.0));
-        world.demand = even(world.account.quota.unwrap().rate, 8.0 * USUAL_LOAD);
+        world.demand = even_demand(world.account.quota.unwrap().rate, 8.0 * USUAL_LOAD);
         world.run(s(12.0));
     };
 }
@@ -431,7 +431,7 @@
     while world.now < world.started + s(30.0) {
         let index = world.rng.random_range(0..world.hosts.len());
         match world.rng.random_range(0..6) {
-            0 => world.demand = even(rate, world.rng.random_range(0.2..5.0)),
+            0 => world.demand = even_demand(rate, world.rng.random_range(0.2..5.0)),
             1 => world.demand[index % REGIONS] = rate * world.rng.random_range(0.0..3.0),
             2 => world.hosts[index].ledger = None,
             3 => world.start(index),
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -44,20 +44,20 @@
     free: BTreeMap<&'static str, u32>,
     now: Instant,
     rng: Pcg64,
-    next: u64,
-    /// Milliseconds from one request to the next.
-    step: u64,
+    last_id: u64,
+    /// Time from one request to the next.
+    request_interval_ms: u64,
 }
 
 const ZONES: [&str; 6] = ["r0-z0", "r0-z1", "r1-z0", "r1-z1", "r2-z0", "r2-z1"];
 
 impl Rig {
-    /// All zones are alive with free slots, and the first split exists.
+    /// Creates an engine for which all zones are alive with free slots, and the first split exists.
     fn new() -> Self {
-        Self::with(|_| {})
+        Self::with_configuration(|_| {})
     }
 
-    fn with(change: impl FnOnce(&mut Value)) -> Self {
+    fn with_configuration(change: impl FnOnce(&mut Value)) -> Self {
         let mut value = configuration(TOPOLOGY);
         change(&mut value);
         let catalog = Arc::new(next_catalog(&Catalog::default(), value));
@@ -68,8 +68,8 @@
             free: ZONES.into_iter().map(|zone| (zone, 8)).collect(),
             now: Instant::now(),
             rng: Pcg64::seed_from_u64(3),
-            next: 0,
-            step: 1,
+            last_id: 0,
+            request_interval_ms: 1,
             catalog,
         };
         for name in ZONES {
@@ -114,19 +114,19 @@
 
     /// Builds a first attempt of a caller in `r0`.
     fn request(&mut self) -> RouteRequest {
-        self.next += 1;
+        self.last_id += 1;
         RouteRequest {
-            id: self.next,
+            id: self.last_id,
             kind: AttemptKind::First,
             origin: Origin::Caller,
             service: service(&self.catalog),
             locality: region(&self.catalog, "r0"),
-            block: self.next,
+            block: self.last_id,
             bytes: 0,
             deadline: self.now + Duration::from_secs(1),
             targets: vec![],
             hosts: vec![],
-            fingerprint: Fingerprint(self.next),
+            fingerprint: Fingerprint(self.last_id),
         }
     }
 
@@ -136,7 +136,7 @@
 
     /// Sends a modified request, ends it immediately and returns its routing.
     fn send(&mut self, change: impl FnOnce(&mut RouteRequest)) -> Routing {
-        self.advance_ms(self.step);
+        self.advance_ms(self.request_interval_ms);
         let mut request = self.request();
         change(&mut request);
         let id = request.id;
@@ -250,14 +250,14 @@
     };
     callers_of_another_region_are_routed_by_their_split: {
         let mut rig = Rig::new();
-        rig.step = 100;
+        rig.request_interval_ms = 100;
         let r1 = region(&rig.catalog, "r1");
         let routings = rig.send_many(20, |request| request.locality = r1);
         assert_eq!(count(&routings, "r1-z0") + count(&routings, "r1-z1"), 20, "{routings:?}");
     };
     requests_relayed_to_the_host_of_their_ticket_are_routed_by_the_split: {
         let mut rig = Rig::new();
-        rig.step = 100;
+        rig.request_interval_ms = 100;
         let own = rig.send_many(20, |_| {});
         assert_eq!(count(&own, "r0-z1"), 0, "{own:?}");
         let home = rig.send_many(100, |request| request.origin = Origin::TicketRelay);
@@ -330,7 +330,7 @@
         assert_eq!(rig.engine.outstanding_relays(), 0);
     };
     exhausted_link_quota_refuses: {
-        let mut rig = Rig::with(|value| value["links"]["r0-r1"]["requests_per_s"] = json!(1));
+        let mut rig = Rig::with_configuration(|value| value["links"]["r0-r1"]["requests_per_s"] = json!(1));
         let r1 = region(&rig.catalog, "r1");
         rig.advance_ms(20_000);
         let routings = rig.send_many(20, |request| request.locality = r1);
@@ -365,7 +365,7 @@
     };
     refused_relay_tries_one_more_host_of_the_zone_then_others: {
         let mut rig = Rig::new();
-        rig.step = 100;
+        rig.request_interval_ms = 100;
         let r1 = region(&rig.catalog, "r1");
         let hosts = rig.hosts_of("r1-z0");
         let block = (0..).find(|&block| {
@@ -391,9 +391,9 @@
     };
     chosen_zone_without_live_hosts_is_avoided_under_the_failover_cap: {
         let mut rig = Rig::new();
-        rig.step = 100;
+        rig.request_interval_ms = 100;
         let r1 = region(&rig.catalog, "r1");
-        rig.step = 30;
+        rig.request_interval_ms = 30;
         rig.advance_ms(20_000);
         rig.send_many(100, |request| request.locality = r1);
         for host in rig.hosts_of("r1-z0") {
@@ -410,7 +410,7 @@
     };
     draining_hosts_get_no_requests: {
         let mut rig = Rig::new();
-        rig.step = 100;
+        rig.request_interval_ms = 100;
         rig.reconfigure(|value| {
             for host in ["r1-z0-h0", "r1-z0-h1"] {
                 value["hosts"][host]["state"] = json!("draining");
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -29,7 +29,7 @@
         }
     }
 
-    fn now(&self) -> Option<(Version, T)> {
+    fn newest(&self) -> Option<(Version, T)> {
         self.history.last().cloned()
     }
 
@@ -37,12 +37,12 @@
     fn read(&self, stale: bool) -> Option<(Version, T)> {
         match (stale, self.history.len()) {
             (true, n) if n >= 2 => self.history.get(n - 2).cloned(),
-            _ => self.now(),
+            _ => self.newest(),
         }
     }
 
     fn write(&mut self, condition: &Condition, value: T) -> Option<Version> {
-        let holds = match (condition, self.now()) {
+        let holds = match (condition, self.newest()) {
             (Condition::Absent, None) => true,
             (Condition::Version(wanted), Some((version, _))) => *wanted == version,
             _ => false,
@@ -86,7 +86,7 @@
     /// Rate of its clock relative to real time.
     rate: f64,
     paused_until: u64,
-    dead: bool,
+    is_dead: bool,
 }
 
 /// The fault probabilities of each call.
@@ -119,7 +119,7 @@
     hosts: Vec<Host>,
     lease: Object<lease::Value>,
     plan: Object<(Stamp, usize)>,
-    due: BTreeMap<(u64, u64), Pending>,
+    pending: BTreeMap<(u64, u64), Pending>,
     last_serial: u64,
     /// Plan writes by a host whose epoch was no longer the highest: attempted, and accepted.
     stale_writes: usize,
@@ -145,7 +145,7 @@
                     gate: Gate::default(),
                     rate: rng.random_range(0.995..1.005),
                     paused_until: 0,
-                    dead: false,
+                    is_dead: false,
                 }
             })
             .collect();
@@ -157,7 +157,7 @@
             hosts,
             lease: Object::new(),
             plan: Object::new(),
-            due: BTreeMap::new(),
+            pending: BTreeMap::new(),
             last_serial: 0,
             stale_writes: 0,
             stale_accepted: 0,
@@ -172,9 +172,9 @@
         self.base + Duration::from_secs_f64(millis / 1000.0)
     }
 
-    fn schedule(&mut self, time: u64, due: Pending) {
+    fn schedule(&mut self, time: u64, event: Pending) {
         self.last_serial += 1;
-        self.due.insert((time, self.last_serial), due);
+        self.pending.insert((time, self.last_serial), event);
     }
 
     fn send(&mut self, host: usize, call: Call) {
@@ -193,8 +193,8 @@
             return self.schedule(self.time + 10, Pending::Answer(host, answer));
         }
         let slow = self.rng.random_bool(self.faults.slow);
-        let longest = if slow { 12_000 } else { 10 };
-        let delay = self.rng.random_range(2..=longest);
+        let max_delay = if slow { 12_000 } else { 10 };
+        let delay = self.rng.random_range(2..=max_delay);
         let lost = self.rng.random_bool(self.faults.lost) || delay > 2_000;
         let answer_fate = if lost {
             AnswerFate::AnswerLost
@@ -242,7 +242,7 @@
                 Answer::Plan(publish::Event::Read(read))
             }
             Call::Plan(publish::Command::Write { stamp, condition }) => {
-                let fence = self.plan.now().map_or(0, |(_, (stamp, _))| stamp.epoch);
+                let fence = self.plan.newest().map_or(0, |(_, (stamp, _))| stamp.epoch);
                 let written = self.plan.write(&condition, (stamp, host));
                 let stale = stamp.epoch < fence;
                 self.stale_writes += usize::from(stale);
@@ -259,7 +259,7 @@
     }
 
     fn answer(&mut self, host: usize, answer: Answer) {
-        if self.hosts[host].dead {
+        if self.hosts[host].is_dead {
             return;
         }
         let paused = self.hosts[host].paused_until;
@@ -284,7 +284,7 @@
     }
 
     fn run_host(&mut self, host: usize) {
-        if self.hosts[host].dead || self.hosts[host].paused_until > self.time {
+        if self.hosts[host].is_dead || self.hosts[host].paused_until > self.time {
             return;
         }
         let now = self.clock(host);
@@ -318,17 +318,17 @@
             return;
         };
         let before = self.hosts[host].gate.newest();
-        let taken = self.hosts[host].gate.accept(stamp);
-        assert_eq!(taken, stamp > before);
+        let is_accepted = self.hosts[host].gate.accept(stamp);
+        assert_eq!(is_accepted, stamp > before);
     }
 
     fn step(&mut self) {
         self.time += STEP;
-        while let Some((&key, _)) = self.due.first_key_value() {
+        while let Some((&key, _)) = self.pending.first_key_value() {
             if key.0 > self.time {
                 break;
             }
-            match self.due.remove(&key) {
+            match self.pending.remove(&key) {
                 Some(Pending::Effect(host, call, answer_fate)) => self.run(host, call, answer_fate),
                 Some(Pending::Answer(host, answer)) => self.answer(host, answer),
                 None => {}
@@ -356,7 +356,7 @@
 
     fn holders(&self) -> BTreeSet<usize> {
         (0..self.hosts.len())
-            .filter(|&n| !self.hosts[n].dead)
+            .filter(|&n| !self.hosts[n].is_dead)
             .filter(|&n| self.hosts[n].lease.held_epoch(self.clock(n)).is_some())
             .collect()
     }
@@ -385,8 +385,8 @@
 fn run_pauses(seed: u64, count: usize, faults: Faults) -> (usize, usize, usize) {
     let mut world = World::new(seed, 5, faults);
     for _ in 0..count {
-        let rest = world.rng.random_range(500..8_000);
-        world.run_until(rest, |_| false);
+        let idle_time = world.rng.random_range(500..8_000);
+        world.run_until(idle_time, |_| false);
         let holder = world.holders().first().copied();
         let any = world.rng.random_range(0..5);
         let host = holder.filter(|_| world.rng.random_bool(0.8)).unwrap_or(any);
@@ -429,15 +429,15 @@
 /// Time from the holder's death to the first plan of its successor, in milliseconds.
 fn hand_over_time(seed: u64, hosts: usize) -> u64 {
     let mut world = World::new(seed, hosts, NO_FAULTS);
-    let published = |world: &World| world.plan.now().is_some();
+    let published = |world: &World| world.plan.newest().is_some();
     assert!(world.run_until(20_000, published).is_some());
     let more = world.rng.random_range(0..6_000);
     world.run_until(more, |_| false);
     let holder = *world.holders().first().expect("a holder");
-    let (_, (stamp, _)) = world.plan.now().expect("a plan");
-    world.hosts[holder].dead = true;
+    let (_, (stamp, _)) = world.plan.newest().expect("a plan");
+    world.hosts[holder].is_dead = true;
     let next = move |world: &World| {
-        let (_, (newest, _)) = world.plan.now().expect("a plan");
+        let (_, (newest, _)) = world.plan.newest().expect("a plan");
         newest.epoch > stamp.epoch
     };
     world.run_until(30_000, next).expect("a hand-over")
@@ -493,7 +493,7 @@
         self.lease.tick(now, &mut self.rng)
     }
 
-    fn event(&mut self, millis: u64, event: lease::Event) {
+    fn handle_event(&mut self, millis: u64, event: lease::Event) {
         let now = self.at(millis);
         self.lease.handle_event(now, event, &mut self.rng);
     }
@@ -506,14 +506,14 @@
         }
     }
 
-    fn held(&self, millis: u64) -> Option<u64> {
+    fn held_epoch(&self, millis: u64) -> Option<u64> {
         self.lease.held_epoch(self.at(millis))
     }
 
     /// Acquires a free lease with a write sent at 1,000 ms.
     fn take(&mut self) -> lease::Value {
         assert_eq!(self.tick(0), Some(lease::Command::Read));
-        self.event(1, lease::Event::Read(None));
+        self.handle_event(1, lease::Event::Read(None));
         self.write(1_000)
     }
 }
@@ -537,40 +537,40 @@
 case! {
     validity_counts_from_before_the_write: |it| {
         it.take();
-        it.event(3_000, lease::Event::Written("v1".into()));
-        assert_eq!(it.held(5_800), Some(1));
-        assert_eq!(it.held(6_000), None);
+        it.handle_event(3_000, lease::Event::Written("v1".into()));
+        assert_eq!(it.held_epoch(5_800), Some(1));
+        assert_eq!(it.held_epoch(6_000), None);
     },
     a_lost_answer_is_settled_by_its_identity: |it| {
         let value = it.take();
-        it.event(2_000, lease::Event::Uncertain);
-        assert_eq!(it.held(2_000), None);
+        it.handle_event(2_000, lease::Event::Uncertain);
+        assert_eq!(it.held_epoch(2_000), None);
         assert_eq!(it.tick(2_500), Some(lease::Command::Read));
-        it.event(2_600, lease::Event::Read(Some(("v1".into(), value))));
-        assert_eq!(it.held(5_800), Some(1));
-        assert_eq!(it.held(6_000), None);
+        it.handle_event(2_600, lease::Event::Read(Some(("v1".into(), value))));
+        assert_eq!(it.held_epoch(5_800), Some(1));
+        assert_eq!(it.held_epoch(6_000), None);
     },
     a_lost_write_that_takes_effect_late_is_recognized: |it| {
         let value = it.take();
-        it.event(2_000, lease::Event::Uncertain);
+        it.handle_event(2_000, lease::Event::Uncertain);
         assert_eq!(it.tick(2_500), Some(lease::Command::Read));
-        it.event(2_510, lease::Event::Read(None));
+        it.handle_event(2_510, lease::Event::Read(None));
         it.write(3_200);
-        it.event(3_300, lease::Event::Conflict);
+        it.handle_event(3_300, lease::Event::Conflict);
         assert_eq!(it.tick(3_300), Some(lease::Command::Read));
-        it.event(3_400, lease::Event::Read(Some(("v1".into(), value))));
-        assert_eq!(it.held(5_800), Some(1));
-        assert_eq!(it.held(6_000), None);
+        it.handle_event(3_400, lease::Event::Read(Some(("v1".into(), value))));
+        assert_eq!(it.held_epoch(5_800), Some(1));
+        assert_eq!(it.held_epoch(6_000), None);
     },
     the_wait_for_another_holder_uses_the_own_clock: |it| {
         it.tick(0);
-        it.event(100, lease::Event::Read(Some(other(7, lease::TTL))));
+        it.handle_event(100, lease::Event::Read(Some(other(7, lease::TTL))));
         let mut now = 100;
         let value = loop {
             now += 50;
             match it.tick(now) {
                 Some(lease::Command::Read) => {
-                    it.event(now, lease::Event::Read(Some(other(7, lease::TTL))));
+                    it.handle_event(now, lease::Event::Read(Some(other(7, lease::TTL))));
                 }
                 Some(lease::Command::Write { value, .. }) => break value,
                 None => {}
@@ -581,13 +581,13 @@
     },
     a_renewal_by_the_other_restarts_the_wait: |it| {
         it.tick(0);
-        it.event(100, lease::Event::Read(Some(other(7, lease::TTL))));
+        it.handle_event(100, lease::Event::Read(Some(other(7, lease::TTL))));
         let mut now = 100;
         while now < 10_000 {
             now += 50;
             let found = (Arc::from(format!("x{}", now / 1_500)), other(7, lease::TTL).1);
             match it.tick(now) {
-                Some(lease::Command::Read) => it.event(now, lease::Event::Read(Some(found))),
+                Some(lease::Command::Read) => it.handle_event(now, lease::Event::Read(Some(found))),
                 Some(command) => panic!("{command:?} at {now}"),
                 None => {}
             }
@@ -595,21 +595,21 @@
     },
     a_lease_given_up_is_taken_without_a_wait: |it| {
         it.tick(0);
-        it.event(100, lease::Event::Read(Some(other(7, Duration::ZERO))));
+        it.handle_event(100, lease::Event::Read(Some(other(7, Duration::ZERO))));
         assert_eq!(it.write(800).epoch, 8);
     },
     a_leaving_holder_gives_it_up_at_once: |it| {
         it.take();
-        it.event(1_010, lease::Event::Written("v1".into()));
+        it.handle_event(1_010, lease::Event::Written("v1".into()));
         let now = it.at(1_200);
         it.lease.set_candidacy(now, Candidacy::Ineligible);
         assert_eq!(it.write(1_200).ttl, Duration::ZERO);
-        assert_eq!(it.held(1_200), None);
+        assert_eq!(it.held_epoch(1_200), None);
     },
     a_lapsed_holder_takes_a_new_epoch: |it| {
         it.take();
-        it.event(1_010, lease::Event::Written("v1".into()));
-        assert_eq!(it.held(20_000), None);
+        it.handle_event(1_010, lease::Event::Written("v1".into()));
+        assert_eq!(it.held_epoch(20_000), None);
         assert_eq!(it.write(20_000).epoch, 2);
     },
     a_new_epoch_exceeds_that_of_any_plan: |it| {
@@ -621,9 +621,9 @@
         for now in 0..60_000 {
             match it.tick(now) {
                 Some(lease::Command::Read) => {
-                    it.event(now, lease::Event::Read(Some(other(7, lease::TTL))));
+                    it.handle_event(now, lease::Event::Read(Some(other(7, lease::TTL))));
                 }
-                Some(lease::Command::Write { .. }) => it.event(now, lease::Event::Conflict),
+                Some(lease::Command::Write { .. }) => it.handle_event(now, lease::Event::Conflict),
                 None => continue,
             }
             calls += 1;
@@ -632,13 +632,13 @@
     },
     an_excessive_time_to_live_is_bounded: |it| {
         it.tick(0);
-        it.event(1, lease::Event::Read(Some(other(7, Duration::MAX))));
+        it.handle_event(1, lease::Event::Read(Some(other(7, Duration::MAX))));
         let mut now = 1;
         while now < 70_000 {
             now += 100;
             match it.tick(now) {
                 Some(lease::Command::Read) => {
-                    it.event(now, lease::Event::Read(Some(other(7, Duration::MAX))));
+                    it.handle_event(now, lease::Event::Read(Some(other(7, Duration::MAX))));
                 }
                 Some(lease::Command::Write { value, .. }) => {
                     return assert_eq!(value.epoch, 8);
@@ -653,7 +653,7 @@
         for now in 0..60_000 {
             if it.tick(now).is_some() {
                 calls += 1;
-                it.event(now, lease::Event::Down);
+                it.handle_event(now, lease::Event::Down);
             }
         }
         assert!((20..=45).contains(&calls), "{calls}");
@@ -672,7 +672,7 @@
         (stamp(2, 1), true),
         (stamp(1, 9), false),
     ];
-    for (stamp, taken) in table {
-        assert_eq!(gate.accept(stamp), taken, "{stamp:?}");
+    for (stamp, is_accepted) in table {
+        assert_eq!(gate.accept(stamp), is_accepted, "{stamp:?}");
     }
 }
--- a/tests/load.rs
+++ b/tests/load.rs
@@ -24,7 +24,7 @@
     Switches::default()
 }
 
-fn scene(switches: Switches, seed: u64) -> Scenario {
+fn scenario(switches: Switches, seed: u64) -> Scenario {
     Scenario {
         switches,
         seed,
@@ -35,7 +35,7 @@
 /// Sums the results of a load over all seeds.
 fn sum_over_seeds(switches: Switches, load: impl Fn(Scenario) -> RequestCounts) -> RequestCounts {
     SEEDS.fold(RequestCounts::default(), |sum, seed| {
-        let result = load(scene(switches, seed));
+        let result = load(scenario(switches, seed));
         RequestCounts {
             total: sum.total + result.total,
             in_time: sum.in_time + result.in_time,
@@ -47,34 +47,34 @@
 }
 
 /// Cold start: no target has any object cached.
-fn cold_start(scene: Scenario) -> RequestCounts {
-    let mut world = Simulation::new(scene);
+fn cold_start(scenario: Scenario) -> RequestCounts {
+    let mut world = Simulation::new(scenario);
     world.run(seconds(9.0));
     world.count_requests(seconds(0.0), seconds(6.0))
 }
 
 /// Two of four targets of a region accept requests and never answer.
-fn silent_targets(scene: Scenario) -> RequestCounts {
-    let mut world = Simulation::new(scene);
+fn silent_targets(scenario: Scenario) -> RequestCounts {
+    let mut world = Simulation::new(scenario);
     world.run(seconds(10.0));
-    for site in &world.targets_in_region(1)[..2] {
-        world.set_mode(*site, Mode::Silent);
+    for target in &world.targets_in_region(1)[..2] {
+        world.set_mode(*target, Mode::Silent);
     }
     world.run(seconds(10.0));
     world.count_requests(seconds(10.0), seconds(16.0))
 }
 
 /// Two targets of a region are withdrawn and return with empty caches.
-fn targets_return(scene: Scenario) -> RequestCounts {
-    let mut world = Simulation::new(scene);
-    let sites = world.targets_in_region(2)[..2].to_vec();
+fn targets_return(scenario: Scenario) -> RequestCounts {
+    let mut world = Simulation::new(scenario);
+    let targets = world.targets_in_region(2)[..2].to_vec();
     world.run(seconds(10.0));
-    for site in &sites {
-        world.withdraw_target(*site);
+    for target in &targets {
+        world.withdraw_target(*target);
     }
     world.run(seconds(3.0));
-    for site in &sites {
-        world.restore_target(*site);
+    for target in &targets {
+        world.restore_target(*target);
     }
     world.run(seconds(9.0));
     world.count_requests(seconds(10.0), seconds(19.0))
@@ -82,9 +82,9 @@
 
 /// One region has more than twice its usual load for three seconds: more than its targets can serve, and as much as other regions
 /// may take over within the limit on shifted traffic.
-fn burst(scene: Scenario) -> RequestCounts {
-    let rate = scene.rate;
-    let mut world = Simulation::new(scene);
+fn burst(scenario: Scenario) -> RequestCounts {
+    let rate = scenario.rate;
+    let mut world = Simulation::new(scenario);
     world.run(seconds(10.0));
     world.set_request_rate(0, rate * 2.2);
     world.run(seconds(3.0));
@@ -94,8 +94,8 @@
 }
 
 /// All hosts restart while the targets keep their cached objects.
-fn hosts_restart(scene: Scenario) -> RequestCounts {
-    let mut world = Simulation::new(scene);
+fn hosts_restart(scenario: Scenario) -> RequestCounts {
+    let mut world = Simulation::new(scenario);
     world.run(seconds(10.0));
     world.restart_hosts();
     world.run(seconds(8.0));
@@ -103,30 +103,30 @@
 }
 
 /// All targets of a region refuse half of their requests.
-fn shedding_targets(scene: Scenario) -> RequestCounts {
-    let mut world = Simulation::new(scene);
+fn shedding_targets(scenario: Scenario) -> RequestCounts {
+    let mut world = Simulation::new(scenario);
     world.run(seconds(10.0));
-    for site in world.targets_in_region(2) {
-        world.set_mode(site, Mode::Shed(0.5));
+    for target in world.targets_in_region(2) {
+        world.set_mode(target, Mode::Shed(0.5));
     }
     world.run(seconds(8.0));
     world.count_requests(seconds(10.0), seconds(16.0))
 }
 
 /// Twice the load that all slots can serve, for ten seconds.
-fn overload(scene: Scenario) -> Simulation {
+fn overload(scenario: Scenario) -> Simulation {
     let mut world = Simulation::new(Scenario {
         uncached_time: Duration::from_millis(150),
         cached_time: Duration::from_millis(150),
         rate: 290.0,
-        ..scene
+        ..scenario
     });
     world.run(seconds(12.0));
     world
 }
 
-fn overloaded(scene: Scenario) -> RequestCounts {
-    overload(scene).count_requests(seconds(2.0), seconds(8.0))
+fn overloaded(scenario: Scenario) -> RequestCounts {
+    overload(scenario).count_requests(seconds(2.0), seconds(8.0))
 }
 
 /// Returns the switches with one mechanism off.
@@ -174,7 +174,7 @@
 #[test]
 fn requests_beyond_capacity_are_refused_at_once() {
     for seed in SEEDS {
-        let world = overload(scene(all_on(), seed));
+        let world = overload(scenario(all_on(), seed));
         let sum = world.count_requests(seconds(2.0), seconds(8.0));
         assert!(sum.refused > 0 && sum.failed == 0, "{sum:?}");
         // At most two attempts, each with one round trip.
@@ -189,13 +189,13 @@
 
 /// A burst with so many targets and requests that single ones don't matter: for three seconds the first `regions` have `times`
 /// their load.
-fn wide_burst(scene: Scenario, regions: usize, times: f64) -> Simulation {
+fn wide_burst(scenario: Scenario, regions: usize, times: f64) -> Simulation {
     let rate = 240.0;
     let mut world = Simulation::new(Scenario {
         hosts: 4,
         rate,
         objects: 240,
-        ..scene
+        ..scenario
     });
     world.run(seconds(10.0));
     for region in 0..regions {
@@ -217,11 +217,11 @@
 #[test]
 fn a_burst_shifts_to_other_regions_gradually() {
     for seed in SEEDS {
-        let scene = Scenario {
+        let scenario = Scenario {
             targets: vec![8, 16, 20],
-            ..scene(all_on(), seed)
+            ..scenario(all_on(), seed)
         };
-        let world = wide_burst(scene, 1, 3.0);
+        let world = wide_burst(scenario, 1, 3.0);
         let largest_shift = largest_shift(&world);
         assert!(
             largest_shift <= MAX_SHIFTED_SHARE,
@@ -237,11 +237,11 @@
 #[test]
 fn a_burst_in_all_regions_shifts_little() {
     for seed in SEEDS {
-        let scene = Scenario {
+        let scenario = Scenario {
             targets: vec![13, 13, 13],
-            ..scene(all_on(), seed)
+            ..scenario(all_on(), seed)
         };
-        let world = wide_burst(scene, 3, 2.2);
+        let world = wide_burst(scenario, 3, 2.2);
         let largest_shift = largest_shift(&world);
         assert!(
             largest_shift <= MAX_SHIFTED_SHARE,
@@ -255,11 +255,11 @@
     for seed in SEEDS {
         let mut world = Simulation::new(Scenario {
             targets: vec![4, 4, 4],
-            ..scene(all_on(), seed)
+            ..scenario(all_on(), seed)
         });
         world.run(seconds(10.0));
-        for site in &world.targets_in_region(1)[1..] {
-            world.withdraw_target(*site);
+        for target in &world.targets_in_region(1)[1..] {
+            world.withdraw_target(*target);
         }
         world.run(seconds(6.0));
         let sum = world.count_requests(seconds(10.2), seconds(15.0));
@@ -280,7 +280,7 @@
         rate,
         objects: 240,
         retry_pause: Some(pause),
-        ..scene(all_on(), seed)
+        ..scenario(all_on(), seed)
     });
     world.run(seconds(10.0));
     for region in 0..3 {
--- a/tests/plan.rs
+++ b/tests/plan.rs
@@ -39,7 +39,7 @@
         assert!(world.away() > 0.2);
         world.demand = [60.0, 40.0];
         let course = Course::new(&mut world, 1_500);
-        println!("cap {cap:?}: back home, {course:?}");
+        println!("cap {cap:?}: returned, {course:?}");
         assert!(world.away() < 0.02, "{}", world.away());
         assert!(
             course.crossings <= 1 && course.overshoot < 0.02,
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -19,7 +19,7 @@
 
 /// Returns a host at which a request broke at the given targets, with the start and end of each
 /// attempt in milliseconds.
-fn broken(attempts: &[(u64, u64, u64)]) -> (Quarantine, Instant) {
+fn host_with_breaks(attempts: &[(u64, u64, u64)]) -> (Quarantine, Instant) {
     let start = Instant::now();
     let mut host = Quarantine::new(7);
     let mut end = start;
@@ -36,7 +36,7 @@
     ($($name:ident: $attempts:expr => $suspected:expr, $refused:expr;)*) => {$(
         #[test]
         fn $name() {
-            let (host, _) = broken(&$attempts);
+            let (host, _) = host_with_breaks(&$attempts);
             assert_eq!((!host.may_retry(POISON), host.is_refused(POISON)), ($suspected, $refused));
         }
     )*};
@@ -56,7 +56,7 @@
 
 #[test]
 fn a_suspected_request_is_sent_one_at_a_time() {
-    let (mut host, end) = broken(&[(1, 0, 100), (2, 100, 200)]);
+    let (mut host, end) = host_with_breaks(&[(1, 0, 100), (2, 100, 200)]);
     assert_eq!(host.check(end + ms(100), POISON).0, Verdict::Wait);
     assert_eq!(host.check(end + ms(160), POISON).0, Verdict::Isolated);
     assert_eq!(host.check(end + ms(170), POISON).0, Verdict::Wait);
@@ -67,7 +67,7 @@
 
 #[test]
 fn an_answer_clears_for_a_while() {
-    let (mut host, end) = broken(&[(1, 0, 100), (2, 100, 200)]);
+    let (mut host, end) = host_with_breaks(&[(1, 0, 100), (2, 100, 200)]);
     assert_eq!(
         host.record_answer(end, POISON),
         Some(Notice::Cleared(POISON))
@@ -82,7 +82,7 @@
 
 #[test]
 fn a_host_that_had_an_answer_clears() {
-    let (host, end) = broken(&[(1, 0, 100), (2, 100, 200)]);
+    let (host, end) = host_with_breaks(&[(1, 0, 100), (2, 100, 200)]);
     let notices: Vec<Notice> = host.statuses(end).collect();
     let mut other = Quarantine::new(8);
     other.record_answer(end - ms(50), POISON);
@@ -98,7 +98,7 @@
 
 #[test]
 fn a_notified_host_refuses() {
-    let (host, end) = broken(&[(1, 0, 100), (2, 100, 200), (3, 400, 500)]);
+    let (host, end) = host_with_breaks(&[(1, 0, 100), (2, 100, 200), (3, 400, 500)]);
     let mut other = Quarantine::new(8);
     for notice in host.statuses(end) {
         assert!(other.merge(end, &notice).is_new);
@@ -114,7 +114,7 @@
 
 #[test]
 fn one_host_retries_with_growing_delays() {
-    let (mut host, mut now) = broken(&[(1, 0, 100), (2, 100, 200), (3, 400, 500)]);
+    let (mut host, mut now) = host_with_breaks(&[(1, 0, 100), (2, 100, 200), (3, 400, 500)]);
     let mut other = Quarantine::new(8);
     for notice in host.statuses(now) {
         other.merge(now, &notice);
@@ -159,7 +159,7 @@
 
 #[test]
 fn notices_are_short() {
-    let (mut host, end) = broken(&[(u64::MAX, 0, 100), (u64::MAX - 1, 100, 200)]);
+    let (mut host, end) = host_with_breaks(&[(u64::MAX, 0, 100), (u64::MAX - 1, 100, 200)]);
     let length = |notice: &Notice| {
         let mut bytes = Vec::new();
         ciborium::into_writer(notice, &mut bytes).unwrap();
@@ -179,9 +179,9 @@
     /// An attempt at a target ends.
     Finished(usize),
     /// A target terminates for an unrelated reason.
-    Ends(usize),
+    TargetTerminates(usize),
     /// A target returns, as another process.
-    Returns(usize),
+    TargetReturns(usize),
 }
 
 /// An attempt of a request at a target.
@@ -284,11 +284,11 @@
                 self.request(now, host, request, number, arrived)
             }
             Event::Finished(key) => self.finish_attempt(now, key),
-            Event::Returns(target) => {
+            Event::TargetReturns(target) => {
                 self.targets[target].0 += 1;
                 self.targets[target].1 = true;
             }
-            Event::Ends(target) => self.end_process(now, target),
+            Event::TargetTerminates(target) => self.end_process(now, target),
         }
     }
 
@@ -354,7 +354,7 @@
 
     fn end_process(&mut self, now: Duration, target: usize) {
         self.targets[target].1 = false;
-        self.schedule(now + ms(3000), Event::Returns(target));
+        self.schedule(now + ms(3000), Event::TargetReturns(target));
         let lost: Vec<usize> = self
             .attempts
             .iter()
@@ -421,7 +421,7 @@
                 let mut fleet = Fleet::new(seed, 12, 24).with_caller(POPULAR, $rate, 10.0);
                 let failures: Vec<(u64, usize)> = $failures;
                 for (time, target) in failures {
-                    fleet.schedule(ms(time), Event::Ends(target));
+                    fleet.schedule(ms(time), Event::TargetTerminates(target));
                 }
                 fleet.run();
                 assert_eq!(fleet.refused, BTreeMap::new(), "seed {seed}");
@@ -440,7 +440,7 @@
 
 #[test]
 fn hosts_retry_at_different_times() {
-    let (host, end) = broken(&[(1, 0, 100), (2, 100, 200), (3, 400, 500)]);
+    let (host, end) = host_with_breaks(&[(1, 0, 100), (2, 100, 200), (3, 400, 500)]);
     let pauses: BTreeSet<Duration> = (0..20)
         .map(|seed| {
             let mut other = Quarantine::new(seed);
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -147,7 +147,7 @@
     assert_eq!(
         pool.lend(at(base, 9.0), 6.0, 4 * SECOND),
         None,
-        "lent beyond its return"
+        "the loan would end after the released rate returns to its holder"
     );
 }
 
@@ -189,7 +189,7 @@
     processes: Vec<Process>,
     quotas: Vec<Quota>,
     pools: Vec<Pool>,
-    sent: Vec<(u64, Message)>,
+    in_transit: Vec<(u64, Message)>,
     issued: u64,
     total_lent: f64,
 }
@@ -212,7 +212,7 @@
                 .map(|at| Quota::new(part, base, at as u64))
                 .collect(),
             pools: (0..PLANNERS).map(|at| Pool::new(at as u64)).collect(),
-            sent: Vec::new(),
+            in_transit: Vec::new(),
             issued: 100,
             total_lent: 0.0,
         }
@@ -227,7 +227,7 @@
 
     fn send(&mut self, real_ms: u64, step: &Step, message: Message) {
         let delays = step.delays.iter().flatten();
-        self.sent
+        self.in_transit
             .extend(delays.map(|delay| (real_ms + delay, message)));
     }
 
@@ -320,8 +320,8 @@
         let due = |&(time, message): &(u64, Message)| {
             time <= real_ms && self.processes[Self::receiver(message)].paused_until_ms <= real_ms
         };
-        let (due, undelivered): (Vec<_>, Vec<_>) = self.sent.iter().copied().partition(due);
-        self.sent = undelivered;
+        let (due, undelivered): (Vec<_>, Vec<_>) = self.in_transit.iter().copied().partition(due);
+        self.in_transit = undelivered;
         for (_, message) in due {
             self.receive(real_ms, step, message);
         }
--- a/tests/ranking.rs
+++ b/tests/ranking.rs
@@ -60,7 +60,7 @@
     }
 
     /// Returns the target selected for a request with a key; the request ends at once.
-    fn chosen(&mut self, key: u64) -> Result<Arc<str>, Refusal> {
+    fn choose_and_finish(&mut self, key: u64) -> Result<Arc<str>, Refusal> {
         let query = TargetQuery {
             service: &"books".into(),
             affinity_key: key,
@@ -89,12 +89,12 @@
     let ready = (0..targets).map(|index| registration(index, State::Ready));
     let mut world = World::new(ready);
     for key in 0..50 {
-        world.chosen(key).unwrap();
+        world.choose_and_finish(key).unwrap();
     }
     let before = world.fleet.inspected_targets();
     for request in 0..REQUESTS {
         world.now += Duration::from_millis(10);
-        world.chosen(u64::from(request % 50)).unwrap();
+        world.choose_and_finish(u64::from(request % 50)).unwrap();
     }
     (world.fleet.inspected_targets() - before) as f64 / f64::from(REQUESTS)
 }
@@ -154,7 +154,10 @@
                 Step::Request(key) => {
                     let targets = known.iter();
                     let all = targets.map(|(index, state)| registration(*index, *state));
-                    prop_assert_eq!(world.chosen(key), World::new(all).chosen(key));
+                    prop_assert_eq!(
+                        world.choose_and_finish(key),
+                        World::new(all).choose_and_finish(key)
+                    );
                 }
             }
         }
--- a/tests/rate.rs
+++ b/tests/rate.rs
@@ -23,29 +23,29 @@
 const TARGETS_PER_ZONE: usize = 3;
 
 /// Starts zones of several hosts and targets that may announce a rate limit.
-fn start_world() -> (TestCluster, Vec<Target>) {
+fn start_cluster() -> (TestCluster, Vec<Target>) {
     let lookups = json!({"class": "pass-lookup", "idempotent": true, "deadline_ms": 2000});
-    let mut world = TestCluster::new()
+    let mut cluster = TestCluster::new()
         .without_services()
         .with_service("lookups", lookups);
     let mut targets = Vec::new();
     for (region, zone) in ZONES {
-        world = world.with_zone(region, zone);
+        cluster = cluster.with_zone(region, zone);
         for number in 0..HOSTS_PER_ZONE {
-            world = world.with_host(zone, &format!("{zone}-{number}"));
+            cluster = cluster.with_host(zone, &format!("{zone}-{number}"));
         }
         for number in 0..TARGETS_PER_ZONE {
             let target = Target::new(HEADERS).unwrap();
             let name = format!("look-{zone}-{number}");
-            world = world.with_target_at(zone, "lookups", &name, target.address());
+            cluster = cluster.with_target_at(zone, "lookups", &name, target.address());
             targets.push(target);
         }
     }
-    (world.start_all(), targets)
+    (cluster.start_all(), targets)
 }
 
-fn send_load(world: &TestCluster, time: Duration) -> Vec<Call> {
-    let hosts: Vec<_> = world.hosts.values().collect();
+fn send_load(cluster: &TestCluster, time: Duration) -> Vec<Call> {
+    let hosts: Vec<_> = cluster.hosts.values().collect();
     run_callers(time, |number| {
         let host = hosts[number % hosts.len()];
         let url = host.url(&format!("/v1/services/lookups/{number}"));
@@ -80,12 +80,12 @@
     ($($name:ident: $targets:expr, $named:expr => $rate:expr, $served:expr;)*) => {$(
         #[test]
         fn $name() {
-            let (world, targets) = start_world();
-            send_load(&world, Duration::from_secs(1));
+            let (cluster, targets) = start_cluster();
+            send_load(&cluster, Duration::from_secs(1));
             let limited = &sort_by_load(&targets)[..$targets];
             limited.iter().for_each(|target| target.set_rates(&[$named]));
             let started = Instant::now();
-            let calls = send_load(&world, LIMITED_TIME);
+            let calls = send_load(&cluster, LIMITED_TIME);
             for target in limited {
                 target.check_rate($rate, started).unwrap();
             }
@@ -104,17 +104,17 @@
 
 #[test]
 fn a_target_that_names_no_rate_any_more_gets_its_part_again() {
-    let (world, targets) = start_world();
+    let (cluster, targets) = start_cluster();
     let span = Duration::from_secs(2);
-    send_load(&world, span);
+    send_load(&cluster, span);
     let target = sort_by_load(&targets)[0];
     let before = target.arrivals().len();
     target.set_rates(&["2.0"]);
-    send_load(&world, LIMITED_TIME);
+    send_load(&cluster, LIMITED_TIME);
     target.set_rates(&[]);
-    send_load(&world, span);
+    send_load(&cluster, span);
     let started = Instant::now();
-    send_load(&world, span);
+    send_load(&cluster, span);
     let count = target.count_arrivals(started, span);
     assert!(count >= before / 2, "{count} after {before}");
 }
--- a/tests/throttle.rs
+++ b/tests/throttle.rs
@@ -34,7 +34,7 @@
     Duration::from_secs_f64(seconds)
 }
 
-fn scene(hosts: usize, seed: u64) -> Scenario {
+fn scenario(hosts: usize, seed: u64) -> Scenario {
     Scenario {
         hosts,
         seed,
@@ -48,9 +48,9 @@
 
 /// Asserts that a target receives about the rate that it names from [`UNLIMITED_S`] to `until`.
 /// `rate` is the highest one that it names.
-fn assert_rate(world: &Simulation, site: usize, rate: f64, until: f64, excluded: &[usize]) {
+fn assert_rate(world: &Simulation, target: usize, rate: f64, until: f64, excluded: &[usize]) {
     let max_in_window = world.max_arrivals_in_window(
-        site,
+        target,
         s(UNLIMITED_S + SETTLING_S - WINDOW_S / 2.0),
         s(WINDOW_S),
         excluded,
@@ -61,7 +61,7 @@
         "seed {seed}: {max_in_window} in a window, {} allowed",
         allowed(rate)
     );
-    let used = world.count_arrivals(site, s(UNLIMITED_S + SETTLING_S), s(until)) as f64;
+    let used = world.count_arrivals(target, s(UNLIMITED_S + SETTLING_S), s(until)) as f64;
     let min_used = rate * MIN_USED_SHARE * (until - UNLIMITED_S - SETTLING_S);
     assert!(
         used >= min_used,
@@ -75,12 +75,12 @@
         #[test]
         fn $name() {
             for seed in SEEDS {
-                let mut world = Simulation::new(scene($hosts, seed));
+                let mut world = Simulation::new(scenario($hosts, seed));
                 world.run(s(UNLIMITED_S));
-                let site = busiest(&world, $region);
-                world.set_target_rate(site, Some($rate));
+                let target = busiest_target(&world, $region);
+                world.set_target_rate(target, Some($rate));
                 world.run(s(12.0));
-                assert_rate(&world, site, $rate, 22.0, &[]);
+                assert_rate(&world, target, $rate, 22.0, &[]);
             }
         }
     )*};
@@ -95,10 +95,10 @@
 }
 
 /// Returns the target of a region that has received most of its requests so far.
-fn busiest(world: &Simulation, region: usize) -> usize {
+fn busiest_target(world: &Simulation, region: usize) -> usize {
     let targets = world.targets_in_region(region).into_iter();
     targets
-        .max_by_key(|site| world.count_arrivals(*site, s(0.0), s(UNLIMITED_S)))
+        .max_by_key(|target| world.count_arrivals(*target, s(0.0), s(UNLIMITED_S)))
         .unwrap()
 }
 
@@ -106,8 +106,8 @@
 /// settle.
 fn assert_served(world: &Simulation, until: f64, refused: f64) {
     let sum = world.count_requests(s(UNLIMITED_S + SETTLING_S), s(until - 1.0));
-    let most = f64::from(sum.total) * refused;
-    assert!(f64::from(sum.refused) <= most, "{sum:?}");
+    let max_refused = f64::from(sum.total) * refused;
+    assert!(f64::from(sum.refused) <= max_refused, "{sum:?}");
     assert!(
         world.longest_refusal() <= s(0.5),
         "{:?}",
@@ -118,11 +118,11 @@
 #[test]
 fn all_targets_of_a_service_name_a_rate() {
     for seed in SEEDS {
-        let mut world = Simulation::new(scene(4, seed));
+        let mut world = Simulation::new(scenario(4, seed));
         world.run(s(UNLIMITED_S));
-        (0..11).for_each(|site| world.set_target_rate(site, Some(6.0)));
+        (0..11).for_each(|target| world.set_target_rate(target, Some(6.0)));
         world.run(s(12.0));
-        (0..11).for_each(|site| assert_rate(&world, site, 6.0, 22.0, &[]));
+        (0..11).for_each(|target| assert_rate(&world, target, 6.0, 22.0, &[]));
         assert_served(&world, 22.0, 1.0 - 66.0 * MIN_USED_SHARE / 180.0);
     }
 }
@@ -139,14 +139,14 @@
             cache_size: 34,
             objects: 66,
             rate: 76.0,
-            ..scene(4, seed)
+            ..scenario(4, seed)
         });
         world.run(s(UNLIMITED_S));
         let usual: Vec<usize> = (0..24)
-            .map(|site| world.count_arrivals(site, s(4.0), s(UNLIMITED_S)))
+            .map(|target| world.count_arrivals(target, s(4.0), s(UNLIMITED_S)))
             .collect();
-        for (site, count) in usual.iter().enumerate() {
-            world.set_target_rate(site, Some(*count as f64 / 6.0 * 0.3));
+        for (target, count) in usual.iter().enumerate() {
+            world.set_target_rate(target, Some(*count as f64 / 6.0 * 0.3));
         }
         world.run(s(16.0));
         let sum = world.count_requests(s(UNLIMITED_S + SETTLING_S), s(24.0));
@@ -161,12 +161,12 @@
 #[test]
 fn requests_beyond_a_rate_are_served_by_other_targets() {
     for seed in SEEDS {
-        let mut world = Simulation::new(scene(4, seed));
+        let mut world = Simulation::new(scenario(4, seed));
         world.run(s(UNLIMITED_S));
-        let site = busiest(&world, 2);
-        world.set_target_rate(site, Some(2.0));
+        let target = busiest_target(&world, 2);
+        world.set_target_rate(target, Some(2.0));
         world.run(s(12.0));
-        assert_rate(&world, site, 2.0, 22.0, &[]);
+        assert_rate(&world, target, 2.0, 22.0, &[]);
         assert_served(&world, 22.0, 0.01);
     }
 }
@@ -174,47 +174,52 @@
 #[test]
 fn hosts_follow_a_rate_that_changes() {
     for seed in SEEDS {
-        let mut world = Simulation::new(scene(4, seed));
+        let mut world = Simulation::new(scenario(4, seed));
         world.run(s(UNLIMITED_S));
-        let site = busiest(&world, 1);
+        let target = busiest_target(&world, 1);
         for step in 0..24 {
-            world.set_target_rate(site, Some([4.0, 2.5, 3.3, 2.0][step % 4]));
+            world.set_target_rate(target, Some([4.0, 2.5, 3.3, 2.0][step % 4]));
             world.run(s(0.5));
         }
-        let most = world.max_arrivals_in_window(
-            site,
+        let max_arrivals = world.max_arrivals_in_window(
+            target,
             s(UNLIMITED_S + SETTLING_S - WINDOW_S / 2.0),
             s(WINDOW_S),
             &[],
         );
-        assert!(most as f64 <= allowed(2.95), "seed {seed}: {most}");
-        assert!(world.count_arrivals(site, s(13.0), s(22.0)) as f64 >= 2.95 * 9.0 * MIN_USED_SHARE);
+        assert!(
+            max_arrivals as f64 <= allowed(2.95),
+            "seed {seed}: {max_arrivals}"
+        );
+        assert!(
+            world.count_arrivals(target, s(13.0), s(22.0)) as f64 >= 2.95 * 9.0 * MIN_USED_SHARE
+        );
     }
 }
 
 #[test]
 fn hosts_follow_a_rate_that_falls_and_rises() {
     for seed in SEEDS {
-        let mut world = Simulation::new(scene(4, seed));
+        let mut world = Simulation::new(scenario(4, seed));
         world.run(s(UNLIMITED_S));
-        let site = busiest(&world, 1);
+        let target = busiest_target(&world, 1);
         for rate in [8.0, 1.0, 8.0] {
-            world.set_target_rate(site, Some(rate));
+            world.set_target_rate(target, Some(rate));
             world.run(s(8.0));
         }
         let low = world.max_arrivals_in_window(
-            site,
+            target,
             s(UNLIMITED_S + 8.0 + SETTLING_S - 2.0),
             s(WINDOW_S),
             &[],
         );
-        let high = world.count_arrivals(site, s(UNLIMITED_S + 18.0), s(UNLIMITED_S + 24.0));
+        let high = world.count_arrivals(target, s(UNLIMITED_S + 18.0), s(UNLIMITED_S + 24.0));
         assert!(
             high as f64 >= 8.0 * 6.0 * MIN_USED_SHARE,
             "seed {seed}: {high}"
         );
         assert!(low as f64 <= allowed(8.0), "seed {seed}: {low}");
-        let low = world.count_arrivals(site, s(UNLIMITED_S + 11.0), s(UNLIMITED_S + 15.0));
+        let low = world.count_arrivals(target, s(UNLIMITED_S + 11.0), s(UNLIMITED_S + 15.0));
         assert!(low as f64 <= allowed(1.0), "seed {seed}: {low}");
     }
 }
@@ -225,17 +230,17 @@
         #[test]
         fn $name() {
             for seed in SEEDS {
-                let mut world = Simulation::new(scene($hosts, seed));
+                let mut world = Simulation::new(scenario($hosts, seed));
                 world.run(s(UNLIMITED_S));
-                let site = busiest(&world, 1);
-                world.set_target_rate(site, Some(3.0));
+                let target = busiest_target(&world, 1);
+                world.set_target_rate(target, Some(3.0));
                 let fault: fn(&mut Simulation, usize) -> Option<usize> = $fault;
                 let mut excluded = Vec::new();
                 for second in 0..12 {
                     excluded.extend(fault(&mut world, second));
                     world.run(s(1.0));
                 }
-                assert_rate(&world, site, 3.0, 22.0, &excluded);
+                assert_rate(&world, target, 3.0, 22.0, &excluded);
             }
         }
     )*};
@@ -278,25 +283,25 @@
 #[test]
 fn a_rate_ends_when_answers_no_longer_name_it() {
     for seed in SEEDS {
-        let mut world = Simulation::new(scene(4, seed));
+        let mut world = Simulation::new(scenario(4, seed));
         world.run(s(UNLIMITED_S));
-        let site = busiest(&world, 2);
-        let usual = world.count_arrivals(site, s(UNLIMITED_S - 4.0), s(UNLIMITED_S));
-        world.set_target_rate(site, Some(2.0));
+        let target = busiest_target(&world, 2);
+        let usual = world.count_arrivals(target, s(UNLIMITED_S - 4.0), s(UNLIMITED_S));
+        world.set_target_rate(target, Some(2.0));
         world.run(s(8.0));
-        world.set_target_rate(site, None);
+        world.set_target_rate(target, None);
         world.run(s(8.0));
-        let after = world.count_arrivals(site, s(UNLIMITED_S + 12.0), s(UNLIMITED_S + 16.0));
+        let after = world.count_arrivals(target, s(UNLIMITED_S + 12.0), s(UNLIMITED_S + 16.0));
         assert!(after * 2 >= usual, "seed {seed}: {after} after {usual}");
     }
 }
 
 #[test]
 fn a_rate_needs_few_datagrams() {
-    let mut world = Simulation::new(scene(100, 1));
+    let mut world = Simulation::new(scenario(100, 1));
     world.run(s(UNLIMITED_S));
-    let site = busiest(&world, 1);
-    world.set_target_rate(site, Some(3.0));
+    let target = busiest_target(&world, 1);
+    world.set_target_rate(target, Some(3.0));
     let before = world.datagrams();
     world.run(s(12.0));
     // Each host repeats the rate to two others each second; all together send one update to all
