--- a/src/bin/ragwortfold/publish.rs
+++ b/src/bin/ragwortfold/publish.rs
@@ -228,7 +228,7 @@
     format: Format,
 ) -> Result<(), Failure> {
     let applied = match source {
-        Source::Folder(dir, undo) => apply_folder(publication, dir, *undo, signature)?,
+        Source::Folder(dir, policy) => apply_folder(publication, dir, *policy, signature)?,
         Source::Revision(revision) => publication
             .revert(*revision, signature, check_files)
             .map_err(Error::from)?,
@@ -251,15 +251,15 @@
 fn apply_folder(
     publication: &Publication,
     dir: &Path,
-    undo: OverwritePolicy,
+    policy: OverwritePolicy,
     signature: &Signature,
 ) -> Result<Applied, Failure> {
     let folder = config::read(dir)?;
     folder.merged_with_clients().map_err(config::Error::from)?;
     let marker = marker::read(dir).map_err(folder_error(dir))?;
-    let base = match (marker, undo) {
+    let base = match (marker, policy) {
         (Some(marker), OverwritePolicy::Refuse) => Base::Pulled(marker),
-        (_, undo) => Base::Head(undo),
+        (_, policy) => Base::Head(policy),
     };
     let applied = publication
         .apply(folder.files(), &base, signature, check_files)
--- a/src/bin/ragwortfold/room.rs
+++ b/src/bin/ragwortfold/room.rs
@@ -11,8 +11,8 @@
 use crate::drain::DrainSet;
 use crate::fleet::{self, HostStatus};
 
-/// How many times the requests in flight are sampled; the largest sample counts.
-const SAMPLES: usize = 3;
+/// How many times the requests in flight are sampled; the largest sample is used.
+const SAMPLE_COUNT: usize = 3;
 /// Pause between two samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 /// Shares below this are considered rounding errors; also the smallest divisor.
@@ -72,7 +72,7 @@
             requests: BTreeMap::new(),
             shares: BTreeMap::new(),
         };
-        for sample in 0..SAMPLES {
+        for sample in 0..SAMPLE_COUNT {
             if sample > 0 {
                 thread::sleep(SAMPLE_INTERVAL);
             }
@@ -111,7 +111,7 @@
     }
 
     /// The number of requests of a service in all zones.
-    fn requests_of(&self, service: &str) -> u64 {
+    fn requests_in_all_zones(&self, service: &str) -> u64 {
         let entries = self.requests.iter();
         let service_requests = entries.filter(|((name, _), _)| name == service);
         service_requests.map(|(_, count)| count).sum()
@@ -177,7 +177,7 @@
     }
     let utilization = catalog.limits().utilization;
     let capacity = f64::from(slots) * utilization;
-    let requests = load.requests_of(name);
+    let requests = load.requests_in_all_zones(name);
     let is_exceeded = requests as f64 > capacity;
     is_exceeded.then(|| {
         format!(
--- a/tests/caller.rs
+++ b/tests/caller.rs
@@ -53,7 +53,7 @@
     }
 
     /// Returns how many requests ran at the target of `lookups` or `bookings`.
-    fn runs(&self, target: &str) -> usize {
+    fn count_runs(&self, target: &str) -> usize {
         self.cluster.targets[target].journal().entries.len()
     }
 
@@ -208,10 +208,10 @@
     text + "0\r\n\r\n"
 }
 
-const LOOKUPS: &str = "/v1/services/lookups/x";
-const BOOKINGS: &str = "/v1/services/bookings/x";
-const SMALL: &str = "/v1/services/small/x";
-const CHUNKED: &str = "Transfer-Encoding: chunked";
+const LOOKUPS_PATH: &str = "/v1/services/lookups/x";
+const BOOKINGS_PATH: &str = "/v1/services/bookings/x";
+const SMALL_PATH: &str = "/v1/services/small/x";
+const CHUNKED_HEADER: &str = "Transfer-Encoding: chunked";
 
 /// Requests that are refused as not run.
 macro_rules! refused {
@@ -250,37 +250,37 @@
     delete_of_health: 405, "DELETE /healthz HTTP/1.1\r\n\r\n";
     put_to_metrics: 405, "PUT /metrics HTTP/1.1\r\n\r\n";
     odd_method_to_status: 405, "BREW /v1/status HTTP/1.1\r\n\r\n";
-    deadline_text: 400, get_with(LOOKUPS, "Ragwortfold-Deadline-Ms: soon");
-    deadline_zero: 400, get_with(LOOKUPS, "Ragwortfold-Deadline-Ms: 0");
-    deadline_negative: 400, get_with(LOOKUPS, "Ragwortfold-Deadline-Ms: -5");
-    deadline_huge: 400, get_with(LOOKUPS, "Ragwortfold-Deadline-Ms: 99999999999999999999999");
-    deadline_too_long: 400, get_with(LOOKUPS, "Ragwortfold-Deadline-Ms: 3600001");
-    key_empty: 400, get_with(BOOKINGS, "Idempotency-Key: ");
-    key_with_space: 400, get_with(BOOKINGS, "Idempotency-Key: a b");
-    key_too_long: 400, get_with(BOOKINGS, &format!("Idempotency-Key: {}", repeated(256)));
-    key_twice: 400, get_with(BOOKINGS, "Idempotency-Key: a\r\nIdempotency-Key: b");
-    key_without_ticket: 428, get_with(BOOKINGS, "Idempotency-Key: a");
-    ticket_malformed: 400, get_with(BOOKINGS, "Idempotency-Key: a\r\nRagwortfold-Ticket: ent-1");
-    ticket_empty: 400, get_with(BOOKINGS, "Ragwortfold-Ticket: ");
-    head_oversize: 431, get_with(LOOKUPS, &format!("X-Long: {}", repeated(40_000)));
-    path_oversize: 431, get(&format!("{LOOKUPS}{}", repeated(40_000)));
-    many_headers: 431, get_with(LOOKUPS, "X-Many: 0123456789\r\n".repeat(3000).trim_end());
-    body_oversize: 413, post(SMALL, "Content-Length: 3001", &repeated(3001));
-    body_oversize_large: 413, post(SMALL, "Content-Length: 9000000", &repeated(9_000_000));
-    body_oversize_chunked: 413, post(SMALL, CHUNKED, &to_chunks(&repeated(3001), 100));
-    body_oversize_chunked_large: 413, post(SMALL, CHUNKED, &to_chunks(&repeated(900_000), 100_000));
-    body_of_absurd_length: 413, post(SMALL, "Content-Length: 9000000000000000", "begun");
+    deadline_text: 400, get_with(LOOKUPS_PATH, "Ragwortfold-Deadline-Ms: soon");
+    deadline_zero: 400, get_with(LOOKUPS_PATH, "Ragwortfold-Deadline-Ms: 0");
+    deadline_negative: 400, get_with(LOOKUPS_PATH, "Ragwortfold-Deadline-Ms: -5");
+    deadline_huge: 400, get_with(LOOKUPS_PATH, "Ragwortfold-Deadline-Ms: 99999999999999999999999");
+    deadline_too_long: 400, get_with(LOOKUPS_PATH, "Ragwortfold-Deadline-Ms: 3600001");
+    key_empty: 400, get_with(BOOKINGS_PATH, "Idempotency-Key: ");
+    key_with_space: 400, get_with(BOOKINGS_PATH, "Idempotency-Key: a b");
+    key_too_long: 400, get_with(BOOKINGS_PATH, &format!("Idempotency-Key: {}", repeated(256)));
+    key_twice: 400, get_with(BOOKINGS_PATH, "Idempotency-Key: a\r\nIdempotency-Key: b");
+    key_without_ticket: 428, get_with(BOOKINGS_PATH, "Idempotency-Key: a");
+    ticket_malformed: 400, get_with(BOOKINGS_PATH, "Idempotency-Key: a\r\nRagwortfold-Ticket: ent-1");
+    ticket_empty: 400, get_with(BOOKINGS_PATH, "Ragwortfold-Ticket: ");
+    head_oversize: 431, get_with(LOOKUPS_PATH, &format!("X-Long: {}", repeated(40_000)));
+    path_oversize: 431, get(&format!("{LOOKUPS_PATH}{}", repeated(40_000)));
+    many_headers: 431, get_with(LOOKUPS_PATH, "X-Many: 0123456789\r\n".repeat(3000).trim_end());
+    body_oversize: 413, post(SMALL_PATH, "Content-Length: 3001", &repeated(3001));
+    body_oversize_large: 413, post(SMALL_PATH, "Content-Length: 9000000", &repeated(9_000_000));
+    body_oversize_chunked: 413, post(SMALL_PATH, CHUNKED_HEADER, &to_chunks(&repeated(3001), 100));
+    body_oversize_chunked_large: 413, post(SMALL_PATH, CHUNKED_HEADER, &to_chunks(&repeated(900_000), 100_000));
+    body_of_absurd_length: 413, post(SMALL_PATH, "Content-Length: 9000000000000000", "begun");
     body_of_absurd_length_to_nowhere: 404, post("/v1/nowhere", "Content-Length: 9000000000000000", "begun");
     body_of_absurd_length_to_no_service: 404,
         post("/v1/services/nowhere/x", "Content-Length: 18000000000000000000", "begun");
-    body_of_many_gigabytes: 413, post(LOOKUPS, "Content-Length: 900000000000", "begun");
-    length_of_too_many_digits: 400, post(LOOKUPS, "Content-Length: 99999999999999999999999", "");
-    length_text: 400, post(LOOKUPS, "Content-Length: ten", "");
-    length_negative: 400, post(LOOKUPS, "Content-Length: -1", "");
-    length_twice: 400, post(LOOKUPS, "Content-Length: 2\r\nContent-Length: 2", "ab");
-    length_and_chunks: 400, post(LOOKUPS, "Content-Length: 2\r\nTransfer-Encoding: chunked", "0\r\n\r\n");
-    encoding_unknown: 400, post(LOOKUPS, "Transfer-Encoding: gzip", "0\r\n\r\n");
-    chunk_malformed: 400, post(LOOKUPS, CHUNKED, "zz\r\nab\r\n0\r\n\r\n");
+    body_of_many_gigabytes: 413, post(LOOKUPS_PATH, "Content-Length: 900000000000", "begun");
+    length_of_too_many_digits: 400, post(LOOKUPS_PATH, "Content-Length: 99999999999999999999999", "");
+    length_text: 400, post(LOOKUPS_PATH, "Content-Length: ten", "");
+    length_negative: 400, post(LOOKUPS_PATH, "Content-Length: -1", "");
+    length_twice: 400, post(LOOKUPS_PATH, "Content-Length: 2\r\nContent-Length: 2", "ab");
+    length_and_chunks: 400, post(LOOKUPS_PATH, "Content-Length: 2\r\nTransfer-Encoding: chunked", "0\r\n\r\n");
+    encoding_unknown: 400, post(LOOKUPS_PATH, "Transfer-Encoding: gzip", "0\r\n\r\n");
+    chunk_malformed: 400, post(LOOKUPS_PATH, CHUNKED_HEADER, "zz\r\nab\r\n0\r\n\r\n");
     look_up_without_service: 400, get("/v1/entries");
     look_up_of_unknown_service: 404, get("/v1/entries?service=nowhere");
     look_up_of_bad_client: 400, get("/v1/entries?service=lookups&client=10.0.0");
@@ -348,11 +348,11 @@
 fn the_rest_of_a_refused_body_is_never_run_as_a_request() {
     let fixture = shared_fixture();
     let hidden = post("/v1/services/bookings/hidden", "Content-Length: 0", "");
-    for path in ["/v1/services/nowhere/x", "/v1/nowhere", SMALL] {
+    for path in ["/v1/services/nowhere/x", "/v1/nowhere", SMALL_PATH] {
         let size = format!("{:x}", hidden.len() + 5000);
         let body = format!("{size}\r\n{}{hidden}\r\n0\r\n\r\n", repeated(5000));
         for header in [
-            CHUNKED.to_owned(),
+            CHUNKED_HEADER.to_owned(),
             format!("Content-Length: {}", body.len()),
         ] {
             let mut caller = fixture.open();
@@ -396,12 +396,12 @@
     let fixture = Fixture::new(&json!({"workers": 4, "lookup_workers": 2}));
     let mut hostile = fixture.open();
     let slow = "Standin-Work-Ms: 4000\r\nRagwortfold-Deadline-Ms: 20000";
-    hostile.write(get_with(LOOKUPS, slow));
+    hostile.write(get_with(LOOKUPS_PATH, slow));
     for _ in 0..10 {
         hostile.write(get("/v1/entries?service=lookups"));
-        hostile.write(get(LOOKUPS));
+        hostile.write(get(LOOKUPS_PATH));
     }
-    eventually("the slow request runs", || fixture.runs("look-1") > 0);
+    eventually("the slow request runs", || fixture.count_runs("look-1") > 0);
     for _ in 0..20 {
         fixture.check_serves();
     }
@@ -423,7 +423,7 @@
 fn connection_close_closes() {
     let fixture = shared_fixture();
     let mut caller = fixture.open();
-    let raw = caller.request(get_with(LOOKUPS, "Connection: close"));
+    let raw = caller.request(get_with(LOOKUPS_PATH, "Connection: close"));
     assert_eq!((raw.status, raw.outcome()), (200, "answered"));
     assert!(caller.is_closed());
 }
@@ -432,7 +432,7 @@
 fn http_1_0_is_answered_and_closed() {
     let fixture = shared_fixture();
     let mut caller = fixture.open();
-    let raw = caller.request(format!("GET {LOOKUPS} HTTP/1.0\r\n\r\n"));
+    let raw = caller.request(format!("GET {LOOKUPS_PATH} HTTP/1.0\r\n\r\n"));
     assert_eq!((raw.status, raw.outcome()), (200, "answered"));
     assert!(caller.is_closed());
 }
@@ -443,7 +443,7 @@
     for size in [10, 5000] {
         let mut caller = fixture.open();
         let header = format!("Content-Length: {size}\r\nExpect: 100-continue");
-        let interim = caller.request(post(LOOKUPS, &header, ""));
+        let interim = caller.request(post(LOOKUPS_PATH, &header, ""));
         assert_eq!(interim.status, 100);
         let raw = caller.request(repeated(size));
         assert_eq!((raw.status, raw.outcome()), (200, "answered"));
@@ -460,7 +460,7 @@
         .open()
         .request(post("/v1/services/nowhere/x", header, ""));
     assert_eq!(raw.status, 404);
-    let raw = fixture.open().request(post(SMALL, header, ""));
+    let raw = fixture.open().request(post(SMALL_PATH, header, ""));
     assert_eq!(raw.status, 413);
 }
 
@@ -470,9 +470,11 @@
     let body: String = (0..8 << 20)
         .map(|at| char::from(b'a' + (at % 23) as u8))
         .collect();
-    let raw = fixture
-        .open()
-        .request(post(LOOKUPS, CHUNKED, &to_chunks(&body, 70_001)));
+    let raw = fixture.open().request(post(
+        LOOKUPS_PATH,
+        CHUNKED_HEADER,
+        &to_chunks(&body, 70_001),
+    ));
     assert_eq!(
         (raw.status, raw.outcome()),
         (200, "answered"),
@@ -488,7 +490,7 @@
 fn a_slow_body_arrives_whole() {
     let fixture = shared_fixture();
     let mut caller = fixture.open();
-    caller.write(post(LOOKUPS, "Content-Length: 2000", ""));
+    caller.write(post(LOOKUPS_PATH, "Content-Length: 2000", ""));
     for _ in 0..20 {
         caller.write(repeated(100));
         thread::sleep(Duration::from_millis(10));
@@ -601,10 +603,10 @@
     let incomplete_requests = [
         "GET /v1/services/lookups/x HTTP/1.1\r\nX-Ha".to_owned(),
         "GE".to_owned(),
-        post(LOOKUPS, "Content-Length: 100", "half"),
-        post(LOOKUPS, "Content-Length: 5000", "half"),
-        post(LOOKUPS, CHUNKED, "5\r\nha"),
-        post(LOOKUPS, "Content-Length: 5000000", "half"),
+        post(LOOKUPS_PATH, "Content-Length: 100", "half"),
+        post(LOOKUPS_PATH, "Content-Length: 5000", "half"),
+        post(LOOKUPS_PATH, CHUNKED_HEADER, "5\r\nha"),
+        post(LOOKUPS_PATH, "Content-Length: 5000000", "half"),
     ];
     let mut callers = Vec::new();
     for request in incomplete_requests.iter().cycle().take(24) {
@@ -635,7 +637,7 @@
     let fixture = Fixture::new(&json!({"workers": 1, "lookup_workers": 1}));
     let header = "Content-Length: 9000\r\nRagwortfold-Deadline-Ms: 1000";
     let mut caller = fixture.open();
-    caller.write(post(LOOKUPS, header, ""));
+    caller.write(post(LOOKUPS_PATH, header, ""));
     let mut stream = caller.reader.get_ref().try_clone().unwrap();
     let sender = thread::spawn(move || {
         for _ in 0..80 {
@@ -658,12 +660,12 @@
     let size = "Standin-Answer-Bytes: 30000000";
     for _ in 0..6 {
         let mut caller = fixture.open();
-        caller.write(get_with(LOOKUPS, size));
+        caller.write(get_with(LOOKUPS_PATH, size));
         let mut beginning = [0; 1000];
         caller.reader.read_exact(&mut beginning).unwrap();
     }
     eventually("others are served", || {
-        let answer = send("GET", &fixture.host().url(LOOKUPS), &[], b"").unwrap();
+        let answer = send("GET", &fixture.host().url(LOOKUPS_PATH), &[], b"").unwrap();
         answer.status == 200
     });
     fixture.check_serves();
@@ -675,10 +677,10 @@
     let size = "Standin-Answer-Bytes: 40000000";
     let mut hostile: Vec<Caller> = (0..4).map(|_| fixture.open()).collect();
     for caller in &mut hostile {
-        caller.write(get_with(LOOKUPS, size));
+        caller.write(get_with(LOOKUPS_PATH, size));
     }
     eventually("others are served", || {
-        let answer = send("GET", &fixture.host().url(LOOKUPS), &[], b"").unwrap();
+        let answer = send("GET", &fixture.host().url(LOOKUPS_PATH), &[], b"").unwrap();
         answer.status == 200
     });
     for caller in &mut hostile {
@@ -723,11 +725,13 @@
     let slow = "Standin-Work-Ms: 4000\r\nRagwortfold-Deadline-Ms: 60000";
     let mut busy: Vec<Caller> = (0..2).map(|_| fixture.open()).collect();
     for (index, caller) in busy.iter_mut().enumerate() {
-        caller.write(get_with(LOOKUPS, slow));
-        eventually("the request runs", || fixture.runs("look-1") == index + 1);
+        caller.write(get_with(LOOKUPS_PATH, slow));
+        eventually("the request runs", || {
+            fixture.count_runs("look-1") == index + 1
+        });
     }
     let mut waiting = fixture.open();
-    waiting.write(get(LOOKUPS));
+    waiting.write(get(LOOKUPS_PATH));
     let look_up = send(
         "GET",
         &fixture.host().url("/v1/entries?service=lookups"),
@@ -736,8 +740,8 @@
     );
     assert_eq!(look_up.unwrap().status, 200);
     for request in [
-        get(LOOKUPS),
-        post(BOOKINGS, "Content-Length: 900", &repeated(900)),
+        get(LOOKUPS_PATH),
+        post(BOOKINGS_PATH, "Content-Length: 900", &repeated(900)),
     ] {
         let raw = fixture.open().request(request);
         assert_eq!(
@@ -762,7 +766,7 @@
     for caller in busy.iter_mut().chain([&mut waiting]) {
         assert_eq!(caller.read().unwrap().status, 200);
     }
-    assert_eq!(fixture.runs("book-1"), 0);
+    assert_eq!(fixture.count_runs("book-1"), 0);
 }
 
 /// A connection uses two file descriptors, so the limit is hit by either the first or the second: on the
@@ -787,7 +791,8 @@
     thread::sleep(Duration::from_millis(300));
     drop(connections);
     eventually("the host serves again", || {
-        send("GET", &fixture.host().url(LOOKUPS), &[], b"").is_ok_and(|answer| answer.status == 200)
+        send("GET", &fixture.host().url(LOOKUPS_PATH), &[], b"")
+            .is_ok_and(|answer| answer.status == 200)
     });
     fixture.check_serves();
     assert!(
--- a/tests/target.rs
+++ b/tests/target.rs
@@ -22,9 +22,9 @@
 
 /// The answer that the caller must receive.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Expect {
+enum Expected {
     /// The target's complete answer to this request.
-    Good,
+    Complete,
     /// The target's answer with this status.
     Status(u16),
     /// 503 with `Retry-After`, and the request did not run.
@@ -33,27 +33,32 @@
     Unknown(u16),
 }
 
-use Expect::{Good, NotRun, Status, Unknown};
+use Expected::{Complete, NotRun, Status, Unknown};
 
 /// A test case: one fault and the expected answers.
 #[derive(Clone, Copy)]
 struct Row {
     name: &'static str,
-    act: Behavior,
-    times: Occurrence,
+    behavior: Behavior,
+    occurrence: Occurrence,
     method: &'static str,
     body: usize,
     deadline: &'static str,
     requests: usize,
-    idempotent: Expect,
-    non_idempotent: Expect,
+    idempotent: Expected,
+    non_idempotent: Expected,
 }
 
-const fn row(act: Behavior, times: Occurrence, idempotent: Expect, non_idempotent: Expect) -> Row {
+const fn row(
+    behavior: Behavior,
+    occurrence: Occurrence,
+    idempotent: Expected,
+    non_idempotent: Expected,
+) -> Row {
     Row {
         name: "",
-        act,
-        times,
+        behavior,
+        occurrence,
         method: "POST",
         body: 10,
         deadline: LONG_DEADLINE_MS,
@@ -63,12 +68,12 @@
     }
 }
 
-const fn always(act: Behavior, idempotent: Expect, non_idempotent: Expect) -> Row {
-    row(act, Occurrence::Always, idempotent, non_idempotent)
+const fn always(behavior: Behavior, idempotent: Expected, non_idempotent: Expected) -> Row {
+    row(behavior, Occurrence::Always, idempotent, non_idempotent)
 }
 
-const fn first(act: Behavior, idempotent: Expect, non_idempotent: Expect) -> Row {
-    row(act, Occurrence::First, idempotent, non_idempotent)
+const fn first(behavior: Behavior, idempotent: Expected, non_idempotent: Expected) -> Row {
+    row(behavior, Occurrence::First, idempotent, non_idempotent)
 }
 
 impl Row {
@@ -83,7 +88,7 @@
         self
     }
 
-    const fn short(mut self) -> Self {
+    const fn short_deadline(mut self) -> Self {
         self.deadline = SHORT_DEADLINE_MS;
         self
     }
@@ -121,7 +126,7 @@
         for row in ROWS {
             for idempotent in [true, false] {
                 let service = service(row, idempotent);
-                let pair = ScriptedTargets::new(row.act, row.times);
+                let pair = ScriptedTargets::new(row.behavior, row.occurrence);
                 let record = json!({"class": "c", "idempotent": idempotent, "deadline_ms": 5000});
                 cluster = cluster.with_service(&service, record);
                 for (index, address) in pair.addresses.iter().enumerate() {
@@ -165,9 +170,9 @@
     }
 }
 
-fn check_answer(call: &str, row: &Row, expect: Expect, answer: &Answer) {
+fn check_answer(call: &str, row: &Row, expect: Expected, answer: &Answer) {
     let (status, outcome) = match expect {
-        Good => (200, "answered"),
+        Complete => (200, "answered"),
         Status(status) => (status, "answered"),
         NotRun => (503, "not-run"),
         Unknown(status) => (status, "unknown"),
@@ -176,8 +181,8 @@
     assert_eq!(received, (status, outcome), "{call}: {}", answer.text());
     let expected = scripted::body(call);
     match expect {
-        Good if row.method == "HEAD" => assert!(answer.body.is_empty(), "{call}"),
-        Good => assert_eq!(answer.text(), expected, "{call}"),
+        Complete if row.method == "HEAD" => assert!(answer.body.is_empty(), "{call}"),
+        Complete => assert_eq!(answer.text(), expected, "{call}"),
         NotRun => {
             let wait = answer.headers.get("retry-after").map(|text| text.parse());
             assert!(matches!(wait, Some(Ok(1u64..))), "{call}: {answer:?}");
@@ -191,12 +196,12 @@
     }
 }
 
-fn check_runs(call: &str, expect: Expect, idempotent: bool, runs: usize) {
+fn check_runs(call: &str, expect: Expected, idempotent: bool, runs: usize) {
     if !idempotent {
         assert!(runs <= 1, "{call} ran {runs} times");
     }
     match expect {
-        Good => assert!(runs >= 1, "{call} did not run"),
+        Complete => assert!(runs >= 1, "{call} did not run"),
         NotRun => assert_eq!(runs, 0, "{call} was reported as not run"),
         Status(_) | Unknown(_) => {}
     }
@@ -216,44 +221,44 @@
 }
 
 cases! {
-    sound: always(Behavior::Serve, Good, Good);
-    sound_head: always(Behavior::Serve, Good, Good).method("HEAD");
-    sound_get: always(Behavior::Serve, Good, Good).method("GET");
-    sound_chunked: always(Behavior::Chunked, Good, Good);
-    sound_until_close: always(Behavior::Raw("HTTP/1.0 200 OK\r\n\r\n{body}"), Good, Good);
+    sound: always(Behavior::Serve, Complete, Complete);
+    sound_head: always(Behavior::Serve, Complete, Complete).method("HEAD");
+    sound_get: always(Behavior::Serve, Complete, Complete).method("GET");
+    sound_chunked: always(Behavior::Chunked, Complete, Complete);
+    sound_until_close: always(Behavior::Raw("HTTP/1.0 200 OK\r\n\r\n{body}"), Complete, Complete);
     sound_after_continue: always(
         Behavior::Raw("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}"),
-        Good, Good);
-    slow: always(Behavior::Slow(300), Good, Good);
+        Complete, Complete);
+    slow: always(Behavior::Slow(300), Complete, Complete);
 
     refused: always(Behavior::Refuse, NotRun, NotRun);
     connect_black_hole: always(Behavior::BlackHole, NotRun, NotRun);
     reset_on_accept: always(Behavior::ResetOnAccept, Unknown(502), Unknown(502));
-    reset_on_accept_once: first(Behavior::ResetOnAccept, Good, Unknown(502));
+    reset_on_accept_once: first(Behavior::ResetOnAccept, Complete, Unknown(502));
     closed_on_accept: always(Behavior::CloseOnAccept, Unknown(502), Unknown(502));
-    closed_on_accept_once: first(Behavior::CloseOnAccept, Good, Unknown(502));
-    request_cut_at_1: first(Behavior::ResetWhileReading(1), Good, Unknown(502));
-    request_cut_at_40: first(Behavior::ResetWhileReading(40), Good, Unknown(502));
-    request_cut_in_small_body: first(Behavior::ResetWhileReading(400), Good, Unknown(502)).body(2000);
-    request_cut_in_large_body: first(Behavior::ResetWhileReading(400_000), Good, Unknown(502)).body(1_000_000);
+    closed_on_accept_once: first(Behavior::CloseOnAccept, Complete, Unknown(502));
+    request_cut_at_1: first(Behavior::ResetWhileReading(1), Complete, Unknown(502));
+    request_cut_at_40: first(Behavior::ResetWhileReading(40), Complete, Unknown(502));
+    request_cut_in_small_body: first(Behavior::ResetWhileReading(400), Complete, Unknown(502)).body(2000);
+    request_cut_in_large_body: first(Behavior::ResetWhileReading(400_000), Complete, Unknown(502)).body(1_000_000);
     request_always_cut: always(Behavior::ResetWhileReading(40), Unknown(502), Unknown(502));
 
     answer_lost: always(Behavior::CloseBeforeAnswer, Unknown(502), Unknown(502));
-    answer_lost_once: first(Behavior::CloseBeforeAnswer, Good, Unknown(502));
+    answer_lost_once: first(Behavior::CloseBeforeAnswer, Complete, Unknown(502));
     answer_reset: always(Behavior::ResetBeforeAnswer, Unknown(502), Unknown(502));
-    answer_reset_once: first(Behavior::ResetBeforeAnswer, Good, Unknown(502));
+    answer_reset_once: first(Behavior::ResetBeforeAnswer, Complete, Unknown(502));
     answer_cut_at_1: always(Behavior::TruncateAnswer(1), Unknown(502), Unknown(502));
     answer_cut_at_17: always(Behavior::TruncateAnswer(17), Unknown(502), Unknown(502));
     answer_cut_at_40: always(Behavior::TruncateAnswer(40), Unknown(502), Unknown(502));
     answer_cut_in_body: always(Behavior::TruncateAnswer(105), Unknown(502), Unknown(502));
-    answer_cut_in_body_once: first(Behavior::TruncateAnswer(105), Good, Unknown(502));
+    answer_cut_in_body_once: first(Behavior::TruncateAnswer(105), Complete, Unknown(502));
     chunked_cut: always(Behavior::TruncateChunkedAnswer, Unknown(502), Unknown(502));
-    chunked_cut_once: first(Behavior::TruncateChunkedAnswer, Good, Unknown(502));
+    chunked_cut_once: first(Behavior::TruncateChunkedAnswer, Complete, Unknown(502));
     chunk_of_no_size: always(
         Behavior::Raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n{body}\r\n0\r\n\r\n"),
         Unknown(502), Unknown(502));
     garbage: always(Behavior::Raw("\u{1}\u{2}\u{3} no answer at all \r\n\r\n"), Unknown(502), Unknown(502));
-    garbage_once: first(Behavior::Raw("\u{1}\u{2} no answer at all \r\n\r\n"), Good, Unknown(502));
+    garbage_once: first(Behavior::Raw("\u{1}\u{2} no answer at all \r\n\r\n"), Complete, Unknown(502));
     lengths_in_conflict: always(
         Behavior::Raw("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 300\r\n\r\n{body}"),
         Unknown(502), Unknown(502));
@@ -263,12 +268,12 @@
     length_too_large: always(
         Behavior::Raw("HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n{body}"),
         Unknown(502), Unknown(502));
-    hang: always(Behavior::Hang, Unknown(504), Unknown(504)).short();
+    hang: always(Behavior::Hang, Unknown(504), Unknown(504)).short_deadline();
 
     refusal: always(Behavior::Refusal, NotRun, NotRun);
-    refusal_once: first(Behavior::Refusal, Good, Good);
+    refusal_once: first(Behavior::Refusal, Complete, Complete);
     unavailable_once: first(
-        Behavior::Raw("HTTP/1.1 503 Gone\r\nContent-Length: 2\r\n\r\nno"), Good, Status(503));
+        Behavior::Raw("HTTP/1.1 503 Gone\r\nContent-Length: 2\r\n\r\nno"), Complete, Status(503));
     unavailable: always(
         Behavior::Raw("HTTP/1.1 503 Gone\r\nContent-Length: 2\r\n\r\nno"), Status(503), Status(503));
     server_error: always(
@@ -285,17 +290,17 @@
     no_content: always(Behavior::Raw("HTTP/1.1 204 No\r\n\r\n"), Status(204), Status(204));
     not_modified: always(
         Behavior::Raw("HTTP/1.1 304 No\r\nETag: \"1\"\r\n\r\n"), Status(304), Status(304)).method("GET");
-    large_head: always(Behavior::Header(30_000), Good, Good);
+    large_head: always(Behavior::Header(30_000), Complete, Complete);
     huge_head: always(Behavior::Header(300_000), Unknown(502), Unknown(502));
 
-    closed_between_requests: always(Behavior::CloseAfterAnswer, Good, Good).requests(4);
-    closed_at_second_request: always(Behavior::ResetAtSecondRequest, Good, Good).requests(4);
-    lost_at_second_request: always(Behavior::CloseBeforeSecondAnswer, Good, Good).requests(4);
+    closed_between_requests: always(Behavior::CloseAfterAnswer, Complete, Complete).requests(4);
+    closed_at_second_request: always(Behavior::ResetAtSecondRequest, Complete, Complete).requests(4);
+    lost_at_second_request: always(Behavior::CloseBeforeSecondAnswer, Complete, Complete).requests(4);
     // The requests of this row are sent by a separate test below.
-    lost_at_second_request_and_gone: always(Behavior::StopListeningAtSecondRequest, Good, Good).requests(0);
-    answered_twice: always(Behavior::AnswerTwice(0), Good, Good).requests(4);
-    answered_twice_late: always(Behavior::AnswerTwice(30), Good, Good).requests(4);
-    answer_before_its_request: always(Behavior::UnsolicitedAnswer, Good, Good).requests(4);
+    lost_at_second_request_and_gone: always(Behavior::StopListeningAtSecondRequest, Complete, Complete).requests(0);
+    answered_twice: always(Behavior::AnswerTwice(0), Complete, Complete).requests(4);
+    answered_twice_late: always(Behavior::AnswerTwice(30), Complete, Complete).requests(4);
+    answer_before_its_request: always(Behavior::UnsolicitedAnswer, Complete, Complete).requests(4);
 }
 
 /// A late answer is dropped: later requests get their own answers.
