--- a/tests/presence.rs
+++ b/tests/presence.rs
@@ -56,7 +56,7 @@
     records.map(|record| &*record.host).collect()
 }
 
-/// A host `h0` in zone `n-a` that has heard the given other hosts.
+/// A host `h0` in zone `n-a` that has received heartbeats of the given other hosts.
 fn presence(now: Instant, others: &[(&str, &str)]) -> Presence {
     let mut presence = Presence::new(now, record("h0", "n-a", 1), regions());
     presence.set_store_view(StoreView::Store);
@@ -590,8 +590,8 @@
     counts
 }
 
-/// A host in another region that has heard the hosts `h0` and up of one zone, whose load is so high
-/// that all of them are needed.
+/// A host in another region that has received heartbeats of the hosts `h0` and up of one zone, whose
+/// load is so high that all of them are needed.
 fn zone(now: Instant, cores: &[f64]) -> Presence {
     presence_with_rate(now, cores, 10_000)
 }
@@ -647,7 +647,10 @@
     let mut parts = vec![0.0; hosts.len()];
     for number in 0..callers {
         let answer = presence.lookup_hosts(now, &question_of("n", "n-a"), caller(number));
-        assert!(answer.len() >= 2, "a second host should the first fail");
+        assert!(
+            answer.len() >= 2,
+            "no second host in case the first one fails"
+        );
         for (index, part) in parts.iter_mut().enumerate() {
             let is_named = answer.contains(&address_of(&format!("h{index}")));
             *part += f64::from(u8::from(is_named)) / answer.len() as f64;
@@ -810,8 +813,8 @@
     megabits: 20.0,
 };
 
-/// A weak host that has just started in zone `n-a` and has heard a strong host in each of these
-/// zones with this store view.
+/// A weak host that has just started in zone `n-a` and has received a heartbeat of a strong host in
+/// each of these zones, with this store view.
 fn newcomer(now: Instant, others: &[(&str, StoreView)]) -> Presence {
     let own = HostRecord {
         strength: WEAK,
--- a/tests/publication.rs
+++ b/tests/publication.rs
@@ -32,7 +32,7 @@
 
 const STEP: Duration = Duration::from_millis(1);
 /// Number of revisions that garbage collection keeps, as documented.
-const KEPT: u64 = 200;
+const KEPT_REVISIONS: u64 = 200;
 
 fn guard(url: &str) -> GuardedClient {
     let client = Client::new(url).with_timeout(Duration::from_secs(20));
@@ -245,9 +245,9 @@
         (&[("a", "1"), ("b", "3")], OverwritePolicy::Allow, "a1 b3"),
         (&[("c", "9")], OverwritePolicy::Allow, "c9"),
     ];
-    for (list, undo, expected) in table {
+    for (list, policy, expected) in table {
         let mut operator = Operator::new(&platform, list);
-        operator.base = Base::Head(undo);
+        operator.base = Base::Head(policy);
         let result = match operator.apply("x") {
             Err(Error::NotPulled(names)) => format!("refused: {}", names.join(", ")),
             Err(e) => e.to_string(),
@@ -257,7 +257,7 @@
                 pairs.join(" ")
             }
         };
-        assert_eq!(result, expected, "{list:?} {undo:?}");
+        assert_eq!(result, expected, "{list:?} {policy:?}");
     }
 }
 
@@ -443,7 +443,7 @@
     let mut needed = vec![("head".to_owned(), head.files)];
     for (key, (_, value)) in history {
         let past: Past = serde_json::from_value(value.clone()).unwrap();
-        if past.step.revision + KEPT > head.revision {
+        if past.step.revision + KEPT_REVISIONS > head.revision {
             needed.push((key.clone(), past.files));
         }
     }
@@ -480,9 +480,12 @@
             .filter(|key| key.starts_with(prefix))
             .count() as u64
     };
-    assert_eq!(count("config/history/"), KEPT);
-    assert_eq!(count("config/file/"), 1 + 7 + KEPT);
-    assert_eq!(ana.publication.history().unwrap().len() as u64, KEPT);
+    assert_eq!(count("config/history/"), KEPT_REVISIONS);
+    assert_eq!(count("config/file/"), 1 + 7 + KEPT_REVISIONS);
+    assert_eq!(
+        ana.publication.history().unwrap().len() as u64,
+        KEPT_REVISIONS
+    );
     ana.publication
         .revert(51, &signed("ana"), accept_all)
         .unwrap();
